--- a/clayport/api.py
+++ b/clayport/api.py
@@ -24,7 +24,15 @@
 from .limits import AdmissionControl, Deadline
 from .model import SERVICE, Description, Job, valid_id
 from .peers import PeerError
-from .statestore import CANCEL_S, URGENT_S, Conflict, Lookups, Txn, Unavailable, Unknown
+from .statestore import (
+    CANCEL_S,
+    URGENT_S,
+    ConflictError,
+    Lookups,
+    OutcomeUnknownError,
+    Txn,
+    UnavailableError,
+)
 
 if TYPE_CHECKING:
     from .server import Controller
@@ -60,11 +68,11 @@
         after_s = 1
         try:
             status, value = await self._route(method, path.partition("?")[0], body)
-        except Unavailable as exc:
+        except UnavailableError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": str(exc)}
             after_s = max(1, math.ceil(min(exc.after_s, RETRY_MOST_S)))
-        except Unknown as exc:
+        except OutcomeUnknownError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": "state service unavailable"}
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
@@ -110,7 +118,7 @@
         if not valid_id(job):
             # An id that the first versions let through can't stand in a path.
             if live is not None:
-                raise Unavailable("the record is just changing")
+                raise UnavailableError("the record is just changing")
             return None
         entry = await core.store.get(live_key(job), deadline)
         if entry is not None:
@@ -120,7 +128,7 @@
         await self._guard({live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline)
         if entry is None and job in core.live:
             core.suspect(f"{job} is gone")
-            raise Unavailable("the records are in doubt")
+            raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
         core.mirror.note_end(job, *ended(entry.value), entry.rev)
@@ -136,11 +144,11 @@
             txn.require(key, rev)
         try:
             await self.core.store.commit(txn, deadline)
-        except Conflict:
-            raise Unavailable("the record is just changing") from None
+        except ConflictError:
+            raise UnavailableError("the record is just changing") from None
 
     async def _answer(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
-        """The body of an answer about a job; Unavailable if it is cancelled and its user can't
+        """The body of an answer about a job; UnavailableError if it is cancelled and its user can't
         be told of that in time."""
         core = self.core
         if status != "live":
@@ -186,7 +194,7 @@
             return 400, {"error": str(exc)}
         if not core.stalls.check(time.monotonic()):
             # It may have waited since before we stood still, and its user have left.
-            raise Unavailable("just awake")
+            raise UnavailableError("just awake")
         deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
         if not all(valid_id(name) for name in (job.id, *(job.prereqs or ()))):
             return await self._refuse(job, 400, "not in the form of a job's id", deadline)
@@ -215,7 +223,7 @@
                 return await self._refuse(job, 422, wrong, deadline)
             if not core.upgraded:
                 # The version in production would start it at once.
-                raise Unavailable("not all controllers can take prereqs yet")
+                raise UnavailableError("not all controllers can take prereqs yet")
         txn = Txn().require(live_key(job.id), 0).require(end_key(job.id), 0)
         txn.put(live_key(job.id), value)
         attempt = core.store.begin(deadline)
@@ -223,12 +231,12 @@
             try:
                 rev = await core.store.commit(txn, deadline, URGENT_S)
                 break
-            except Conflict:
+            except ConflictError:
                 known = await self._known(job.id, deadline)
                 if known is None:
-                    raise Unavailable("the record is just changing") from None
+                    raise UnavailableError("the record is just changing") from None
                 return 200, await self._answer(job.id, known, deadline)
-            except Unknown:
+            except OutcomeUnknownError:
                 # It may have been applied: the same transaction again either
                 # succeeds or shows the job.
                 if not await core.store.rest(attempt):
@@ -256,14 +264,14 @@
         return 200, await self._answer(job.id, known, deadline)
 
     def _admit(self, ahead_s: float) -> None:
-        """Unavailable, with when to come back, if what waits for the state service, or for the
+        """UnavailableError, with when to come back, if what waits for the state service, or for the
         processor, can't be worked off in time."""
         after_s = max(
             self.admission.retry_after_s(self.core.store.backlog(ahead_s)),
             self.processor_admission.retry_after_s(TURNS * self.core.stalls.timer_delay_s),
         )
         if after_s:
-            raise Unavailable("too much is waiting", after_s)
+            raise UnavailableError("too much is waiting", after_s)
 
     async def _unsuitable(self, names: list[str], deadline: Deadline) -> str:
         """Why a job can't wait for these; empty if it can: each was accepted, and ends by
@@ -287,7 +295,7 @@
             try:
                 await core.store.commit(txn, deadline)
                 return f"{part[0]} was never accepted"
-            except Conflict as exc:
+            except ConflictError as exc:
                 for name in part:
                     if end_key(name) in exc.failed:
                         continue
@@ -329,13 +337,13 @@
             )
             try:
                 rev = await core.store.commit(txn, deadline, CANCEL_S)
-            except Conflict:
+            except ConflictError:
                 continue
-            except Unknown:
+            except OutcomeUnknownError:
                 if not await core.store.rest(attempt):
                     break
                 continue
             log.info("job=%s event=cancelled", job)
             core.mirror.note_end(job, "cancelled", at, rev)
             return 200, await self._over(job, "cancelled", deadline)
-        raise Unavailable("not settled in time")
+        raise UnavailableError("not settled in time")
--- a/clayport/cloud.py
+++ b/clayport/cloud.py
@@ -84,7 +84,7 @@
         raw = None if body is None else msgspec.json.encode(body)
         try:
             status, payload = await self.client.request(method, path, raw, self.timeout_s)
-        except http.NoAnswer as exc:
+        except http.NoAnswerError as exc:
             await self.patience.seen(False)
             raise CloudError(str(exc)) from None
         # What is refused for lack of capacity has been served.
--- a/clayport/dispatch.py
+++ b/clayport/dispatch.py
@@ -31,7 +31,15 @@
 )
 from .model import ARRAY, GANG, SERVICE, Chunk, Job, split_task
 from .peers import PeerError
-from .statestore import CANCEL_S, URGENT_S, Conflict, TooLarge, Txn, Unavailable, Unknown
+from .statestore import (
+    CANCEL_S,
+    URGENT_S,
+    ConflictError,
+    OutcomeUnknownError,
+    TransactionTooLargeError,
+    Txn,
+    UnavailableError,
+)
 from .workers import GONE
 
 if TYPE_CHECKING:
@@ -43,7 +51,7 @@
 GATHER = 0.2
 
 
-class Evicted(Exception):
+class EpochEndedError(Exception):
     """The generation has moved on: this routine's work is no longer ours."""
 
 
@@ -86,7 +94,7 @@
                     while core.generation is gen and await self._step(hj):
                         await core.flush()
                     attempt.served()
-                except (Unavailable, Unknown) as exc:
+                except (UnavailableError, OutcomeUnknownError) as exc:
                     log.debug("job=%s event=waiting cause=%s", hj.job.id, exc)
                     await core.store.rest(attempt)
                     continue
@@ -111,7 +119,7 @@
                     # Of what nobody says anything, the owner may have lost track.
                     log.info("job=%s event=unheard tasks=%d", hj.job.id, len(unheard))
                     await self._adopt(hj, unheard)
-        except Evicted:
+        except EpochEndedError:
             pass
         finally:
             core.events.pop(name, None)
@@ -201,7 +209,7 @@
             txn, chunks, gone = hj.move_txn(fence, self.core.bounds.txn_ops, moved)
             try:
                 rev = await self._settle(txn, fence)
-            except Conflict as exc:
+            except ConflictError as exc:
                 await self._conflict(hj, exc, fence)
                 return
             hj.committed(chunks, rev)
@@ -220,7 +228,7 @@
         if entry is None:
             await self.learn_end(job)
             if not hj.ended:
-                raise Unavailable("the record is just changing")
+                raise UnavailableError("the record is just changing")
             return
         txn = Txn().require(live_key(job), entry.rev).delete(live_key(job))
         txn.put(
@@ -229,7 +237,7 @@
         )
         try:
             rev = await self._settle(txn, self._fence(hj), CANCEL_S)
-        except Conflict:
+        except ConflictError:
             return
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, hj.generation)
         core.mirror.note_end(job, "cancelled", time.time(), rev)
@@ -242,11 +250,11 @@
         the same attempt number, and tasks ran twice.
         """
         if not self.core.serving or self.core.generation.number != hj.generation:
-            raise Evicted
+            raise EpochEndedError
         return self.core.generation.rev
 
     async def _settle(self, txn: Txn, fence: int, ahead_s: float = 0.0) -> int:
-        """Commit until the outcome is certain; Conflict, or Unavailable if never sent.
+        """Commit until the outcome is certain; ConflictError, or UnavailableError if never sent.
 
         An unanswered transaction may still be applied: it is sent again until
         an answer tells, since either copy makes the other fail. One that has become too
@@ -256,16 +264,16 @@
         attempt = self.core.store.begin()
         while True:
             if self.core.generation.rev != fence:
-                raise Evicted
+                raise EpochEndedError
             try:
                 return await self.core.store.commit(txn, ahead_s=ahead_s)
-            except Unknown:
+            except OutcomeUnknownError:
                 unsure = True
-            except TooLarge:
+            except TransactionTooLargeError:
                 if unsure:
-                    raise Conflict([k for k in txn.when if k != GENERATION_KEY]) from None
+                    raise ConflictError([k for k in txn.when if k != GENERATION_KEY]) from None
                 raise
-            except Unavailable:
+            except UnavailableError:
                 if not unsure:
                     raise
             await self.core.store.rest(attempt)
@@ -281,7 +289,7 @@
         attempt = hj.attempt
         granted = await self._reserve(hj, starts, attempt)
         if core.generation is not gen:
-            raise Evicted
+            raise EpochEndedError
         declined = [s for s in starts if s not in granted]
         self.core.picture.asc.count(len(granted), len(declined))
         for _, machine in declined:
@@ -298,7 +306,7 @@
             return
         try:
             quota = await self._charge(job, len(granted))
-        except Unavailable:
+        except UnavailableError:
             await self._stop(hj, release)
             raise
         if quota is None:
@@ -309,11 +317,11 @@
             txn.require(key, rev).put(key, value)
         try:
             rev = await self._settle(txn, fence, URGENT_S if job.kind == SERVICE else 0.0)
-        except Conflict as exc:
+        except ConflictError as exc:
             await self._stop(hj, release)
             await self._conflict(hj, exc, fence)
             return
-        except Unavailable:
+        except UnavailableError:
             await self._stop(hj, release)
             raise
         hj.committed(chunks, rev)
@@ -331,7 +339,7 @@
         task = hj.job.id
         for owner, items in self._by_owner((m, n) for n, m in starts).items():
             if core.generation.number != hj.generation:
-                raise Evicted
+                raise EpochEndedError
             if owner == core.label:
                 flags = core.owner.reserve(hj.job, items, attempt, time.monotonic())
             else:
@@ -390,7 +398,7 @@
             attempt = core.asks(owner)
             while waiting:
                 if core.generation.rev != fence:
-                    raise Evicted
+                    raise EpochEndedError
                 if hj.ended:
                     # Cancelled between the commit and here: judged by reports,
                     # and never launched.
@@ -449,14 +457,14 @@
         core = self.core
         gen = core.generation
         if gen.number != hj.generation:
-            raise Evicted
+            raise EpochEndedError
         for owner, part in self._by_owner(
             (m, f"{hj.job.id}/{n}", a) for n, a, m in hj.assignments() if only is None or n in only
         ).items():
             attempt = core.asks(owner)
             while True:
                 if core.generation is not gen:
-                    raise Evicted
+                    raise EpochEndedError
                 if owner == core.label:
                     core.owner.adopt(part, time.monotonic())
                     break
@@ -481,7 +489,7 @@
         if txn.writes:
             try:
                 rev = await self._settle(txn, fence)
-            except Conflict as exc:
+            except ConflictError as exc:
                 await self._conflict(hj, exc, fence)
                 return
             hj.committed(chunks, rev)
@@ -500,7 +508,7 @@
         )
         core.signal("place")
 
-    async def _conflict(self, hj: HomeJob, exc: Conflict, fence: int) -> None:
+    async def _conflict(self, hj: HomeJob, exc: ConflictError, fence: int) -> None:
         """Somebody else changed something: read what holds now."""
         core = self.core
         log.info("job=%s event=conflict keys=%s", hj.job.id, exc.failed)
@@ -514,7 +522,7 @@
         if ours:
             entries, _ = await core.store.scan(f"run/{hj.job.id}/")
             if core.generation.rev != fence:
-                raise Evicted
+                raise EpochEndedError
             revs = {e.key: e.rev for e in entries}
             # Nobody but this routine writes them, or removes them while the job is live.
             if (
@@ -547,7 +555,7 @@
                 txn.delete(hj.key(index))
             try:
                 await self._settle(txn, self.core.generation.rev)
-            except Conflict:
+            except ConflictError:
                 return
 
     # -- what owners tell ------------------------------------------------
--- a/clayport/fleet.py
+++ b/clayport/fleet.py
@@ -253,11 +253,11 @@
                 body = msgspec.json.encode({"epoch": token, "tenure": m.session, "orders": orders})
                 try:
                     status, raw = await client.request("POST", "/do", body, self.command_s)
-                except http.NoAnswer as exc:
+                except http.NoAnswerError as exc:
                     log.info("machine=%s event=unanswered %s", m.name, exc)
                     if core.generation.number == fence:
                         core.owner.unanswered(
-                            m, launches, not isinstance(exc, http.NotSent), time.monotonic()
+                            m, launches, not isinstance(exc, http.NotSentError), time.monotonic()
                         )
                     return
                 if core.generation.number != fence:
@@ -532,7 +532,7 @@
             return False
         try:
             status, raw = await client.request("GET", "/inspect", None, self.command_s)
-        except http.NoAnswer:
+        except http.NoAnswerError:
             return False
         m = self.core.owner.machines.get(name)
         if status == 200 and m is not None:
--- a/clayport/http.py
+++ b/clayport/http.py
@@ -25,7 +25,11 @@
 Handler = Callable[[str, str, bytes], Awaitable[tuple[int, bytes, Headers]]]
 
 
-class TooLarge(Exception):
+class HttpError(Exception):
+    """An exchange over HTTP did not come about as asked."""
+
+
+class MessageTooLargeError(HttpError):
     """A request body beyond the protocol's 64 KiB."""
 
 
@@ -173,7 +177,7 @@
                 if conn.our_state is h11.MUST_CLOSE or conn.our_state is h11.CLOSED:
                     return
                 conn.start_next_cycle()
-        except TooLarge:
+        except MessageTooLargeError:
             await self._refuse(conn, client, 413)
         except h11.RemoteProtocolError as exc:
             await self._refuse(conn, client, exc.error_status_hint or 400)
@@ -195,7 +199,7 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > MAX_BODY:
-                    raise TooLarge
+                    raise MessageTooLargeError
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return request, b"".join(parts)
@@ -219,11 +223,11 @@
             pass
 
 
-class NoAnswer(Exception):
+class NoAnswerError(HttpError):
     """No response arrived: the request may have been executed or still may be."""
 
 
-class NotSent(NoAnswer):
+class NotSentError(NoAnswerError):
     """No connection came about: the request was never sent."""
 
 
@@ -259,7 +263,7 @@
                 sock = None
             return status, payload
         except (OSError, curio.TaskTimeout, h11.ProtocolError, EOFError) as exc:
-            error = NoAnswer if sent else NotSent
+            error = NoAnswerError if sent else NotSentError
             raise error(f"{self.name} {type(exc).__name__} {exc}") from None
         finally:
             if sock is not None:
--- a/clayport/membership_duties.py
+++ b/clayport/membership_duties.py
@@ -11,7 +11,14 @@
 from .jobs import GENERATION_KEY
 from .membership import FlapDamping, Generation, may_propose, successor
 from .mirror import NODE_PREFIX, VERSION_PREFIX
-from .statestore import LEASE_S, Conflict, NoLease, Txn, Unavailable, Unknown
+from .statestore import (
+    LEASE_S,
+    ConflictError,
+    NoLeaseError,
+    OutcomeUnknownError,
+    Txn,
+    UnavailableError,
+)
 
 if TYPE_CHECKING:
     from .server import Controller
@@ -42,7 +49,7 @@
                 elif not await core.store.renew(core.lease):
                     core.lease = None
                     pause = 0.0
-            except (Unavailable, Unknown, NoLease, Conflict) as exc:
+            except (UnavailableError, OutcomeUnknownError, NoLeaseError, ConflictError) as exc:
                 log.debug("event=lease-trouble cause=%s", exc)
                 pause = core.jitter(core.ttl_s / 8)
             await core.wait("lease", max(pause, 0.001))
@@ -80,7 +87,7 @@
             try:
                 await core.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
                 return
-            except Conflict as exc:
+            except ConflictError as exc:
                 # Written by a process before this one: the mirror has not been read yet.
                 if node in exc.failed:
                     entry = await core.store.get(node, doubtful=True)
@@ -109,9 +116,9 @@
             txn = Txn().require(GENERATION_KEY, core.generation.rev)
             try:
                 await core.store.commit(txn.put(GENERATION_KEY, proposal.value()), ahead_s=LEASE_S)
-            except Conflict:
+            except ConflictError:
                 await curio.sleep(core.ttl_s / 20)
-            except (Unavailable, Unknown, NoLease):
+            except (UnavailableError, OutcomeUnknownError, NoLeaseError):
                 await curio.sleep(core.jitter(core.ttl_s / 10))
 
     def _proposal(self) -> Generation | None:
--- a/clayport/mirror.py
+++ b/clayport/mirror.py
@@ -17,7 +17,14 @@
 from .membership import Generation
 from .model import Job
 from .record_keys import HEAD_KEY
-from .statestore import Change, Compacted, Conflict, Txn, Unavailable, Unknown
+from .statestore import (
+    Change,
+    CompactedError,
+    ConflictError,
+    OutcomeUnknownError,
+    Txn,
+    UnavailableError,
+)
 
 if TYPE_CHECKING:
     from .server import Controller
@@ -119,9 +126,9 @@
                     self.count_versions()
                 await core.flush()
                 attempt.served()
-            except Compacted:
+            except CompactedError:
                 core.rescan = True
-            except (Unavailable, Unknown) as exc:
+            except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=watch-lost cause=%s", exc)
                 await core.store.rest(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
@@ -138,7 +145,7 @@
         keys = {e.key for e in entries}
         if core.recovery is not None and not core.recovery.history.complete("c/", keys):
             core.rescan = True
-            raise Unavailable("the records are in doubt")
+            raise UnavailableError("the records are in doubt")
         for label in [n for n in core.nodes if NODE_PREFIX + n not in keys]:
             del core.nodes[label]
             core.node_revs.pop(label, None)
@@ -298,7 +305,7 @@
                     continue
                 try:
                     entry = await core.store.get(end_key(name))
-                except (Unavailable, Unknown):
+                except (UnavailableError, OutcomeUnknownError):
                     break
                 if entry is not None:
                     self._note_end(name, entry.value, entry.rev)
@@ -315,7 +322,7 @@
                         and not await core.api.lookups.unchanged(live_key(name), known[1])
                     ):
                         self._gone_live(name)
-                except Unavailable:
+                except UnavailableError:
                     break
 
     def _awaited(self) -> set[str]:
@@ -335,7 +342,7 @@
                 .require(key, 0)
                 .put(key, {"j": msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))})
             )
-        except (Conflict, Unavailable, Unknown):
+        except (ConflictError, UnavailableError, OutcomeUnknownError):
             pass  # a hint only
 
     def _gone_live(self, job: str) -> None:
@@ -355,7 +362,7 @@
         while job in core.live:
             try:
                 entry = await core.store.get(end_key(job))
-            except (Unavailable, Unknown):
+            except (UnavailableError, OutcomeUnknownError):
                 await curio.sleep(core.jitter(core.ttl_s / 6))
                 continue
             if entry is not None:
@@ -429,7 +436,7 @@
             self.telling.pop((label, job), None)
 
     async def announced(self, job: str, deadline: Deadline) -> None:
-        """Until users may be told that a job is cancelled (`cancellations`); Unavailable if
+        """Until users may be told that a job is cancelled (`cancellations`); UnavailableError if
         that isn't in time."""
         core, name = self.core, f"told {job}"
         while not core.promises.tell(job, time.monotonic()):
@@ -438,7 +445,7 @@
             wait_s = core.promises.wait_s(job, now)
             if not deadline.allows(now):
                 core.events.pop(name, None)
-                raise Unavailable("not everybody knows of it yet", wait_s)
+                raise UnavailableError("not everybody knows of it yet", wait_s)
             # (Who waits for the same at the same time may have taken the signal.)
             await core.wait(
                 name, max(0.001, min(wait_s, deadline.left(now, core.ttl_s / 16), core.ttl_s / 16))
--- a/clayport/placer.py
+++ b/clayport/placer.py
@@ -23,7 +23,7 @@
 from .queueing import Group, Line, Shares
 from .queueing.shares import Name, Owed, names, names_of
 from .record_keys import is_anchor
-from .statestore import Unavailable, Unknown
+from .statestore import OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
     from .server import Controller
@@ -730,7 +730,7 @@
         core = self.core
         try:
             entries, _ = await core.store.scan("quota/")
-        except (Unavailable, Unknown):
+        except (UnavailableError, OutcomeUnknownError):
             return
         used = {e.key.partition("/")[2]: quota_of(e.value) for e in entries if not is_anchor(e.key)}
         own, have = core.guarantees[job.team], used.get(job.team, (0.0, 0.0))
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -18,7 +18,7 @@
 
 from ..config import ConfigError, Settings, endpoint, load
 from ..model import chunk_size
-from ..statestore import Conflict, StateStore, Txn, Unavailable, Unknown
+from ..statestore import ConflictError, OutcomeUnknownError, StateStore, Txn, UnavailableError
 from . import files, plan
 from .files import Found, Header, SnapshotError
 from .history import HEAD_KEY, PREFIXES, REBUILDING, anchor_key, anchor_value, is_anchor
@@ -91,7 +91,7 @@
         print(f"clayport: {exc}", file=sys.stderr)
     except OSError as exc:
         print(f"clayport: {exc}", file=sys.stderr)
-    except (Unavailable, Unknown, Conflict) as exc:
+    except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
         print(f"clayport: state service: {exc}", file=sys.stderr)
     return 2
 
@@ -270,12 +270,12 @@
         try:
             await store.commit(txn)
             return
-        except Conflict:
+        except ConflictError:
             if unsure:
                 return
             raise RestoreRefusedError("the records have changed meanwhile: begin again") from None
-        except Unknown:
+        except OutcomeUnknownError:
             unsure = True
-        except Unavailable:
+        except UnavailableError:
             pass
         await store.rest(attempt)
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -140,7 +140,7 @@
             report = await self._report(
                 client, "POST", "/do", {"epoch": token, "tenure": report.session, "orders": orders}
             )
-        except (http.NoAnswer, msgspec.MsgspecError):
+        except (http.NoAnswerError, msgspec.MsgspecError):
             return 0, None
         if strange:
             log.info("machine=%s event=stopped-unknown tasks=%d", machine, len(strange))
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..jobs import end_key, end_value, live_key
-from ..statestore import Conflict, Txn, Unavailable, Unknown
+from ..statestore import ConflictError, OutcomeUnknownError, Txn, UnavailableError
 from .evidence import Evidence
 from .history import History
 
@@ -42,20 +42,20 @@
                     name, (status, at, desc) = ends[-1]
                     await self._end(name, status, at, desc)
                     ends.pop()
-            except (Unavailable, Unknown):
+            except (UnavailableError, OutcomeUnknownError):
                 await core.store.rest(attempt)
 
     async def _once(self, txn: Txn, what: str, name: str) -> bool:
         """Write what nobody else had; False if something else is there instead."""
         try:
             await self.core.store.commit(Txn().require(*next(iter(txn.when.items()))))
-        except Conflict:
+        except ConflictError:
             return True  # it is there: one comparison, and no write
         try:
             await self.core.store.commit(txn)
             log.info("event=late-evidence %s=%s", what, name)
             return True
-        except Conflict:
+        except ConflictError:
             return False
 
     async def _end(self, name: str, status: str, at: float, desc: Any) -> None:
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -18,7 +18,15 @@
 from ..membership import COUNTER_BITS, Generation
 from ..model import chunk_size
 from ..peers import PeerError
-from ..statestore import LEASE_S, Conflict, Entry, StateStore, Txn, Unavailable, Unknown
+from ..statestore import (
+    LEASE_S,
+    ConflictError,
+    Entry,
+    OutcomeUnknownError,
+    StateStore,
+    Txn,
+    UnavailableError,
+)
 from . import evidence, plan
 from .evidence import Evidence, Task
 from .history import (
@@ -75,7 +83,7 @@
 
         Raises:
             ConcurrentChangeError: Another controller has changed the records meanwhile.
-            Unavailable: The state service doesn't answer.
+            UnavailableError: The state service doesn't answer.
         """
         store = self.core.store
         store.shared_by(1)
@@ -169,12 +177,12 @@
         while True:
             try:
                 return await core.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
-            except Conflict as exc:
+            except ConflictError as exc:
                 log.info("event=rebuild-overtaken keys=%s", exc.failed[:3])
                 raise ConcurrentChangeError from None
-            except Unknown:
+            except OutcomeUnknownError:
                 unsure = True
-            except Unavailable:
+            except UnavailableError:
                 if not unsure:
                     raise
             await core.store.rest(attempt)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..jobs import GENERATION_KEY
-from ..statestore import Change, Compacted, Unavailable, Unknown
+from ..statestore import Change, CompactedError, OutcomeUnknownError, UnavailableError
 from . import files
 from .evidence import Evidence
 from .files import Header, Log, Row, SnapshotError
@@ -89,9 +89,9 @@
                 attempt.served()
                 while recovery.history.name == name and not recovery.history.doubt:
                     await self._follow(name, number)
-            except Compacted:
+            except CompactedError:
                 log.info("event=snapshot-anew cause='too far behind'")
-            except (Unavailable, Unknown) as exc:
+            except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=snapshot-waits cause=%s", exc)
                 await core.store.rest(attempt)
             except (OSError, msgspec.MsgspecError) as exc:
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -19,7 +19,7 @@
 from ..membership import Generation
 from ..mirror import rebuilds
 from ..peers import PeerError
-from ..statestore import Conflict, Entry, Txn, Unavailable, Unknown
+from ..statestore import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
 from . import evidence
 from .evidence import Evidence
 from .history import (
@@ -85,7 +85,7 @@
 
     async def check_in(self) -> None:
         """Ask the peers what they have seen, and then the state service, before anything is
-        written: it has not answered for a moment, or a generation begins. (Unavailable if it
+        written: it has not answered for a moment, or a generation begins. (UnavailableError if it
         doesn't answer now.)
 
         Read before the first write of each of us: the revisions of what is written after a
@@ -105,8 +105,8 @@
             _, rev = await core.store.scan(HEAD_KEY, doubtful=True)
             h.unsure = False
             h.answered(rev, floor)
-        except Unknown as exc:
-            raise Unavailable(str(exc)) from None
+        except OutcomeUnknownError as exc:
+            raise UnavailableError(str(exc)) from None
         finally:
             asking, self.asking = self.asking, None
             await asking.set()
@@ -129,7 +129,7 @@
 
     async def second(self, rev: int, deadline: Deadline) -> None:
         """Until a second place has what was committed at the revision: our disk, or the
-        memory of another controller. Unavailable if that can't be known in time (the user
+        memory of another controller. UnavailableError if that can't be known in time (the user
         asks again, and is told of the job as it is)."""
         if not self.second_copy or not self.history.name:
             return
@@ -146,7 +146,7 @@
                     if said is not None:
                         break  # it is about to: its watch takes a moment
             await curio.sleep(pause_s)
-        raise Unavailable("no second copy in time")
+        raise UnavailableError("no second copy in time")
 
     def _understands(self, label: str) -> bool:
         return rebuilds(self.core.versions.get(label, (0, 0))[0])
@@ -208,14 +208,14 @@
         try:
             try:
                 await core.store.commit(txn)
-            except Conflict as exc:
+            except ConflictError as exc:
                 if HEAD_KEY in exc.failed:
                     self.history.suspect("the head has moved")
                     return
                 entry = await core.store.get(GENERATION_KEY)
                 if entry is None or int(entry.value["number"]) < core.generation.number:
                     self.history.suspect("the generation is gone")
-        except (Unavailable, Unknown):
+        except (UnavailableError, OutcomeUnknownError):
             pass
 
     def _all_understand(self) -> bool:
@@ -231,7 +231,7 @@
                 attempt.served()
             except ConcurrentChangeError:
                 await curio.sleep(core.jitter(core.ttl_s / 16))
-            except (Unavailable, Unknown, Conflict) as exc:
+            except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
                 log.debug("event=rebuild-waits cause=%s", exc)
                 await core.store.rest(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
--- a/clayport/statestore.py
+++ b/clayport/statestore.py
@@ -30,7 +30,11 @@
 START_S, FLYING_LEAST = 0.05, 4
 
 
-class Unavailable(Exception):
+class StateStoreError(Exception):
+    """A request to the state service did not do what was asked of it."""
+
+
+class UnavailableError(StateStoreError):
     """Not executed: refused by the service, or never sent. `after_s`: when it may be worth
     coming back, where that is known."""
 
@@ -39,11 +43,11 @@
         self.after_s = after_s
 
 
-class Unknown(Exception):
+class OutcomeUnknownError(StateStoreError):
     """No answer: it may have been executed, or may still be."""
 
 
-class Conflict(Exception):
+class ConflictError(StateStoreError):
     """A condition did not hold; nothing was changed."""
 
     def __init__(self, failed: list[str]) -> None:
@@ -51,15 +55,15 @@
         self.failed = failed
 
 
-class TooLarge(Unavailable):
+class TransactionTooLargeError(UnavailableError):
     """Refused for what it is, and not executed: larger than the service takes by now."""
 
 
-class NoLease(Exception):
+class NoLeaseError(StateStoreError):
     """The lease that a write names has ended."""
 
 
-class Compacted(Exception):
+class CompactedError(StateStoreError):
     """The watch starts too far back; the keys have to be read again."""
 
 
@@ -235,7 +239,7 @@
     ) -> tuple[int, bytes]:
         deadline = deadline or Deadline()
         if self.history is not None and self.history.doubt and not doubtful:
-            raise Unavailable("the records are in doubt", self.timeout_s)
+            raise UnavailableError("the records are in doubt", self.timeout_s)
         now = time.monotonic()
         wait = self.requests.delay(1, now, ahead_s)
         if changes:
@@ -245,7 +249,7 @@
             # those who ask again and again doesn't grow without end.
             self.requests.give_back(1)
             self.changes.give_back(changes)
-            raise Unavailable("too much is asked", wait)
+            raise UnavailableError("too much is asked", wait)
         if wait > 0:
             await curio.sleep(wait)
         raw = None if body is None else msgspec.json.encode(body)
@@ -265,7 +269,7 @@
                 passage.served = True
                 return status, payload
         except GateClosedError as exc:
-            raise Unavailable(str(exc), self.timeout_s) from None
+            raise UnavailableError(str(exc), self.timeout_s) from None
 
     async def _send(
         self,
@@ -284,21 +288,21 @@
             if self.history.unsure and self.check_in is not None:
                 await self.check_in()
             if self.history.doubt:
-                raise Unavailable("the records are in doubt", self.timeout_s)
+                raise UnavailableError("the records are in doubt", self.timeout_s)
             name, floor = self.history.name, self.history.floor
         self.sent += 1
         try:
             status, payload = await client.request(method, path, raw, timeout_s)
-        except http.NotSent as exc:
+        except http.NotSentError as exc:
             await self._failed()
-            raise Unavailable(str(exc)) from None
-        except http.NoAnswer as exc:
+            raise UnavailableError(str(exc)) from None
+        except http.NoAnswerError as exc:
             await self._failed()
-            raise Unknown(str(exc)) from None
+            raise OutcomeUnknownError(str(exc)) from None
         if status in (429, 503):
             if status == 503:
                 await self._failed()
-            raise Unavailable(f"{status} {path}")
+            raise UnavailableError(f"{status} {path}")
         self.last_ok = time.monotonic()
         await self.patience.seen(True)
         if self.history is not None and not doubtful and status in (200, 404, 409):
@@ -306,7 +310,7 @@
         return status, payload
 
     def _shown(self, payload: bytes, name: str, floor: int, wrote: bool) -> None:
-        """Hold the answer against the history: Unknown if it comes from another, or was
+        """Hold the answer against the history: OutcomeUnknownError if it comes from another, or was
         asked for under one that has ended since."""
         assert self.history is not None
         rev = self._decode(payload, _Shown).rev
@@ -316,7 +320,7 @@
             and not self.history.answered(rev, floor, wrote)
             or self.history.doubt
         ):
-            raise Unknown("the records are in doubt")
+            raise OutcomeUnknownError("the records are in doubt")
 
     async def _failed(self) -> None:
         self.last_bad = time.monotonic()
@@ -335,7 +339,7 @@
                 deadline=deadline and deadline.part(time.monotonic(), 0.5),
                 doubtful=doubtful,
             )
-        except Unknown:
+        except OutcomeUnknownError:
             return await self._call("GET", path, deadline=deadline, doubtful=doubtful)
 
     @staticmethod
@@ -344,7 +348,7 @@
         try:
             return msgspec.json.decode(payload, type=kind)
         except msgspec.MsgspecError as exc:
-            raise Unknown(f"malformed answer: {exc}") from None
+            raise OutcomeUnknownError(f"malformed answer: {exc}") from None
 
     async def get(
         self, key: str, deadline: Deadline | None = None, doubtful: bool = False
@@ -353,7 +357,7 @@
         if status == 404:
             return None
         if status != 200:
-            raise Unavailable(f"{status} for {key}")
+            raise UnavailableError(f"{status} for {key}")
         entry: Entry = self._decode(payload, Entry)
         return entry
 
@@ -365,7 +369,7 @@
             path = f"/keys?prefix={prefix}&most=1000" + (f"&since={since}" if since else "")
             status, payload = await self._read(path, doubtful=doubtful)
             if status != 200:
-                raise Unavailable(f"{status} for {prefix}")
+                raise UnavailableError(f"{status} for {prefix}")
             page: _Page = self._decode(payload, _Page)
             first = first or page.rev
             entries += page.items
@@ -406,7 +410,13 @@
         ahead_s: float = 0.0,
         doubtful: bool = False,
     ) -> int:
-        """Apply; the revision. Conflict, NoLease, Unavailable or Unknown otherwise.
+        """Apply a transaction; return its revision.
+
+        Raises:
+            ConflictError: A condition did not hold; nothing was changed.
+            NoLeaseError: The lease that a write names has ended.
+            UnavailableError: It was not executed.
+            OutcomeUnknownError: It may have been executed.
 
         It holds in the history that is acted on, and in no other (`rebuild.history`).
 
@@ -435,20 +445,20 @@
         if status == 409:
             failed = self._decode(payload, _Failed).failed
             if self.history is not None and not doubtful and self.history.failed(failed):
-                raise Unavailable("the records are in doubt", self.timeout_s)
-            raise Conflict(failed)
+                raise UnavailableError("the records are in doubt", self.timeout_s)
+            raise ConflictError(failed)
         if b"no such lease" in payload:
-            raise NoLease
+            raise NoLeaseError
         if status in (400, 413):
-            raise TooLarge(f"{status} {payload[:200]!r}")
-        raise Unavailable(f"{status} {payload[:200]!r}")
+            raise TransactionTooLargeError(f"{status} {payload[:200]!r}")
+        raise UnavailableError(f"{status} {payload[:200]!r}")
 
     async def lease(self, ttl_s: float) -> int:
         status, payload = await self._call(
             "POST", "/leases", {"ttl_ms": int(ttl_s * 1000)}, ahead_s=LEASE_S, doubtful=True
         )
         if status != 200:
-            raise Unavailable(f"{status} for a lease")
+            raise UnavailableError(f"{status} for a lease")
         return int(self._decode(payload, _Lease).id)
 
     async def renew(self, lease: int) -> bool:
@@ -472,9 +482,9 @@
             "GET", path, None, wait_s + self.timeout_s, self.recorder if apart else self.watcher
         )
         if status == 410:
-            raise Compacted
+            raise CompactedError
         if status != 200:
-            raise Unavailable(f"{status} for a watch")
+            raise UnavailableError(f"{status} for a watch")
         log: _Log = self._decode(payload, _Log)
         return log.events, log.rev
 
@@ -505,7 +515,7 @@
         self.asking = False
 
     async def unchanged(self, key: str, rev: int) -> bool:
-        """Unavailable or Unknown when there is no answer."""
+        """UnavailableError or OutcomeUnknownError when there is no answer."""
         batch = self.next
         batch.revs[key] = rev
         if not self.asking:
@@ -513,7 +523,7 @@
             await curio.spawn(self._ask, daemon=True)
         await batch.over.wait()
         if batch.error is not None:
-            raise Unavailable(str(batch.error))
+            raise UnavailableError(str(batch.error))
         return key not in batch.changed
 
     async def _ask(self) -> None:
@@ -541,7 +551,7 @@
                 until = Deadline.within(time.monotonic(), 2 * self.timeout_s)
                 try:
                     await self.store.commit(txn, until.part(time.monotonic(), 0.5))
-                except Unknown:
+                except OutcomeUnknownError:
                     await self.store.commit(txn, until)
-            except Conflict as exc:
+            except ConflictError as exc:
                 batch.changed.update(exc.failed)
--- a/clayport/takeover.py
+++ b/clayport/takeover.py
@@ -12,7 +12,7 @@
 from .membership import Generation
 from .model import Chunk, Job, chunk_size
 from .record_keys import is_anchor
-from .statestore import Entry, Unavailable, Unknown
+from .statestore import Entry, OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
     from .server import Controller
@@ -47,7 +47,7 @@
             try:
                 await self._load_once(generation)
                 return
-            except (Unavailable, Unknown) as exc:
+            except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=load-failed cause=%s", exc)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
@@ -57,7 +57,7 @@
         """Read the records and begin to serve, unless the generation has moved on.
 
         Raises:
-            Unavailable, Unknown: The state service doesn't answer.
+            UnavailableError, OutcomeUnknownError: The state service doesn't answer.
             MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
         """
         core = self.core
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from clayport.dispatch import Evicted
+from clayport.dispatch import EpochEndedError
 from clayport.jobs import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, HomeJob
 from clayport.limits import Deadline
 from clayport.membership import COUNTER_BITS, Generation, should_leave
@@ -23,11 +23,11 @@
     LEASE_S,
     URGENT_S,
     Bucket,
-    Conflict,
+    ConflictError,
     Lookups,
     StateStore,
     Txn,
-    Unavailable,
+    UnavailableError,
 )
 
 from .test_dispatch import Home
@@ -393,9 +393,9 @@
             assert not txn.writes
             await curio.sleep(0)
             if "b" in txn.when:
-                raise Conflict(["b"])
+                raise ConflictError(["b"])
             if "x" in txn.when:
-                raise Unavailable("503")
+                raise UnavailableError("503")
             return 1
 
     async def main() -> list[Any]:
@@ -406,7 +406,7 @@
             await curio.sleep(0)
         later = [await curio.spawn(lookups.unchanged, k, 1) for k in "abca"]
         answers = [await first.join(), *[await t.join() for t in later]]
-        with pytest.raises(Unavailable):
+        with pytest.raises(UnavailableError):
             await lookups.unchanged("x", 1)
         return answers
 
@@ -437,7 +437,7 @@
     store.requests.level = -100.0
 
     async def main() -> None:
-        with pytest.raises(Unavailable, match="too much"):
+        with pytest.raises(UnavailableError, match="too much"):
             await store.get("c/live/j-000001", Deadline.within(time.monotonic(), 0.5))
 
     before = store.requests.level
@@ -505,7 +505,7 @@
             old.chunks[0].assigned[2] = (1, "m1")
             old.event("m1", 2, 1, "exited", "stopped", home.now)
         step = c.dispatch._adopt if prepare == "adopt" else c.dispatch._step
-        with pytest.raises(Evicted):
+        with pytest.raises(EpochEndedError):
             curio.run(step, old)
         assert not c.owner.machines["m1"].want
     curio.run(c.dispatch._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -77,7 +77,7 @@
             async def serve() -> Any:
                 other = self.controllers.get(peer.label)
                 if other is None:
-                    raise http.NotSent("refused")
+                    raise http.NotSentError("refused")
                 reply, answer = await other.peer_requests.answer(kind, body)
                 raw = peerwire.encode(reply, 1, answer)
                 return peerwire.decode_body(reply, raw[peerwire.HEADER.size :])
@@ -88,7 +88,7 @@
                 if peerwire.decode_header(frame[: peerwire.HEADER.size])[0] in self.doubled:
                     # Sent twice, since the first was long without an answer.
                     await curio.spawn(self._later(serve), daemon=True)
-            except (http.NoAnswer, curio.TaskTimeout) as exc:
+            except (http.NoAnswerError, curio.TaskTimeout) as exc:
                 raise peers.PeerError(str(exc)) from None
             peer.heard = self.clock()
             return answer
--- a/tests/world/machine.py
+++ b/tests/world/machine.py
@@ -160,7 +160,7 @@
             try:
                 status, raw = await w.deliver(self.name, target, "POST", "/v1/report", body, 4.0)
                 answer = json.loads(raw)
-            except http.NoAnswer:
+            except http.NoAnswerError:
                 status, answer = 0, {}
             due = w.clock() + w.rng.uniform(0.75, 1.25)
             if status == 200:
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -61,43 +61,43 @@
         if target == "state" and hold and self.late_writes and self.rng.random() < self.late_writes:
             await curio.spawn(self._later(serve, (2.0, 12.0)), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("carried out late")
+            raise http.NoAnswerError("carried out late")
         if target == "state" and hold and self.reaches(source, target) and self.hit("lost_answers"):
             await curio.sleep(delay)
             serve()
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("only the answer is lost")
+            raise http.NoAnswerError("only the answer is lost")
         if target in self.workers and hold and self.hit("late_commands"):
             await curio.spawn(self._later(serve, (2.0, 16.0)), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("held up")
+            raise http.NoAnswerError("held up")
         if self.link_s:
             await curio.sleep(self.rng.uniform(0.0, self.link_s))
         if source in self.mute and target in self.labels:
             await curio.sleep(timeout_s)  # no connection, so nothing is held either
-            raise http.NoAnswer("mute")
+            raise http.NoAnswerError("mute")
         if not self.reaches(source, target):
             if hold and self.rng.random() < 0.3:
                 await curio.spawn(self._later(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("cut")
+            raise http.NoAnswerError("cut")
         if source in self.held and hold and target in self.workers:
             await curio.spawn(self._later(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("held")
+            raise http.NoAnswerError("held")
         await curio.sleep(delay)
         lost = self.rng.random() < self.loss
         if lost and self.rng.random() < 0.5:
             if hold:
                 await curio.spawn(self._later(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("lost")
+            raise http.NoAnswerError("lost")
         answer = serve()
         if hasattr(answer, "__await__"):
             answer = await answer
         if lost or not self.reaches(source, target) or source in self.deaf:
             await curio.sleep(timeout_s)
-            raise http.NoAnswer("answer lost")
+            raise http.NoAnswerError("answer lost")
         await curio.sleep(delay)
         return answer
 
@@ -109,7 +109,7 @@
             answer = serve()
             if hasattr(answer, "__await__"):
                 await answer
-        except http.NoAnswer:
+        except http.NoAnswerError:
             pass
 
     async def deliver(
@@ -120,7 +120,7 @@
         async def serve() -> tuple[int, bytes]:
             controller = self.controllers.get(label)
             if controller is None:
-                raise http.NotSent("refused")
+                raise http.NotSentError("refused")
             status, raw, _ = await controller.api.handle(method, path, body)
             return status, raw
 
@@ -131,7 +131,7 @@
                 )
                 return answer
         except curio.TaskTimeout:
-            raise http.NoAnswer("slow") from None
+            raise http.NoAnswerError("slow") from None
 
     async def again(self, source: str, body: bytes) -> None:
         """A copy of a report arrives late, at any controller; nobody hears the answer."""
@@ -140,7 +140,7 @@
             await self.deliver(
                 source, self.rng.choice(self.labels), "POST", "/v1/report", body, 4.0
             )
-        except http.NoAnswer:
+        except http.NoAnswerError:
             pass
 
     async def hand_over_copies(self, late_s: tuple[float, float]) -> None:
@@ -161,7 +161,7 @@
     async def _copy(self, source: str, label: str, body: bytes) -> None:
         try:
             await self.deliver(source, label, "POST", "/v1/report", body, 4.0)
-        except http.NoAnswer:
+        except http.NoAnswerError:
             pass
 
     def client(self, source: str, host: str) -> Any:
@@ -191,14 +191,14 @@
                         return world.cloud(method, path, value)
                     worker = world.workers.get(host)
                     if worker is None or not worker.alive():
-                        raise http.NoAnswer("dead")
+                        raise http.NoAnswerError("dead")
                     return world.later_if_hung(worker, method, path, value)
 
                 try:
                     status, answer = await world._exchange(
                         source, host, serve, timeout_s, method == "POST" and path != "/leases"
                     )
-                except http.NoAnswer:
+                except http.NoAnswerError:
                     raise
                 return status, json.dumps(answer).encode()
 
@@ -209,7 +209,7 @@
 
     def later_if_hung(self, worker: Worker, method: str, path: str, value: Any) -> Any:
         if self.clock() < worker.hung_until or worker.name in self.deaf:
-            raise http.NoAnswer("hung")
+            raise http.NoAnswerError("hung")
         return worker.handle(method, path, value)
 
     async def watch(self, source: str, path: str) -> tuple[int, bytes]:
@@ -219,7 +219,7 @@
             await curio.sleep(0.01)
             if not self.reaches(source, "state"):
                 await curio.sleep(2.0)
-                raise http.NoAnswer("cut")
+                raise http.NoAnswerError("cut")
             self.state.expire(self.clock())
             if self.clock() >= self.state.down_until and source not in self.state.refused:
                 found = self.state.changes(args["prefix"], int(args["since"]))
@@ -229,4 +229,4 @@
                         await curio.sleep(self.rng.uniform(0.0, self.news_late_s))
                     return 200, answer
             elif self.clock() >= end:
-                raise http.NoAnswer("outage")
+                raise http.NoAnswerError("outage")
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -76,7 +76,7 @@
                 "users", label, method, path, msgspec.json.encode(value), 5.0
             )
             return status, json.loads(raw)
-        except http.NoAnswer:
+        except http.NoAnswerError:
             return 0, {}
 
     async def submit(self, job: dict[str, Any], run_s: float) -> None:
