--- a/bench/capacity/model.py
+++ b/bench/capacity/model.py
@@ -143,7 +143,7 @@
         return self.workers / max(1, self.layout.controllers - self.layout.processes)
 
     def load_seconds(self) -> float:
-        """Processor time for each controller to take over its share in a new generation."""
+        """Processor time for each controller to take over its share in a new epoch."""
         whole = self.slopes.median(f"load.{LOADED_JOBS}_live_jobs.seconds")
         return self.live_jobs * whole / LOADED_JOBS / MEASURED_CONTROLLERS
 
@@ -285,7 +285,7 @@
 
 
 def the_rest(mixes: list[Demand]) -> list[Row]:
-    """Memory, what a new generation loads, and what is asked of the cloud."""
+    """Memory, what a new epoch loads, and what is asked of the cloud."""
     lost = (SIZE.failures_a_day + SIZE.replacements_a_day) / DAY_S
     return [
         row(
@@ -298,7 +298,7 @@
         ),
         row(
             "controller",
-            "processor time to load a generation",
+            "processor time to load an epoch",
             "s",
             (d.load_seconds() for d in mixes),
             LIMITS.controller_lease_s,
@@ -306,7 +306,7 @@
         ),
         row(
             "state service",
-            "time to read all chunks for a generation",
+            "time to read all chunks for an epoch",
             "s",
             (d.load_read_seconds() for d in mixes),
             LIMITS.controller_lease_s,
@@ -394,7 +394,7 @@
         "machines returned and rented an hour": lost / 24,
         "tasks started again a day": lost * SIZE.running_tasks / SIZE.workers,
         "controllers that end a day (machines alike)": ends,
-        "generations a day (two for each end)": 2 * ends,
+        "epochs a day (two for each end)": 2 * ends,
         "machines of a zone": zone,
         "tasks of a zone": tasks,
         "seconds to return a zone's machines": zone
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -14,7 +14,7 @@
 from bench import passes, placement
 from clayport import peerwire
 from clayport.cancellations import Horizon, Promises
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.peers import Peer
 from clayport.server import Controller
 
@@ -105,7 +105,7 @@
 
     async def answer(bodies: list[bytes]) -> None:
         for body in bodies:
-            frame = peerwire.encode(peerwire.REPORT, 1, (core.generation.number, body))
+            frame = peerwire.encode(peerwire.REPORT, 1, (core.epoch.number, body))
             values = peerwire.decode_body(peerwire.REPORT, frame[size:])
             kind, told = await core.peer_requests.answer(peerwire.REPORT, values)
             peerwire.encode(kind, 1, told)
@@ -131,7 +131,7 @@
 
 
 def pair() -> tuple[Controller, Controller]:
-    """Two controllers of one generation, each reached by the other without a network."""
+    """Two controllers of one epoch, each reached by the other without a network."""
     cores = []
     for label in ("host-0", "host-1"):
         core = fixtures.controller()
@@ -139,8 +139,8 @@
         other = "host-1" if label == "host-0" else "host-0"
         core.peers[other] = Peer(other, "127.0.0.1", 1, 1.0)
         core.promises = Promises(core.peers, core.settings.cluster.workers.lease_s, 0.0)
-        core.generation = Generation(1, {"host-0": "x", "host-1": "y"}, 1)
-        core.owner.begin(core.generation, label)
+        core.epoch = Epoch(1, {"host-0": "x", "host-1": "y"}, 1)
+        core.owner.begin(core.epoch, label)
         core.picture.begin()
         cores.append(core)
     return cores[0], cores[1]
@@ -192,7 +192,7 @@
     numbers = (
         number
         for number in itertools.count()
-        if owner.generation.place(f"i-{number:06d}") == owner.label
+        if owner.epoch.place(f"i-{number:06d}") == owner.label
     )
     return [fixtures.Reporter(owner, number, 8) for number in itertools.islice(numbers, count)]
 
@@ -285,8 +285,8 @@
     `home` is the controller that all jobs belong to."""
     core = fixtures.controller()
     core.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
-    core.generation = Generation(1, {home: "x"}, 1)
-    core.owner.begin(core.generation, "host-0")
+    core.epoch = Epoch(1, {home: "x"}, 1)
+    core.owner.begin(core.epoch, "host-0")
     make(core, 0)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -259,7 +259,7 @@
 
 
 class Load:
-    """All controllers begin a generation with live jobs of ten assigned tasks each."""
+    """All controllers begin an epoch with live jobs of ten assigned tasks each."""
 
     def __init__(self, live_jobs: int, patch: pytest.MonkeyPatch) -> None:
         self.live_jobs, self.patch = live_jobs, patch
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -19,7 +19,7 @@
 
 from clayport.config import parse
 from clayport.jobs import HomeJob
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.server import Controller
 
 from . import fleets
@@ -28,7 +28,7 @@
 
 
 def controller() -> Controller:
-    """One with the settings of a fleet, alone in its generation."""
+    """One with the settings of a fleet, alone in its epoch."""
     cluster = {
         "size": 1,
         "zones": ["a", "b"],
@@ -66,8 +66,8 @@
     )
     core.types = fleets.TYPES
     core.owner.types = {t.name: t for t in fleets.TYPES}
-    core.generation = Generation(1, {"host-0": "x"}, 1)
-    core.owner.begin(core.generation, "host-0")
+    core.epoch = Epoch(1, {"host-0": "x"}, 1)
+    core.owner.begin(core.epoch, "host-0")
     return core
 
 
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -5,7 +5,7 @@
 The tests' world with a fleet's limits: machines are up, each with its share of the jobs' tasks
 running (`--tasks` of each job), records and controllers as they would be. Then the state
 service loses all of it in an outage of 3 s, in which some tasks end. Printed: how long until
-the records are whole and the generation begun, until tasks are launched again, what the write
+the records are whole and the epoch begun, until tasks are launched again, what the write
 limit alone would take, the processor time that it took (all controllers and the world, one
 process), the longest that any machine went without an answer that renewed its lease, and rules
 broken. `--ends` has all controllers end with the loss: the machines are asked then.
@@ -139,7 +139,7 @@
     await curio.sleep(10.0)
     records, launches = len(world.state.keys), world.launches
     print(f"lost now: {records} records")
-    number = max(c.generation.number for c in world.controllers.values())
+    number = max(c.epoch.number for c in world.controllers.values())
     began, used = clock(), time.process_time()
     world.state.outage(began, 3.0)
     world.state.lose(1e9)
@@ -166,7 +166,7 @@
     await until(
         clock,
         lambda: world.state.keys.get("c/lineage", ({"state": ""},))[0]["state"] == "whole"
-        and any(c.generation.number > number for c in world.controllers.values()),
+        and any(c.epoch.number > number for c in world.controllers.values()),
         3000.0,
     )
     whole = clock() - began
--- a/clayport/api.py
+++ b/clayport/api.py
@@ -156,11 +156,11 @@
             done = known[0].tasks if status == "done" and known else 0
             return {**await self._over(job, status, deadline), "done": done, "running": 0}
         counts = core.dispatch.counts(job)
-        home = core.generation.place(job)
+        home = core.epoch.place(job)
         if counts is None and home in core.peers and core.member:
             try:
                 ok, done, running = await core.peers[home].call(
-                    peerwire.COUNTS, (core.generation.number, job), POLL_S / 4
+                    peerwire.COUNTS, (core.epoch.number, job), POLL_S / 4
                 )
                 counts = (done, running) if ok else None
             except PeerError:
--- a/clayport/dispatch.py
+++ b/clayport/dispatch.py
@@ -13,7 +13,7 @@
 from . import peerwire
 from .jobs import (
     CLEAR,
-    GENERATION_KEY,
+    EPOCH_KEY,
     KILL,
     LATER,
     OK,
@@ -52,7 +52,7 @@
 
 
 class EpochEndedError(Exception):
-    """The generation has moved on: this routine's work is no longer ours."""
+    """The epoch has moved on: this routine's work is no longer ours."""
 
 
 class Dispatch:
@@ -79,19 +79,19 @@
     # -- one job ---------------------------------------------------------
 
     async def drive(self, hj: HomeJob) -> None:
-        """The routine of one job, for as long as this generation lasts."""
+        """The routine of one job, for as long as this epoch lasts."""
         core = self.core
-        # A name of this generation's own: the previous routine of the same job may
+        # A name of this epoch's own: the previous routine of the same job may
         # end later, and must neither take our signals nor remove what we wait for
         # (a cancelled job's kill was once never sent because of that).
         name = hj.name
-        gen = core.generation
+        epoch = core.epoch
         attempt = core.store.begin()
         try:
             await self._adopt(hj)
-            while core.generation is gen:
+            while core.epoch is epoch:
                 try:
-                    while core.generation is gen and await self._step(hj):
+                    while core.epoch is epoch and await self._step(hj):
                         await core.flush()
                     attempt.served()
                 except (UnavailableError, OutcomeUnknownError) as exc:
@@ -100,7 +100,7 @@
                     continue
                 except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                     # A malformed value of the state service: the job waits, and tries
-                    # again, instead of losing its routine for this generation.
+                    # again, instead of losing its routine for this epoch.
                     log.error("job=%s event=malformed cause=%r", hj.job.id, exc)
                     await curio.sleep(core.jitter(core.ttl_s))
                     continue
@@ -201,7 +201,7 @@
         log.info(
             "job=%s generation=%d event=narrow chunks=%d size=%d",
             hj.job.id,
-            hj.generation,
+            hj.epoch,
             len(hj.chunks),
             hj.size,
         )
@@ -239,19 +239,19 @@
             rev = await self._settle(txn, self._fence(hj), CANCEL_S)
         except ConflictError:
             return
-        log.info("job=%s generation=%d event=cancelled cause=prereq", job, hj.generation)
+        log.info("job=%s generation=%d event=cancelled cause=prereq", job, hj.epoch)
         core.mirror.note_end(job, "cancelled", time.time(), rev)
 
     def _fence(self, hj: HomeJob) -> int:
-        """The condition of the job's commits: the generation that it was loaded under.
+        """The condition of the job's commits: the epoch that it was loaded under.
 
-        Not whichever holds now. The routine of the generation before, delayed by a peer
+        Not whichever holds now. The routine of the epoch before, delayed by a peer
         that had crashed, once went on under the next one beside its successor; both used
         the same attempt number, and tasks ran twice.
         """
-        if not self.core.serving or self.core.generation.number != hj.generation:
+        if not self.core.serving or self.core.epoch.number != hj.epoch:
             raise EpochEndedError
-        return self.core.generation.rev
+        return self.core.epoch.rev
 
     async def _settle(self, txn: Txn, fence: int, ahead_s: float = 0.0) -> int:
         """Commit until the outcome is certain; ConflictError, or UnavailableError if never sent.
@@ -263,7 +263,7 @@
         unsure = False
         attempt = self.core.store.begin()
         while True:
-            if self.core.generation.rev != fence:
+            if self.core.epoch.rev != fence:
                 raise EpochEndedError
             try:
                 return await self.core.store.commit(txn, ahead_s=ahead_s)
@@ -271,7 +271,7 @@
                 unsure = True
             except TransactionTooLargeError:
                 if unsure:
-                    raise ConflictError([k for k in txn.when if k != GENERATION_KEY]) from None
+                    raise ConflictError([k for k in txn.when if k != EPOCH_KEY]) from None
                 raise
             except UnavailableError:
                 if not unsure:
@@ -281,14 +281,14 @@
     async def _start(self, hj: HomeJob, starts: list[tuple[int, str]]) -> None:
         core, job = self.core, hj.job
         fence = self._fence(hj)
-        gen = core.generation
+        epoch = core.epoch
         if await self._charge(job, 1 if job.kind != GANG else len(starts)) is None:
             return
         if not hj.filling:
             hj.attempt += 1
         attempt = hj.attempt
         granted = await self._reserve(hj, starts, attempt)
-        if core.generation is not gen:
+        if core.epoch is not epoch:
             raise EpochEndedError
         declined = [s for s in starts if s not in granted]
         self.core.picture.asc.count(len(granted), len(declined))
@@ -338,14 +338,14 @@
         granted: list[tuple[int, str]] = []
         task = hj.job.id
         for owner, items in self._by_owner((m, n) for n, m in starts).items():
-            if core.generation.number != hj.generation:
+            if core.epoch.number != hj.epoch:
                 raise EpochEndedError
             if owner == core.label:
                 flags = core.owner.reserve(hj.job, items, attempt, time.monotonic())
             else:
                 try:
                     ok, rows = await core.peers[owner].call(
-                        peerwire.RESERVE, (core.generation.number, task, attempt, items)
+                        peerwire.RESERVE, (core.epoch.number, task, attempt, items)
                     )
                     flags = [f for (f,) in rows] if ok else [False] * len(items)
                 except (PeerError, KeyError):
@@ -356,7 +356,7 @@
     def _by_owner(self, items: Iterable[tuple[Any, ...]]) -> dict[str, list[tuple[Any, ...]]]:
         found: dict[str, list[tuple[Any, ...]]] = {}
         for item in items:
-            found.setdefault(self.core.generation.place(item[0]), []).append(item)
+            found.setdefault(self.core.epoch.place(item[0]), []).append(item)
         return found
 
     async def _charge(self, job: Job, count: int) -> dict[str, tuple[dict[str, float], int]] | None:
@@ -389,7 +389,7 @@
         log.info(
             "job=%s generation=%d event=launch tasks=%d attempt=%d",
             hj.job.id,
-            core.generation.number,
+            core.epoch.number,
             len(items),
             items[0][2],
         )
@@ -397,7 +397,7 @@
             waiting = part
             attempt = core.asks(owner)
             while waiting:
-                if core.generation.rev != fence:
+                if core.epoch.rev != fence:
                     raise EpochEndedError
                 if hj.ended:
                     # Cancelled between the commit and here: judged by reports,
@@ -411,7 +411,7 @@
                 else:
                     try:
                         ok, rows = await core.peers[owner].call(
-                            peerwire.LAUNCH, (core.generation.number, waiting)
+                            peerwire.LAUNCH, (core.epoch.number, waiting)
                         )
                         if not ok:
                             raise PeerError("not the owner")
@@ -440,7 +440,7 @@
         """Kill or clear through the owners. What gets lost is asked again, or expires."""
         core = self.core
         for owner, part in self._by_owner(items).items():
-            if core.generation.number != hj.generation:
+            if core.epoch.number != hj.epoch:
                 return  # its successor may mean something else by the same attempt
             if owner == core.label:
                 core.owner.stop(part)
@@ -448,28 +448,28 @@
                     core.fleet.poke(machine)
                 continue
             try:
-                await core.peers[owner].call(peerwire.STOP, (core.generation.number, part))
+                await core.peers[owner].call(peerwire.STOP, (core.epoch.number, part))
             except (PeerError, KeyError):
                 pass
 
     async def _adopt(self, hj: HomeJob, only: Container[int] | None = None) -> None:
         """Have committed assignments judged by their owners' reports."""
         core = self.core
-        gen = core.generation
-        if gen.number != hj.generation:
+        epoch = core.epoch
+        if epoch.number != hj.epoch:
             raise EpochEndedError
         for owner, part in self._by_owner(
             (m, f"{hj.job.id}/{n}", a) for n, a, m in hj.assignments() if only is None or n in only
         ).items():
             attempt = core.asks(owner)
             while True:
-                if core.generation is not gen:
+                if core.epoch is not epoch:
                     raise EpochEndedError
                 if owner == core.label:
                     core.owner.adopt(part, time.monotonic())
                     break
                 try:
-                    if (await core.peers[owner].call(peerwire.ADOPT, (gen.number, part)))[0]:
+                    if (await core.peers[owner].call(peerwire.ADOPT, (epoch.number, part)))[0]:
                         break
                 except (PeerError, KeyError):
                     pass
@@ -502,7 +502,7 @@
         if over:
             hj.ended = "done"
             core.mirror.note_end(hj.job.id, "done", at)
-            log.info("job=%s generation=%d event=done", hj.job.id, core.generation.number)
+            log.info("job=%s generation=%d event=done", hj.job.id, core.epoch.number)
         await self._stop(
             hj, [(where[n], f"{hj.job.id}/{n}", a, 0.0, True) for n, a in cleared if where[n]]
         )
@@ -512,7 +512,7 @@
         """Somebody else changed something: read what holds now."""
         core = self.core
         log.info("job=%s event=conflict keys=%s", hj.job.id, exc.failed)
-        if GENERATION_KEY in exc.failed:
+        if EPOCH_KEY in exc.failed:
             core.suspect_stale()
             await curio.sleep(core.jitter(core.ttl_s / 12))
             return
@@ -521,7 +521,7 @@
         ours = [k for k in exc.failed if k.startswith(f"run/{hj.job.id}/")]
         if ours:
             entries, _ = await core.store.scan(f"run/{hj.job.id}/")
-            if core.generation.rev != fence:
+            if core.epoch.rev != fence:
                 raise EpochEndedError
             revs = {e.key: e.rev for e in entries}
             # Nobody but this routine writes them, or removes them while the job is live.
@@ -550,11 +550,11 @@
         most = max(1, self.core.bounds.txn_ops - 2)
         while left:
             part, left = left[:most], left[most:]
-            txn = Txn().require(GENERATION_KEY, self._fence(hj))
+            txn = Txn().require(EPOCH_KEY, self._fence(hj))
             for index, _ in part:
                 txn.delete(hj.key(index))
             try:
-                await self._settle(txn, self.core.generation.rev)
+                await self._settle(txn, self.core.epoch.rev)
             except ConflictError:
                 return
 
--- a/clayport/fencing.py
+++ b/clayport/fencing.py
@@ -30,7 +30,7 @@
 
 
 class Fences:
-    """Returns on the member of the generation that talks to the cloud.
+    """Returns on the member of the epoch that talks to the cloud.
 
     What is asked for while a request waits for its turn goes with it, so a fence takes as
     long as one request, however many there are.
@@ -55,15 +55,15 @@
             raise CloudError(wait.error)
 
     async def _send(self) -> None:
-        gen = self.core.generation
+        epoch = self.core.epoch
         try:
             while self.waiting:
                 await self.core.cloud.turn()
-                if self.core.generation is not gen:
+                if self.core.epoch is not epoch:
                     # Machines have new owners, who may have heard them meanwhile.
                     waits, self.waiting = self.waiting, {}
-                    await self._told(waits, "the generation has moved on")
-                    gen = self.core.generation
+                    await self._told(waits, "the epoch has moved on")
+                    epoch = self.core.epoch
                     continue
                 await self._return(list(self.waiting)[:RETURN_MOST])
         finally:
--- a/clayport/fleet.py
+++ b/clayport/fleet.py
@@ -17,7 +17,7 @@
 from .config import ConfigError, endpoint
 from .fencing import Fences
 from .jobs import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
-from .membership import COUNTER_BITS, Generation
+from .membership import TOKEN_COUNTER_BITS, Epoch
 from .model import Job, Report, split_task
 from .peers import PeerError
 from .workers import BATCH, GONE, Key, Machine
@@ -30,18 +30,18 @@
 Told = tuple[str, str, int, str, str, bool]
 
 
-def void_token(generation: Generation, token: int) -> int:
-    """A token above all that an owner gave out in a generation, and below the next one's.
+def void_token(epoch: Epoch, token: int) -> int:
+    """A token above all that an owner gave out in an epoch, and below the next one's.
 
-    For machines whose owner has ended. In an outage no generation follows it, the others keep
+    For machines whose owner has ended. In an outage no epoch follows it, the others keep
     the machine's session alive, and a launch that was held on its way started a task of a job
-    that had long been cancelled. The machine may not have seen any token of the generation
-    yet (the answer to its report was lost), or one of a later generation, which is not ours
+    that had long been cancelled. The machine may not have seen any token of the epoch
+    yet (the answer to its report was lost), or one of a later epoch, which is not ours
     to void.
     """
-    if token >> COUNTER_BITS > generation.number:
+    if token >> TOKEN_COUNTER_BITS > epoch.number:
         return token
-    return max(token, generation.base_token | 1 << (COUNTER_BITS - 1))
+    return max(token, epoch.first_token | 1 << (TOKEN_COUNTER_BITS - 1))
 
 
 class Fleet:
@@ -75,7 +75,7 @@
 
     def _kill_cancelled(self, report: Report, orders: list[dict[str, Any]]) -> None:
         """Have what is known to be cancelled stopped by whoever answers the worker: the job's
-        home may not be there, or belong to a generation that can't be loaded, and a kill of
+        home may not be there, or belong to an epoch that can't be loaded, and a kill of
         such a task is right under any token."""
         ordered = {(o["piece"], o["try"]) for o in orders if o["verb"] == "kill"}
         orders += [
@@ -89,7 +89,7 @@
     def _cancelled(self, report: Report, job: str) -> bool:
         """Whether a job with a task on a machine is known to be over. One that is neither
         live nor known to have ended is, where all that was launched there was launched under
-        generations before ours: we have read what was live since."""
+        epochs before ours: we have read what was live since."""
         core = self.core
         return core.over(job) or (
             core.recovery is None and self._stranger(job) and self._before_us(report)
@@ -99,16 +99,16 @@
         return self.core.state_known and job not in self.core.live and job not in self.core.ended
 
     def _before_us(self, report: Report) -> bool:
-        gen, number = self.core.generation, report.token >> COUNTER_BITS
-        return number < gen.number or (
-            number == gen.number and gen.place(report.machine) == self.core.label
+        epoch, number = self.core.epoch, report.token >> TOKEN_COUNTER_BITS
+        return number < epoch.number or (
+            number == epoch.number and epoch.place(report.machine) == self.core.label
         )
 
     async def _report(self, report: Report, body: bytes) -> tuple[int, dict[str, Any]]:
         core = self.core
         now = time.monotonic()
-        gen = core.generation
-        owner = gen.place(report.machine)
+        epoch = core.epoch
+        owner = epoch.place(report.machine)
         if core.superseded(now) and core.state_lost(now):
             return 421, {}
         if not core.may_renew(now):
@@ -130,7 +130,7 @@
             # reach it, so its report is passed on.
             if peer is not None and core.member:
                 try:
-                    status, raw = await peer.call(peerwire.REPORT, (gen.number, body))
+                    status, raw = await peer.call(peerwire.REPORT, (epoch.number, body))
                     if status == 200:
                         return 200, msgspec.json.decode(raw)
                 except (PeerError, msgspec.DecodeError):
@@ -138,23 +138,23 @@
         if core.may_renew(time.monotonic()) and not self._unsure(report):
             # No orders but kills: this starts nothing and takes nothing from whoever is
             # entitled. What an owner that has ended left on its way is void.
-            ended = self._owner_ended(gen, owner)
-            token = void_token(gen, report.token) if ended else report.token
+            ended = self._owner_ended(epoch, owner)
+            token = void_token(epoch, report.token) if ended else report.token
             return 200, {"epoch": token, "orders": []}
         if owner and owner != core.label:
             return 421, {"upstream": owner}
         return 503, {}
 
-    def _owner_ended(self, generation: Generation, owner: str) -> bool:
-        """Whether the process that a generation names as the owner is known to have ended:
+    def _owner_ended(self, epoch: Epoch, owner: str) -> bool:
+        """Whether the process that an epoch names as the owner is known to have ended:
         another one has answered in its place. One that answered before we knew of the
-        generation may be its predecessor."""
-        horizon, named = self.core.horizon, generation.members.get(owner)
+        epoch may be its predecessor."""
+        horizon, named = self.core.horizon, epoch.members.get(owner)
         heard = horizon.incarnations.get(owner)
         return (
-            generation is self.core.generation
+            epoch is self.core.epoch
             and bool(named and heard and named != heard)
-            and horizon.asked_at[owner] > self.core.generation_at
+            and horizon.asked_at[owner] > self.core.epoch_started_at
         )
 
     def _unsure(self, report: Report) -> bool:
@@ -184,7 +184,7 @@
             log.info(
                 "machine=%s generation=%d event=owned type=%s zone=%s spot=%s",
                 m.name,
-                core.generation.number,
+                core.epoch.number,
                 m.type,
                 m.zone,
                 m.spot,
@@ -237,11 +237,11 @@
         if m.busy and not marked:
             return
         m.busy = True
-        fence = core.generation.number
+        fence = core.epoch.number
         try:
             while (
                 m.orders
-                and core.generation.number == fence
+                and core.epoch.number == fence
                 and core.serving
                 and core.may_renew(time.monotonic())
             ):
@@ -255,12 +255,12 @@
                     status, raw = await client.request("POST", "/do", body, self.command_s)
                 except http.NoAnswerError as exc:
                     log.info("machine=%s event=unanswered %s", m.name, exc)
-                    if core.generation.number == fence:
+                    if core.epoch.number == fence:
                         core.owner.unanswered(
                             m, launches, not isinstance(exc, http.NotSentError), time.monotonic()
                         )
                     return
-                if core.generation.number != fence:
+                if core.epoch.number != fence:
                     return
                 if status == 200:
                     core.owner.answered(m, orders, launches)
@@ -294,7 +294,7 @@
     # -- telling homes ---------------------------------------------------
 
     def emit(self, job: str, event: Told) -> None:
-        home = self.core.generation.place(job)
+        home = self.core.epoch.place(job)
         box = self.outboxes.setdefault(home, OrderedDict())
         box[event[:3]] = event
         self.core.signal(f"outbox {home}")
@@ -307,19 +307,19 @@
             box = self.outboxes.setdefault(home, OrderedDict())
             attempt = core.asks(home)
             while box and core.serving:
-                gen = core.generation
+                epoch = core.epoch
                 batch = [box.popitem(last=False)[1] for _ in range(min(len(box), 500))]
                 try:
                     if home == core.label:
                         ok, verdicts = True, core.dispatch.told(batch)
                     else:
                         ok, packed = await core.peers[home].call(
-                            peerwire.STATES, (gen.number, batch)
+                            peerwire.STATES, (epoch.number, batch)
                         )
                         verdicts = [v for (v,) in packed]
                 except (PeerError, KeyError):
                     ok, verdicts = False, []
-                if core.generation is not gen:
+                if core.epoch is not epoch:
                     break
                 if not ok or len(verdicts) != len(batch):
                     for event in batch:
@@ -378,9 +378,9 @@
     async def _evacuate(self, m: Machine, drain: bool) -> None:
         """One replica at a time, each only while its home has another place for it."""
         core = self.core
-        gen = core.generation
+        epoch = core.epoch
         try:
-            while core.generation is gen and core.serving and m.notice_at is None:
+            while core.epoch is epoch and core.serving and m.notice_at is None:
                 replicas = [r for r in core.owner.replicas(m) if r[0] not in m.kills]
                 kind = core.owner.types.get(m.type)
                 if kind is None or not replicas:
@@ -405,14 +405,14 @@
     async def _movable(self, m: Machine, key: Key, job: Job, drain: bool) -> bool:
         core = self.core
         number = split_task(key[0])[1]
-        home = core.generation.place(job.id)
+        home = core.epoch.place(job.id)
         if home == core.label:
             return core.placer.movable(job.id, number, m.name, drain)
         try:
             return bool(
                 (
                     await core.peers[home].call(
-                        peerwire.MOVE, (core.generation.number, job.id, number, m.name, drain)
+                        peerwire.MOVE, (core.epoch.number, job.id, number, m.name, drain)
                     )
                 )[0]
             )
@@ -455,7 +455,7 @@
 
     async def _fence(self, m: Machine) -> None:
         core = self.core
-        gen = core.generation
+        epoch = core.epoch
         try:
             # An owner that has not heard the machine yet knows its address from the
             # picture or the list; with none, silence alone is no ground to return a
@@ -470,22 +470,22 @@
                 and time.monotonic() - m.heard < core.settings.cluster.workers.cancel_s / 2
             ):
                 return
-            answers = bool(address) and await self._answers(m.name, address, gen.members)
-            if core.generation is not gen or not core.serving:
+            answers = bool(address) and await self._answers(m.name, address, epoch.members)
+            if core.epoch is not epoch or not core.serving:
                 return
             if not self._useless(m) and (answers or time.monotonic() - m.heard < self.silent_s):
                 return
             log.info(
                 "machine=%s generation=%d event=fence cause=silent tasks=%d",
                 m.name,
-                gen.number,
+                epoch.number,
                 len(m.want),
             )
-            if gen.provisioner == core.label:
+            if epoch.provisioner == core.label:
                 await self.fences.fence(m.name)
             else:
-                await core.peers[gen.provisioner].call(
-                    peerwire.FENCE, (gen.number, m.name, "silent"), 10 * self.command_s
+                await core.peers[epoch.provisioner].call(
+                    peerwire.FENCE, (epoch.number, m.name, "silent"), 10 * self.command_s
                 )
         except (PeerError, CloudError, KeyError) as exc:
             log.info("machine=%s event=not-fenced cause=%s", m.name, exc)
--- a/clayport/heartbeats.py
+++ b/clayport/heartbeats.py
@@ -94,27 +94,27 @@
     def _heard(self, peer: Peer, number: int, state_ok: bool, room_rev: int) -> None:
         core = self.core
         peer.heard = time.monotonic()
-        peer.state_ok, peer.generation = state_ok, number
+        peer.state_ok, peer.epoch = state_ok, number
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
             if core.picture.starved:
                 core.signal("starved")
-        if number > core.generation.number and core.store.ok:
+        if number > core.epoch.number and core.store.ok:
             core.rescan = True
 
     def sign(self, now: float) -> tuple[str, int, bool, int]:
         """What a heartbeat and its answer begin with.
 
-        It is our label, the generation's number, whether the state service answers us, and
+        It is our label, the epoch's number, whether the state service answers us, and
         the revision of our machines' room.
         """
         core = self.core
-        return core.label, core.generation.number, not core.state_lost(now), core.owner.room_rev
+        return core.label, core.epoch.number, not core.state_lost(now), core.owner.room_rev
 
     def _demand_for(self, label: str) -> list[tuple[str, int, float, str]]:
         """What waits here, for the one member that rents by it; nobody else asks."""
         core = self.core
-        return core.placer.demand() if core.serving and label == core.generation.provisioner else []
+        return core.placer.demand() if core.serving and label == core.epoch.provisioner else []
 
     def promise(self, label: str, known_rev: int, now: float) -> bool:
         """Promise a peer to tell users of no cancellation unknown to it.
--- a/clayport/jobs.py
+++ b/clayport/jobs.py
@@ -21,7 +21,7 @@
 # Machines on which a job has to have failed before it is taken to be at fault itself.
 FAULT_MACHINES = 3
 
-GENERATION_KEY = "c/generation"
+EPOCH_KEY = "c/generation"
 
 
 def live_key(job: str) -> str:
@@ -59,12 +59,12 @@
         size: int,
         now: float,
         ended: str = "",
-        generation: int = 0,
+        epoch: int = 0,
         pause_s: float = 1.0,
         pause_most_s: float = 60.0,
     ) -> None:
-        self.name = f"job {job.id} {generation}"  # the signal of its routine
-        self.generation = generation
+        self.name = f"job {job.id} {epoch}"  # the signal of its routine
+        self.epoch = epoch
         self.job, self.live_rev, self.size = job, live_rev, size
         self.first_size = size
         self.ended = ended  # "", "cancelled" or "done"
@@ -96,7 +96,7 @@
         self.moved_at = now
         self.errors: dict[str, int] = {}  # machine: failures of this job there, the latest last
         self.proven = False  # a task of it has completed
-        self.suspected = False  # found to be at fault under an earlier generation
+        self.suspected = False  # found to be at fault under an earlier epoch
         self.trials = 0  # vain trials since the job was found to be at fault
         self.pause_s, self.pause_most_s = pause_s, pause_most_s
         self.kill_at = 0.0
@@ -187,7 +187,7 @@
     ) -> tuple[Txn, dict[int, Chunk], list[str]]:
         """The next step of a move: narrower chunks as long as there are any to write, then
         the wider ones removed. Nothing to do: no writes."""
-        txn = Txn().require(GENERATION_KEY, fence)
+        txn = Txn().require(EPOCH_KEY, fence)
         chunks: dict[int, Chunk] = {}
         size = 0
         for index, chunk in self.chunks.items():
@@ -424,7 +424,7 @@
         self, fence: int, starts: list[tuple[int, str]], attempt: int
     ) -> tuple[Txn, dict[int, Chunk]]:
         """Commit machine and attempt before any launch, unless the job has ended."""
-        txn = Txn().require(GENERATION_KEY, fence).require(live_key(self.job.id), self.live_rev)
+        txn = Txn().require(EPOCH_KEY, fence).require(live_key(self.job.id), self.live_rev)
         chunks: dict[int, Chunk] = {}
         for number, machine in starts:
             index = number // self.size
@@ -444,7 +444,7 @@
         Answers the transaction, the changed chunks, the tasks covered and
         whether the job is done with it.
         """
-        txn = Txn().require(GENERATION_KEY, fence)
+        txn = Txn().require(EPOCH_KEY, fence)
         chunks: dict[int, Chunk] = {}
         covered: list[int] = []
         finished = size = 0
--- a/clayport/membership.py
+++ b/clayport/membership.py
@@ -1,6 +1,6 @@
-"""Generations: who takes part, who is home to a job and who owns a machine.
+"""Epochs: who takes part, who is home to a job and who owns a machine.
 
-One key holds the generation, and every commit that assigns or ends work names
+One key holds the epoch, and every commit that assigns or ends work names
 its revision. Nothing here is trusted for safety: a controller that is evicted
 while it still believes itself a member can change nothing, since its commits
 fail and its tokens are lower than those of its successors.
@@ -12,15 +12,15 @@
 from hashlib import blake2b
 from typing import Any
 
-# A token is the generation above the owner's own counter for the machine.
-COUNTER_BITS = 24
+# A token is the epoch above the owner's own counter for the machine.
+TOKEN_COUNTER_BITS = 24
 # Places of jobs and machines that are remembered.
-PLACES_MOST = 20_000
+MEMBER_CACHE_MOST = 20_000
 # Ends of a controller within the window that cost it no pause.
-FREE_ENDS = 2
+RESTARTS_WITHOUT_PAUSE = 2
 
 
-class Generation:
+class Epoch:
     """The member list as committed; `rev` fences every commit made under it."""
 
     __slots__ = ("_places", "members", "number", "provisioner", "rev")
@@ -31,23 +31,23 @@
         self._places: dict[str, str] = {}
 
     @staticmethod
-    def parse(value: Any, rev: int) -> Generation:
-        """Build a generation from its record and the record's revision.
+    def parse(value: Any, rev: int) -> Epoch:
+        """Build an epoch from its record and the record's revision.
 
         Raises:
             KeyError, TypeError, ValueError, AttributeError: The value has another shape.
         """
         members = {str(k): str(v) for k, v in value["members"].items()}
-        return Generation(int(value["number"]), members, rev)
+        return Epoch(int(value["number"]), members, rev)
 
     def value(self) -> dict[str, Any]:
-        """Return the value that is stored under the generation's key."""
+        """Return the value that is stored under the epoch's key."""
         return {"number": self.number, "members": self.members}
 
     @property
-    def base_token(self) -> int:
-        """The least fencing token of this generation; the machines' counters lie above it."""
-        return self.number << COUNTER_BITS
+    def first_token(self) -> int:
+        """The least fencing token of this epoch; the machines' counters lie above it."""
+        return self.number << TOKEN_COUNTER_BITS
 
     def place(self, key: str) -> str:
         """The member that a job (home) or a machine (owner) belongs to.
@@ -57,7 +57,7 @@
         """
         found = self._places.get(key)
         if found is None:
-            if len(self._places) >= PLACES_MOST:
+            if len(self._places) >= MEMBER_CACHE_MOST:
                 self._places.clear()
             found = self._places[key] = rendezvous(key, self.members)
         return found
@@ -72,17 +72,17 @@
     )
 
 
-NOBODY = Generation(0, {}, 0)
+NO_EPOCH = Epoch(0, {}, 0)
 
 
 class FlapDamping:
     """Flap damping: which controllers restart too often, and until when they are left out.
 
-    Each end costs all the others a generation: they announce it to their workers and read
+    Each end costs all the others an epoch: they announce it to their workers and read
     their jobs anew. One that ends every few seconds would keep them at it. So after a few
     ends in a short while it is left out, for a pause that doubles with each end more, and
     the others serve what would be its. (What has ended once or twice is back at once, as
-    after a roll.) It is a matter of cost alone: who is in a generation is decided by the
+    after a roll.) It is a matter of cost alone: who is in an epoch is decided by the
     commit.
     """
 
@@ -102,7 +102,7 @@
                 continue
             ends = [t for t in self.ends.get(label, ()) if now - t < self.window_s]
             self.ends[label] = [*ends, now]
-            more = len(ends) - FREE_ENDS
+            more = len(ends) - RESTARTS_WITHOUT_PAUSE
             if more >= 0:
                 self.until[label] = now + min(self.pause_most_s, self.pause_s * 2.0**more)
                 found.append(label)
@@ -111,7 +111,7 @@
     def admitted(
         self, members: Mapping[str, str], present: Mapping[str, str], now: float
     ) -> dict[str, str]:
-        """Who may be in the next generation: those that are in this one, and all others
+        """Who may be in the next epoch: those that are in this one, and all others
         whose pause is over. All, if that is nobody."""
         found = {
             label: inc
@@ -122,22 +122,22 @@
 
 
 def may_propose(me: str, members: Mapping[str, str], present: Mapping[str, str]) -> bool:
-    """Whether a controller may propose a generation: a member, and whoever finds none of
+    """Whether a controller may propose an epoch: a member, and whoever finds none of
     the members there. One that has just begun doesn't know who has ended how often."""
     return members.get(me) == present.get(me) is not None or not any(
         present.get(label) == inc for label, inc in members.items()
     )
 
 
-def successor(current: Generation, present: Mapping[str, str]) -> Generation | None:
-    """The generation to propose for the controllers present, or None for no change.
+def successor(current: Epoch, present: Mapping[str, str]) -> Epoch | None:
+    """The epoch to propose for the controllers present, or None for no change.
 
     A restarted controller has a new incarnation: it has forgotten its
-    reservations and counters, so it must not go on in the old generation.
+    reservations and counters, so it must not go on in the old epoch.
     """
     if not present or present == current.members:
         return None
-    return Generation(current.number + 1, dict(present), 0)
+    return Epoch(current.number + 1, dict(present), 0)
 
 
 def should_leave(
--- a/clayport/membership_duties.py
+++ b/clayport/membership_duties.py
@@ -1,4 +1,4 @@
-"""A controller's own key in the state service, and its proposals of the next generation."""
+"""A controller's own key in the state service, and its proposals of the next epoch."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import curio
 
-from .jobs import GENERATION_KEY
-from .membership import FlapDamping, Generation, may_propose, successor
+from .jobs import EPOCH_KEY
+from .membership import Epoch, FlapDamping, may_propose, successor
 from .mirror import NODE_PREFIX, VERSION_PREFIX
 from .statestore import (
     LEASE_S,
@@ -68,10 +68,10 @@
         log.info("event=stepped-aside lease=%d", lease)
 
     async def _enter(self, lease: int) -> None:
-        """Write our key, and with its first the version's record, so that the generation
+        """Write our key, and with its first the version's record, so that the epoch
         that takes us in is the later one.
 
-        The record is written once and no more: a second copy, applied after that generation
+        The record is written once and no more: a second copy, applied after that epoch
         had begun, left all who came later waiting for another before they took pipelines.
         """
         core = self.core
@@ -101,7 +101,7 @@
                     core.mirror.note_version(core.label, entry.value, entry.rev)
 
     async def keep_members(self) -> None:
-        """Propose the next generation when those present differ from its members."""
+        """Propose the next epoch when those present differ from its members."""
         core = self.core
         while True:
             await core.wait("members", core.ttl_s / 2)
@@ -113,23 +113,23 @@
             proposal = self._proposal()
             if proposal is None:
                 continue
-            txn = Txn().require(GENERATION_KEY, core.generation.rev)
+            txn = Txn().require(EPOCH_KEY, core.epoch.rev)
             try:
-                await core.store.commit(txn.put(GENERATION_KEY, proposal.value()), ahead_s=LEASE_S)
+                await core.store.commit(txn.put(EPOCH_KEY, proposal.value()), ahead_s=LEASE_S)
             except ConflictError:
                 await curio.sleep(core.ttl_s / 20)
             except (UnavailableError, OutcomeUnknownError, NoLeaseError):
                 await curio.sleep(core.jitter(core.ttl_s / 10))
 
-    def _proposal(self) -> Generation | None:
-        """The next generation, if there is to be one and it is ours to propose."""
+    def _proposal(self) -> Epoch | None:
+        """The next epoch, if there is to be one and it is ours to propose."""
         core, now = self.core, time.monotonic()
         for label in self.flap_damping.observe(core.nodes, now):
             log.info(
                 "event=left-out label=%s seconds=%.1f", label, self.flap_damping.until[label] - now
             )
-        if not may_propose(core.label, core.generation.members, core.nodes):
+        if not may_propose(core.label, core.epoch.members, core.nodes):
             return None
         return successor(
-            core.generation, self.flap_damping.admitted(core.generation.members, core.nodes, now)
+            core.epoch, self.flap_damping.admitted(core.epoch.members, core.nodes, now)
         )
--- a/clayport/mirror.py
+++ b/clayport/mirror.py
@@ -12,9 +12,9 @@
 import msgspec
 
 from . import peers, peerwire
-from .jobs import GENERATION_KEY, end_key, ended, live_key
+from .jobs import EPOCH_KEY, end_key, ended, live_key
 from .limits import Deadline
-from .membership import Generation
+from .membership import Epoch
 from .model import Job
 from .record_keys import HEAD_KEY
 from .statestore import (
@@ -70,12 +70,12 @@
     def count_versions(self) -> None:
         """Whether every controller of the settings, present or not, understands FORMAT.
 
-        And whether the generation began after the last of them had said so: what their
+        And whether the epoch began after the last of them had said so: what their
         predecessors have on its way fails under it. Once true, it stays.
         """
         core = self.core
         found = [core.versions.get(label, (0, 0)) for label in core.settings.labels]
-        if core.generation.rev <= max(rev for _, rev in found):
+        if core.epoch.rev <= max(rev for _, rev in found):
             return
         core.promising = core.promising or all(number >= PROMISES for number, _ in found)
         if core.upgraded or any(number < FORMAT for number, _ in found):
@@ -105,7 +105,7 @@
     # -- the mirror ------------------------------------------------------
 
     async def follow(self) -> None:
-        """Mirror the generation, the controllers present and the live jobs."""
+        """Mirror the epoch, the controllers present and the live jobs."""
         core = self.core
         rev = 0
         attempt = core.store.begin()
@@ -116,7 +116,7 @@
                 asked_at = time.monotonic()
                 changes, rev = await core.store.watch("c/", rev, core.ttl_s)
                 if core.rescan:
-                    # Asked for before: a generation among them would begin with jobs of
+                    # Asked for before: an epoch among them would begin with jobs of
                     # which this has not been read yet.
                     continue
                 for change in changes:
@@ -194,9 +194,9 @@
     def _put(self, key: str, value: Any, rev: int) -> None:
         core = self.core
         try:
-            if key == GENERATION_KEY:
-                if rev > core.generation.rev:
-                    core.begin(Generation.parse(value, rev))
+            if key == EPOCH_KEY:
+                if rev > core.epoch.rev:
+                    core.begin(Epoch.parse(value, rev))
                 core.signal("members")
             elif key == HEAD_KEY:
                 core.note_head(value)
@@ -255,7 +255,7 @@
             core.spawn(self._remember(job))
         if (
             core.serving
-            and core.generation.place(job.id) == core.label
+            and core.epoch.place(job.id) == core.label
             and job.id not in core.dispatch.homes
         ):
             core.takeover.home(core.live[job.id][0], rev, {}, "")
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -48,7 +48,7 @@
         """Answer one request; what it has signalled or started is carried out before.
 
         A request that acts on machines or tasks is refused as a whole unless it names the
-        generation that is served here.
+        epoch that is served here.
         """
         try:
             handler = HANDLERS.get(kind)
@@ -60,10 +60,10 @@
         finally:
             await self.core.flush()
 
-    def _is_current(self, generation: int) -> bool:
-        return self.core.serving and generation == self.core.generation.number
+    def _is_current(self, epoch: int) -> bool:
+        return self.core.serving and epoch == self.core.epoch.number
 
-    # -- requests of any generation --------------------------------------
+    # -- requests of any epoch --------------------------------------
 
     async def ping(
         self, label: str, number: int, state_ok: bool, room_rev: int, demand: list[Any]
@@ -113,15 +113,15 @@
         """INSPECT: whether a machine that its owner misses answers us."""
         return peerwire.ACK, (await self.core.fleet.inspect(machine, address),)
 
-    async def gone(self, _generation: int, machines: list[tuple[str]]) -> Answer:
+    async def gone(self, _epoch: int, machines: list[tuple[str]]) -> Answer:
         """GONE: machines whose return the cloud has confirmed.
 
-        It holds in any generation, since names are not used again.
+        It holds in any epoch, since names are not used again.
         """
         self.core.gone(name for (name,) in machines)
         return AGREED
 
-    async def report(self, generation: int, body: bytes) -> Answer:
+    async def report(self, epoch: int, body: bytes) -> Answer:
         """REPORT: the report of a worker that can't reach us, passed on by a peer."""
         now = time.monotonic()
         try:
@@ -130,8 +130,8 @@
             return peerwire.REPORTED, (400, b"{}")
         core = self.core
         if (
-            not self._is_current(generation)
-            or core.generation.place(report.machine) != core.label
+            not self._is_current(epoch)
+            or core.epoch.place(report.machine) != core.label
             or not core.may_renew(now)
         ):
             return peerwire.REPORTED, (503, b"{}")
@@ -140,30 +140,28 @@
 
     # -- requests to the home of a job -----------------------------------
 
-    async def counts(self, _generation: int, job: str) -> Answer:
+    async def counts(self, _epoch: int, job: str) -> Answer:
         """COUNTS: how many tasks of a job are done and how many run."""
         counts = self.core.dispatch.counts(job)
         return NO_COUNTS if counts is None else (peerwire.COUNTED, (True, *counts))
 
-    async def states(self, _generation: int, events: list[tuple[Any, ...]]) -> Answer:
+    async def states(self, _epoch: int, events: list[tuple[Any, ...]]) -> Answer:
         """STATES: what machines' owners have seen of tasks."""
         verdicts = self.core.dispatch.told(events)
         return peerwire.VERDICTS, (True, [(v,) for v in verdicts])
 
-    async def move(
-        self, _generation: int, job: str, number: int, machine: str, drain: bool
-    ) -> Answer:
+    async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
         """MOVE: whether a replica has another place than this machine."""
         return peerwire.ACK, (self.core.placer.movable(job, number, machine, drain),)
 
     # -- requests to the owner of machines -------------------------------
 
-    async def room(self, _generation: int, since: int, machines: list[tuple[str]]) -> Answer:
+    async def room(self, _epoch: int, since: int, machines: list[tuple[str]]) -> Answer:
         """ROOM: the table of free room, or what has changed in it since a revision."""
         return peerwire.TABLE, self.core.picture.table(since, [name for (name,) in machines])
 
     async def reserve(
-        self, _generation: int, job: str, attempt: int, places: list[tuple[str, int]]
+        self, _epoch: int, job: str, attempt: int, places: list[tuple[str, int]]
     ) -> Answer:
         """RESERVE: room for tasks of a job on our machines."""
         known = self.core.job_of(job)
@@ -172,28 +170,26 @@
         granted = self.core.owner.reserve(known, places, attempt, time.monotonic())
         return peerwire.RESERVED, (True, [(g,) for g in granted])
 
-    async def launch(self, _generation: int, tasks: list[tuple[str, str, int]]) -> Answer:
+    async def launch(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """LAUNCH: start tasks whose room has been reserved."""
         verdicts = self.core.owner.launch(tasks)
         self._poke(tasks)
         return peerwire.VERDICTS, (True, [(v,) for v in verdicts])
 
-    async def stop(
-        self, _generation: int, tasks: list[tuple[str, str, int, float, bool]]
-    ) -> Answer:
+    async def stop(self, _epoch: int, tasks: list[tuple[str, str, int, float, bool]]) -> Answer:
         """STOP: kill tasks, or clear them from the machines' reports."""
         self.core.owner.stop(tasks)
         self._poke(tasks)
         return AGREED
 
-    async def adopt(self, _generation: int, tasks: list[tuple[str, str, int]]) -> Answer:
+    async def adopt(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """ADOPT: tasks that the records say are on our machines."""
         self.core.owner.adopt(tasks, time.monotonic())
         return AGREED
 
     async def preempt(
         self,
-        _generation: int,
+        _epoch: int,
         machine: str,
         job: str,
         count: int,
@@ -208,20 +204,20 @@
         self.core.fleet.poke(machine)
         return peerwire.ACK, (made,)
 
-    async def evacuate(self, _generation: int, machine: str, drain: bool) -> Answer:
+    async def evacuate(self, _epoch: int, machine: str, drain: bool) -> Answer:
         """EVACUATE: move replicas off a machine."""
         return peerwire.ACK, (self.core.fleet.evacuate(machine, drain),)
 
-    async def drain(self, _generation: int, machine: str) -> Answer:
+    async def drain(self, _epoch: int, machine: str) -> Answer:
         """DRAIN: whether a machine is empty and takes no more work."""
         return peerwire.ACK, (self.core.owner.drain(machine),)
 
     # -- requests to the one that rents machines -------------------------
 
-    async def fence(self, _generation: int, machine: str, _cause: str) -> Answer:
+    async def fence(self, _epoch: int, machine: str, _cause: str) -> Answer:
         """FENCE: return a silent machine to the cloud; agreed once that is confirmed."""
         core = self.core
-        if core.generation.provisioner != core.label:
+        if core.epoch.provisioner != core.label:
             return REFUSED
         try:
             await core.fleet.fences.fence(machine)
@@ -240,7 +236,7 @@
     """How one kind of request is answered."""
 
     method: Callable[..., Awaitable[Answer]]
-    # The answer to a request of another generation; None: those of any are carried out.
+    # The answer to a request of another epoch; None: those of any are carried out.
     refusal: Answer | None = None
 
 
--- a/clayport/peers.py
+++ b/clayport/peers.py
@@ -64,7 +64,7 @@
         self.waiting: dict[int, tuple[curio.Event, list[Any]]] = {}
         self.heard = -1e9  # when it last answered
         self.state_ok = False
-        self.generation = 0
+        self.epoch = 0
         self.room_rev = 0
         self.patience = Patience(
             Retries(
--- a/clayport/peerwire.py
+++ b/clayport/peerwire.py
@@ -35,10 +35,10 @@
 # Only between controllers that understand histories of the records (`rebuild`).
 HISTORY, HISTORY_TOLD, EVIDENCE, EVIDENCE_TOLD = 25, 26, 27, 28
 
-# generation leads every request that acts on machines or tasks: one from
-# another generation is refused as a whole.
+# epoch leads every request that acts on machines or tasks: one from
+# another epoch is refused as a whole.
 SCHEMAS: dict[int, Schema] = {
-    # label, generation, state service answers, room revision, demand: (job, pending, since,
+    # label, epoch, state service answers, room revision, demand: (job, pending, since,
     # zones of its other tasks)
     PING: ("s", "Q", "?", "Q", ("s", "I", "d", "s")),
     PONG: ("s", "Q", "?", "Q"),
@@ -46,19 +46,19 @@
     BEAT: ("s", "Q", "?", "Q", ("s", "I", "d", "s"), "s", "Q"),
     # the same, then: incarnation, whether it promises
     BEATEN: ("s", "Q", "?", "Q", "s", "?"),
-    # generation, job, attempt, (machine, task number); answered: granted flags in order
+    # epoch, job, attempt, (machine, task number); answered: granted flags in order
     RESERVE: ("Q", "s", "Q", ("s", "I")),
     RESERVED: ("?", ("?",)),
-    # generation, (machine, task, attempt)
+    # epoch, (machine, task, attempt)
     LAUNCH: ("Q", ("s", "s", "Q")),
-    # generation, (machine, task, attempt, grace_s, clear rather than kill)
+    # epoch, (machine, task, attempt, grace_s, clear rather than kill)
     STOP: ("Q", ("s", "s", "Q", "d", "?")),
     ADOPT: ("Q", ("s", "s", "Q")),
     ACK: ("?",),
-    # generation, (machine, task, attempt, state, why, saved)
+    # epoch, (machine, task, attempt, state, why, saved)
     STATES: ("Q", ("s", "s", "Q", "s", "s", "?")),
     VERDICTS: ("?", ("B",)),
-    # generation, the table's revision that is known here, machines to be told anyway
+    # epoch, the table's revision that is known here, machines to be told anyway
     ROOM: ("Q", "Q", ("s",)),
     # room revision, whether this is the whole table or what changed since, machines that
     # are gone; (machine, address, type, zone, spot, open, cpus, gpus, memory, tasks, images,
@@ -81,11 +81,11 @@
     DRAIN: ("Q", "s"),
     GONE: ("Q", ("s",)),
     INSPECT: ("s", "s"),
-    # generation, job, task number, machine, to drain it: has the replica another place
+    # epoch, job, task number, machine, to drain it: has the replica another place
     MOVE: ("Q", "s", "I", "s", "?"),
-    # generation, machine, whether to drain it
+    # epoch, machine, whether to drain it
     EVACUATE: ("Q", "s", "?"),
-    # generation, machine, job, its tasks that are to fit, longest time its victims may
+    # epoch, machine, job, its tasks that are to fit, longest time its victims may
     # take to save, teams that have borrowed and whose work of any rank may be stopped
     PREEMPT: ("Q", "s", "s", "I", "d", ("s",)),
     # history, its number, highest revision seen, whether the sender stands still, up to which
--- a/clayport/picture.py
+++ b/clayport/picture.py
@@ -40,7 +40,7 @@
         self.starved = False
 
     def begin(self) -> None:
-        """A new generation: machines have new owners, and nothing is on its way."""
+        """A new epoch: machines have new owners, and nothing is on its way."""
         self.inflight.clear()
         self.pulled.clear()
         self.own_rev = -1
@@ -94,12 +94,12 @@
 
     async def refresh_peers(self, changed_only: bool) -> None:
         """Pull the peers' free-room tables; nothing is written to the state service."""
-        gen = self.core.generation
-        for label in gen.members:
+        epoch = self.core.epoch
+        for label in epoch.members:
             peer = self.core.peers.get(label)
             if (
                 peer is not None
-                and self.core.generation is gen
+                and self.core.epoch is epoch
                 and not (changed_only and self.pulled.get(label) == peer.room_rev)
             ):
                 await self._pull(label)
@@ -109,15 +109,15 @@
         """What has changed of a peer's table since the last time, and the machines whose
         rooms were charged or closed here meanwhile."""
         core = self.core
-        gen = core.generation
+        epoch = core.epoch
         charged = [n for n in self.stale if n in core.rooms and core.rooms[n].owner == label]
         try:
             ok, rev, whole, removed, rows, taken = await core.peers[label].call(
-                peerwire.ROOM, (gen.number, self.pulled.get(label, 0), [(n,) for n in charged])
+                peerwire.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
             )
         except (PeerError, KeyError):
             return
-        if not ok or core.generation is not gen or rev < self.pulled.get(label, 0):
+        if not ok or core.epoch is not epoch or rev < self.pulled.get(label, 0):
             return
         self.pulled[label] = rev
         self.unstale(charged)
@@ -225,7 +225,7 @@
             elif self.starved and any(
                 self.pulled.get(p.label) != p.room_rev
                 for p in core.peers.values()
-                if p.label in core.generation.members
+                if p.label in core.epoch.members
             ):
                 # True shortage: the interval is left alone, but room that a
                 # peer has since announced is looked at.
--- a/clayport/placer.py
+++ b/clayport/placer.py
@@ -138,7 +138,7 @@
         self.long_s = 20 * core.settings.cluster.workers.lease_s
 
     def begin(self) -> None:
-        """A new generation: other homes, and nothing told by peers."""
+        """A new epoch: other homes, and nothing told by peers."""
         self.demands.clear()
         self.line.clear(time.monotonic())
         self.owed_until = -math.inf
@@ -184,10 +184,10 @@
         return hj.job.id, hj.pending + len(hj.placing), now - hj.since, zones
 
     def all_demand(self) -> list[Need]:
-        """Demand of the whole generation, most urgent first."""
+        """Demand of the whole epoch, most urgent first."""
         core = self.core
         rows = self.demand()
-        for label in core.generation.members:
+        for label in core.epoch.members:
             if label != core.label:
                 rows += self.demands.get(label, [])
         found = [
@@ -759,7 +759,7 @@
     ) -> bool:
         """Ask a machine's owner to make room for tasks of the job."""
         core = self.core
-        owner = core.generation.place(machine)
+        owner = core.epoch.place(machine)
         if owner == core.label:
             done = core.owner.preempt(job, machine, grace_s, time.monotonic(), over, count)
             core.fleet.poke(machine)
@@ -770,7 +770,7 @@
                     await core.peers[owner].call(
                         peerwire.PREEMPT,
                         (
-                            core.generation.number,
+                            core.epoch.number,
                             machine,
                             job.id,
                             count,
--- a/clayport/queueing/line.py
+++ b/clayport/queueing/line.py
@@ -96,7 +96,7 @@
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """A new generation: other homes, and all of them are told anew."""
+        """A new epoch: other homes, and all of them are told anew."""
         self.groups: dict[tuple[Any, ...], Group] = {}
         self.marks: dict[str, Mark] = {}
         # Being placed, and how many of its tasks wait beside: it comes back with as many
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -16,16 +16,16 @@
 PART, WHOLE_MOST = 1024 * 1024, 512 * 1024 * 1024
 
 
-class Evidence(msgspec.Struct):
+class Evidence(msgspec.Struct, rename={"epoch": "generation"}):
     """One controller's word, from when it had come to stand still.
 
-    Its homes' chunks are complete if it had taken over its share of its generation
+    Its homes' chunks are complete if it had taken over its share of its epoch
     (`loaded`): a machine and attempt are known to the home before anything is launched.
     """
 
     label: str
     incarnation: str
-    generation: int = 0
+    epoch: int = 0
     members: dict[str, str] = {}
     loaded: bool = False
     live: dict[str, tuple[Any, float]] = {}  # description, time of day of the submission
@@ -51,7 +51,7 @@
     """This controller's own evidence."""
     now, day = time.monotonic(), time.time()
     found = Evidence(
-        core.label, core.incarnation, core.generation.number, dict(core.generation.members), loaded
+        core.label, core.incarnation, core.epoch.number, dict(core.epoch.members), loaded
     )
     for name, (job, _) in core.live.items():
         link = core.pipes.links.get(name)
@@ -110,12 +110,12 @@
 
 
 def split(parts: Mapping[str, Evidence]) -> tuple[dict[str, str], dict[str, Evidence]]:
-    """The members of the last generation that anybody began, and the evidence of those of
+    """The members of the last epoch that anybody began, and the evidence of those of
     them that hold the whole of their share."""
-    number = max((e.generation for e in parts.values()), default=0)
-    members = next((e.members for e in parts.values() if e.generation == number), {})
+    number = max((e.epoch for e in parts.values()), default=0)
+    members = next((e.members for e in parts.values() if e.epoch == number), {})
     return members, {
         label: e
         for label, e in parts.items()
-        if e.generation == number and e.loaded and members.get(label) == e.incarnation
+        if e.epoch == number and e.loaded and members.get(label) == e.incarnation
     }
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -17,7 +17,7 @@
 
 from .. import http
 from ..cloud import RETURN_MOST, CloudError
-from ..membership import COUNTER_BITS
+from ..membership import TOKEN_COUNTER_BITS
 from ..model import Report, split_task
 from .evidence import Evidence, Task
 
@@ -47,7 +47,7 @@
         self.core = core
         self.machines = machines
         self.known_jobs = {n for e in parts.values() for n in (*e.live, *e.ended)}
-        self.token = max((e.generation for e in parts.values()), default=0) + 1 << COUNTER_BITS
+        self.token = max((e.epoch for e in parts.values()), default=0) + 1 << TOKEN_COUNTER_BITS
         self.held: dict[str, list[Task]] = {}
         self.returned: set[str] = set()
         self.silent: dict[str, float] = {}
@@ -108,7 +108,7 @@
         for machine, task in asked.items():
             seen, rows = task.result
             if seen > self.token:
-                self.token = (seen >> COUNTER_BITS) + 1 << COUNTER_BITS
+                self.token = (seen >> TOKEN_COUNTER_BITS) + 1 << TOKEN_COUNTER_BITS
             if rows is not None:
                 self.held[machine] = rows
             if seen:
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -5,7 +5,7 @@
 - An end beats a live record: final records never change, and a user has been told.
 - A live record that anybody has seen is restored: its user has been told 201.
 - Done tasks are united: whoever says so has seen the result.
-- The word of a job's home in the last generation holds for its tasks, if the home is there:
+- The word of a job's home in the last epoch holds for its tasks, if the home is there:
   no machine is told to start anything before its home knows of it. What the home holds for
   free and the state service holds for assigned stays assigned, until its machine has said
   otherwise: it may be a commit whose answer was lost.
@@ -72,7 +72,7 @@
 ) -> Merged:
     """What is to be changed of `records` (anchors aside). `limits` are the teams', `first_size`
     the tasks in a chunk whose key says no size."""
-    order = sorted(parts.values(), key=lambda e: (-e.generation, e.label))
+    order = sorted(parts.values(), key=lambda e: (-e.epoch, e.label))
     ended = _ended(records, order)
     live = _live(records, order, ended)
     descs: dict[str, Job] = {}
@@ -86,7 +86,7 @@
         first_size,
     )
     said = {label: _by_job(e.chunks.items(), first_size) for label, e in homes.items()}
-    # What is older than the last generation says what was done, and which attempts were used.
+    # What is older than the last epoch says what was done, and which attempts were used.
     before = [_by_job(e.chunks.items(), first_size) for e in order if homes.get(e.label) is not e]
     seen: dict[str, list[Task]] = {}
     for task in listed:
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -14,8 +14,8 @@
 import curio
 
 from .. import peerwire
-from ..jobs import GENERATION_KEY
-from ..membership import COUNTER_BITS, Generation
+from ..jobs import EPOCH_KEY
+from ..membership import TOKEN_COUNTER_BITS, Epoch
 from ..model import chunk_size
 from ..peers import PeerError
 from ..statestore import (
@@ -105,10 +105,10 @@
         missing = sorted(set(members) - set(homes))
         machines = {n: a for e in parts.values() for n, a in e.machines.items()}
         listed: list[Task] = []
-        epoch = 0
+        highest_token = 0
         if missing or not members:
             log.info("event=rebuild-asks machines=%d missing=%s", len(machines), ",".join(missing))
-            listed, epoch = await Inventory(core, parts, machines).take()
+            listed, highest_token = await Inventory(core, parts, machines).take()
         records_now, _ = await core.store.scan_all(PREFIXES, doubtful=True)
         found = {key: row for key, row in records_now.items() if not is_anchor(key)}
         merged = merge(
@@ -132,7 +132,7 @@
             await self._write(txn)
             written += len(txn.writes)
             log.debug("event=rebuild-wrote changes=%d of=%d", written, len(merged.changes))
-        await self._finish(name, number, anchor, parts, found, epoch)
+        await self._finish(name, number, anchor, parts, found, highest_token)
         log.info(
             "event=rebuild-done history=%s changes=%d seconds=%.1f",
             name,
@@ -227,21 +227,21 @@
         anchor: tuple[str, int],
         parts: dict[str, Evidence],
         found: dict[str, tuple[Any, int]],
-        epoch: int,
+        highest_token: int,
     ) -> None:
-        """The history is whole, and a generation begins under it, above all that anybody has
+        """The history is whole, and an epoch begins under it, above all that anybody has
         seen."""
         core = self.core
-        stored = found.get(GENERATION_KEY)
+        stored = found.get(EPOCH_KEY)
         later = 1 + max(
-            epoch >> COUNTER_BITS,
+            highest_token >> TOKEN_COUNTER_BITS,
             int(stored[0]["number"]) if stored else 0,
-            *(e.generation for e in parts.values()),
+            *(e.epoch for e in parts.values()),
         )
         members = {label: e.incarnation for label, e in parts.items() if e.incarnation}
         present = await self._present(members)
-        txn = Txn().require(*anchor).require(GENERATION_KEY, stored[1] if stored else 0)
-        txn.put(GENERATION_KEY, Generation(later, present, 0).value())
+        txn = Txn().require(*anchor).require(EPOCH_KEY, stored[1] if stored else 0)
+        txn.put(EPOCH_KEY, Epoch(later, present, 0).value())
         head = {"id": name, "n": number, "state": WHOLE, "by": core.label}
         rev = await self._write(txn.put(HEAD_KEY, head).put(anchor[0], anchor_value(name)))
         anchors = await read_anchors(core.store, name)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 
-from ..jobs import GENERATION_KEY
+from ..jobs import EPOCH_KEY
 from ..statestore import Change, CompactedError, OutcomeUnknownError, UnavailableError
 from . import files
 from .evidence import Evidence
@@ -36,8 +36,8 @@
         prefix, _, rest = key.partition("/")
         if is_anchor(key):
             continue
-        if key == GENERATION_KEY:
-            said.generation, said.members = int(value["number"]), dict(value["members"])
+        if key == EPOCH_KEY:
+            said.epoch, said.members = int(value["number"]), dict(value["members"])
         elif key.startswith("c/live/"):
             said.live[rest[len("live/") :]] = (value["j"], float(value.get("t", 0.0)))
         elif prefix == "end":
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from .. import peerwire
-from ..jobs import GENERATION_KEY
+from ..jobs import EPOCH_KEY
 from ..limits import Deadline
-from ..membership import Generation
+from ..membership import Epoch
 from ..mirror import rebuilds
 from ..peers import PeerError
 from ..statestore import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
@@ -67,7 +67,7 @@
         core.store.check_in = self.check_in
         # Nobody acts before it is known whether the records are those that were left.
         self.history.suspect("just begun")
-        self.loaded = False  # this generation's share was taken over when doubt came
+        self.loaded = False  # this epoch's share was taken over when doubt came
         self.packed: tuple[str, list[bytes]] = ("", [])
         self.asking: curio.Event | None = None
         self.head_rev = 0
@@ -85,7 +85,7 @@
 
     async def check_in(self) -> None:
         """Ask the peers what they have seen, and then the state service, before anything is
-        written: it has not answered for a moment, or a generation begins. (UnavailableError if it
+        written: it has not answered for a moment, or an epoch begins. (UnavailableError if it
         doesn't answer now.)
 
         Read before the first write of each of us: the revisions of what is written after a
@@ -197,14 +197,14 @@
                 await self._look()
 
     async def _look(self) -> None:
-        """Whether the anchors and the generation stand: a loss of these alone, or of one
+        """Whether the anchors and the epoch stand: a loss of these alone, or of one
         prefix, shows nowhere else."""
         core = self.core
         txn = Txn().require(HEAD_KEY, self.head_rev)
         for prefix in PREFIXES:
             txn.require(prefix, 0)  # no such key: so that all anchors are compared
-        if core.generation.rev:
-            txn.require(GENERATION_KEY, core.generation.rev)
+        if core.epoch.rev:
+            txn.require(EPOCH_KEY, core.epoch.rev)
         try:
             try:
                 await core.store.commit(txn)
@@ -212,9 +212,9 @@
                 if HEAD_KEY in exc.failed:
                     self.history.suspect("the head has moved")
                     return
-                entry = await core.store.get(GENERATION_KEY)
-                if entry is None or int(entry.value["number"]) < core.generation.number:
-                    self.history.suspect("the generation is gone")
+                entry = await core.store.get(EPOCH_KEY)
+                if entry is None or int(entry.value["number"]) < core.epoch.number:
+                    self.history.suspect("the epoch is gone")
         except (UnavailableError, OutcomeUnknownError):
             pass
 
@@ -253,14 +253,14 @@
         told = [
             t
             for label in core.peers
-            if (head is not None or GENERATION_KEY not in records or self._understands(label))
+            if (head is not None or EPOCH_KEY not in records or self._understands(label))
             and (t := await self._exchange(label)) is not None
         ]
         if (
             head is None
             and not h.name
             and not any(t.name for t in told)
-            and GENERATION_KEY in records
+            and EPOCH_KEY in records
             and not self._all_understand()
         ):
             # Somebody may be there who doesn't know of any of this.
@@ -323,9 +323,9 @@
         core.spawn(LateEvidence(core, self.history).add(late))
 
     def _rejoin(self) -> None:
-        """Read the records anew, and wait for a generation that began under this history."""
+        """Read the records anew, and wait for an epoch that began under this history."""
         core = self.core
-        core.generation = Generation(core.generation.number, {}, 0)
+        core.epoch = Epoch(core.epoch.number, {}, 0)
         core.serving = False
         # Without a revision until its record has been seen under this history: none of them
         # is worked on, or answered for, before that.
--- a/clayport/renting.py
+++ b/clayport/renting.py
@@ -1,4 +1,4 @@
-"""Renting and returning machines, on the one member of the generation that does it."""
+"""Renting and returning machines, on the one member of the epoch that does it."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class Provisioner:
-    """Renting and returning, on the one member of the generation that does."""
+    """Renting and returning, on the one member of the epoch that does."""
 
     def __init__(self, core: Controller) -> None:
         self.core = core
@@ -71,7 +71,7 @@
         while True:
             await core.wait("demand", core.ttl_s / 3)
             await curio.sleep(core.ttl_s / 12)
-            if not core.serving or core.generation.provisioner != core.label or not core.types:
+            if not core.serving or core.epoch.provisioner != core.label or not core.types:
                 continue
             now = time.monotonic()
             if not core.stalls.check(now) or core.away or core.state_lost(now):
@@ -88,8 +88,8 @@
     async def tick(self) -> None:
         core = self.core
         now = time.monotonic()
-        gen = core.generation
-        fresh = self.began is not gen
+        epoch = core.epoch
+        fresh = self.began is not epoch
         await core.picture.refresh_peers(changed_only=not fresh)
         if fresh or now - self.listed_at > core.settings.cluster.cloud.list_lag_s:
             await self._list(now)
@@ -97,11 +97,11 @@
             # What a predecessor rented may not be listed yet: wait for the list
             # to be sure before renting again. Where the service is only just being
             # started there was none, whatever machines there are already.
-            self.began = gen
+            self.began = epoch
             self.began_at = now
-            first = gen.number == 1 or gen.number <= 3 and not self.listed
+            first = epoch.number == 1 or epoch.number <= 3 and not self.listed
             self.ready_at = now + (0.0 if first else 2 * core.settings.cluster.cloud.list_lag_s)
-        if core.generation is not gen:
+        if core.epoch is not epoch:
             return
         now = time.monotonic()
         types = {t.name: t for t in core.types}
@@ -370,7 +370,7 @@
             counts[kind] = counts.get(kind, 0) + 1
         for kind, count in counts.items():
             self.sequence += 1
-            name = f"r-{core.generation.number}-{core.label}-{self.sequence}"
+            name = f"r-{core.epoch.number}-{core.label}-{self.sequence}"
             try:
                 got = await core.cloud.rent(name, *kind, min(count, RENT_MOST))
             except NoCapacityError:
--- a/clayport/server.py
+++ b/clayport/server.py
@@ -24,7 +24,7 @@
 from .heartbeats import Heartbeats
 from .index import Index
 from .limits import Attempt
-from .membership import NOBODY, Generation
+from .membership import NO_EPOCH, Epoch
 from .membership_duties import MembershipDuties
 from .mirror import PROMISES, Mirror
 from .model import SERVICE, Description, Job, MachineType, chunk_size
@@ -145,8 +145,8 @@
     def _set_standing(self) -> None:
         """Whether this process is a member, and what it may tell users and workers."""
         lease_s = self.settings.cluster.workers.lease_s
-        self.generation: Generation = NOBODY
-        self.generation_at = self.started  # when we took over that generation
+        self.epoch: Epoch = NO_EPOCH
+        self.epoch_started_at = self.started  # when we took over that epoch
         self.state_known = False  # the mirror has been read at least once
         self.serving = False  # member, and its share of the work is loaded
         self.lease: int | None = None
@@ -264,8 +264,8 @@
 
     @property
     def member(self) -> bool:
-        """Whether the generation known here contains this process."""
-        return self.generation.members.get(self.label) == self.incarnation
+        """Whether the epoch known here contains this process."""
+        return self.epoch.members.get(self.label) == self.incarnation
 
     def state_lost(self, now: float) -> bool:
         """Whether the state service has not answered for longer than our key's lease."""
@@ -281,13 +281,13 @@
         return True
 
     def superseded(self, now: float) -> bool:
-        """Whether a peer that reaches the state service acts under a newer generation.
+        """Whether a peer that reaches the state service acts under a newer epoch.
 
         A controller that lost the state service alone does not see its own eviction
         in the watch; if it kept its workers, their new owners would never hear them.
         """
         return any(
-            p.state_ok and p.generation > self.generation.number and now - p.heard < self.ttl_s
+            p.state_ok and p.epoch > self.epoch.number and now - p.heard < self.ttl_s
             for p in self.peers.values()
         )
 
@@ -314,19 +314,19 @@
         return self.ended.get(job) == "cancelled"
 
     def suspect_stale(self) -> None:
-        """Somebody acts under a newer generation than we know: look at once."""
+        """Somebody acts under a newer epoch than we know: look at once."""
         self.rescan = True
 
-    # -- generations -----------------------------------------------------
+    # -- epochs -----------------------------------------------------
 
-    def begin(self, generation: Generation) -> None:
-        """Act under a new generation: drop what belonged to the old one and load our share."""
-        self.generation, self.generation_at = generation, time.monotonic()
+    def begin(self, epoch: Epoch) -> None:
+        """Act under a new epoch: drop what belonged to the old one and load our share."""
+        self.epoch, self.epoch_started_at = epoch, time.monotonic()
         self.serving = False
         log.info(
             "generation=%d event=begin members=%s",
-            generation.number,
-            ",".join(sorted(generation.members)),
+            epoch.number,
+            ",".join(sorted(epoch.members)),
         )
         if self.recovery is not None:
             self.recovery.history.unsure = True  # who has seen more than the records show?
@@ -337,9 +337,9 @@
         self.placer.begin()
         self.picture.begin()
         self.fleet.outboxes.clear()
-        self.owner.begin(generation, self.label)
+        self.owner.begin(epoch, self.label)
         if self.member:
-            self.spawn(self.takeover.load(generation))
+            self.spawn(self.takeover.load(epoch))
 
     async def keep_catalogue(self) -> None:
         """The machine types and their present prices."""
@@ -384,14 +384,14 @@
         attempt = peer.begin()
         for _ in range(3):
             try:
-                await peer.call(peerwire.GONE, (self.generation.number, rows))
+                await peer.call(peerwire.GONE, (self.epoch.number, rows))
                 return
             except peers.PeerError:
                 await peer.rest(attempt)
 
     def asks(self, label: str) -> Attempt:
         """A request to another controller sets out; or to this one, which answers at once
-        or not before the generation has moved on."""
+        or not before the epoch has moved on."""
         peer = self.peers.get(label)
         return peer.begin() if peer is not None else self.store.begin()
 
@@ -402,7 +402,7 @@
 
     async def ask_owner(self, kind: int, machine: str, *more: bool) -> bool:
         """DRAIN or EVACUATE: whether the machine's owner has agreed."""
-        owner = self.generation.place(machine)
+        owner = self.epoch.place(machine)
         if owner == self.label:
             return (
                 self.owner.drain(machine)
@@ -411,7 +411,7 @@
             )
         try:
             return bool(
-                (await self.peers[owner].call(kind, (self.generation.number, machine, *more)))[0]
+                (await self.peers[owner].call(kind, (self.epoch.number, machine, *more)))[0]
             )
         except (peers.PeerError, KeyError):
             return False
--- a/clayport/statestore.py
+++ b/clayport/statestore.py
@@ -18,7 +18,7 @@
 
 # How far what users and replicas wait for may go ahead of the queue (the service allows
 # bursts of a whole second's worth), how far cancellations may, which have a limit of their
-# own, and how far the few requests that keep our lease and the generation may.
+# own, and how far the few requests that keep our lease and the epoch may.
 URGENT_S, CANCEL_S, LEASE_S = 0.5, 1.0, 5.0
 
 
@@ -254,7 +254,7 @@
             await curio.sleep(wait)
         raw = None if body is None else msgspec.json.encode(body)
         if ahead_s >= LEASE_S:
-            # A lease and the generation wait for nobody.
+            # A lease and the epoch wait for nobody.
             return await self._send(
                 method, path, raw, self.timeout_s, self.client, doubtful, changes > 0
             )
--- a/clayport/takeover.py
+++ b/clayport/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over a controller's share of the jobs when a generation begins."""
+"""Taking over a controller's share of the jobs when an epoch begins."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 
 from .jobs import HomeJob, end_key, ended, parse_chunk_key
-from .membership import Generation
+from .membership import Epoch
 from .model import Chunk, Job, chunk_size
 from .record_keys import is_anchor
 from .statestore import Entry, OutcomeUnknownError, UnavailableError
@@ -31,21 +31,21 @@
 
 
 class Takeover:
-    """Loads the share of a generation's jobs that belongs to this controller."""
+    """Loads the share of an epoch's jobs that belongs to this controller."""
 
     def __init__(self, core: Controller) -> None:
         self.core = core
 
-    async def load(self, generation: Generation) -> None:
-        """Take over our share, trying until the generation has moved on.
+    async def load(self, epoch: Epoch) -> None:
+        """Take over our share, trying until the epoch has moved on.
 
-        No commit of an earlier generation can follow the key of this one.
+        No commit of an earlier epoch can follow the key of this one.
         """
         core = self.core
         attempt = core.store.begin()
-        while core.generation is generation:
+        while core.epoch is epoch:
             try:
-                await self._load_once(generation)
+                await self._load_once(epoch)
                 return
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=load-failed cause=%s", exc)
@@ -53,8 +53,8 @@
                 log.error("event=malformed-state cause=%r", exc)
             await core.store.rest(attempt)
 
-    async def _load_once(self, generation: Generation) -> None:
-        """Read the records and begin to serve, unless the generation has moved on.
+    async def _load_once(self, epoch: Epoch) -> None:
+        """Read the records and begin to serve, unless the epoch has moved on.
 
         Raises:
             UnavailableError, OutcomeUnknownError: The state service doesn't answer.
@@ -66,31 +66,31 @@
             "run/", [e.key for e in entries]
         ):
             return  # records are gone: the rebuild sees to it
-        share = self._share(entries, generation)
+        share = self._share(entries, epoch)
         orphans = await self._orphans(share.chunks)
-        if core.generation is not generation or core.in_doubt:
+        if core.epoch is not epoch or core.in_doubt:
             return
         for job, (desc, rev) in core.live.items():
-            if rev and generation.place(job) == core.label and job not in share.unreadable:
+            if rev and epoch.place(job) == core.label and job not in share.unreadable:
                 self.home(desc, rev, share.chunks.get(job, {}), "")
         for job, (desc, status) in orphans.items():
             core.descs[job] = desc
             self.home(desc, 0, share.chunks[job], status)
         core.serving = True
-        log.info("generation=%d event=serving jobs=%d", generation.number, len(core.dispatch.homes))
+        log.info("generation=%d event=serving jobs=%d", epoch.number, len(core.dispatch.homes))
         for name in ("place", "starved", "demand", "prereqs"):
             core.signal(name)
         await core.flush()
 
-    def _share(self, entries: list[Entry], generation: Generation) -> Share:
-        """The chunks of the jobs that the generation gives us."""
+    def _share(self, entries: list[Entry], epoch: Epoch) -> Share:
+        """The chunks of the jobs that the epoch gives us."""
         share = Share({}, set())
         for entry in entries:
             if is_anchor(entry.key):
                 continue
             try:
                 job, size, index = parse_chunk_key(entry.key)
-                if generation.place(job) == self.core.label:
+                if epoch.place(job) == self.core.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
                     share.chunks.setdefault(job, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
@@ -131,7 +131,7 @@
             chunk_size(cluster.state.value_kb),
             time.monotonic(),
             ended,
-            core.generation.number,
+            core.epoch.number,
             cluster.workers.report_s,
             6 * cluster.workers.lease_s,
         )
--- a/clayport/workers.py
+++ b/clayport/workers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from .membership import COUNTER_BITS, Generation
+from .membership import TOKEN_COUNTER_BITS, Epoch
 from .model import SERVICE, Job, MachineType, Report, split_task
 from .placement import Room, capacity
 
@@ -115,7 +115,7 @@
         # Machines whose return is confirmed; their names are not used again.
         self.gone: OrderedDict[str, None] = OrderedDict()
         self.types: dict[str, MachineType] = {}
-        self.generation: Generation | None = None
+        self.epoch: Epoch | None = None
         # What of the free-room table changed when, so that a picture is renewed by what
         # changed and not by building every room anew: a revision for each machine, the
         # latest last, and the revision up to which that is not known.
@@ -126,17 +126,17 @@
         self.faulty: dict[str, None] = {}
         self.sound: dict[str, None] = {}
 
-    def begin(self, generation: Generation, me: str) -> None:
-        """A new generation: tokens rise and every want is adopted anew.
+    def begin(self, epoch: Epoch, me: str) -> None:
+        """A new epoch: tokens rise and every want is adopted anew.
 
         What the reports said of machines that stay ours is kept, so that they
         take work again at once; that they are settled is not.
         """
-        self.generation = generation
-        for name in [n for n in self.machines if generation.place(n) != me]:
+        self.epoch = epoch
+        for name in [n for n in self.machines if epoch.place(n) != me]:
             del self.machines[name]
         for m in self.machines.values():
-            m.token = generation.base_token + 1
+            m.token = epoch.first_token + 1
             m.fenced = m.fencing = False
             m.by_response = []
             for holder in (m.want, m.told, m.kills, m.clears):
@@ -150,10 +150,10 @@
             m.reported_at += gap_s
 
     def machine(self, name: str, now: float) -> Machine:
-        assert self.generation is not None
+        assert self.epoch is not None
         found = self.machines.get(name)
         if found is None:
-            found = self.machines[name] = Machine(name, self.generation.base_token + 1, now)
+            found = self.machines[name] = Machine(name, self.epoch.first_token + 1, now)
         return found
 
     # -- what changed ----------------------------------------------------
@@ -190,12 +190,12 @@
     # -- reports ---------------------------------------------------------
 
     def entitled(self, report: Report) -> bool:
-        """False when a successor has given out a token of a later generation.
+        """False when a successor has given out a token of a later epoch.
 
         A higher one of ours was given out by a peer that took us for ended.
         """
-        assert self.generation is not None
-        return report.token >> COUNTER_BITS <= self.generation.number
+        assert self.epoch is not None
+        return report.token >> TOKEN_COUNTER_BITS <= self.epoch.number
 
     def take_report(self, report: Report, now: float, reported: bool) -> Machine | None:
         """Apply a report; None for one that is older than what is known. `reported`: the worker
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -13,7 +13,7 @@
 
 from clayport.config import parse
 from clayport.jobs import HomeJob
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.model import Job, MachineType, Piece, Report
 from clayport.placer import DEMAND_MOST, GATHER, Look
 from clayport.server import Controller
@@ -43,8 +43,8 @@
         self.c = Controller(parse(json.dumps(GOOD).encode()))
         self.c.types = msgspec.convert(TYPES, list[MachineType])
         self.c.owner.types = {t.name: t for t in self.c.types}
-        self.c.generation = Generation(1, {"c0": "x"}, 1)
-        self.c.owner.begin(self.c.generation, "c0")
+        self.c.epoch = Epoch(1, {"c0": "x"}, 1)
+        self.c.owner.begin(self.c.epoch, "c0")
         self.seq = 0
 
     def wait(self, job: Job) -> HomeJob:
@@ -249,7 +249,7 @@
     owner_side, home = Home(monkeypatch), Home(monkeypatch)
     owner, picture = owner_side.c.owner, home.c.picture
     home.c.live[LOW.id] = owner_side.c.live[LOW.id] = (LOW, 1)
-    home.c.generation = owner_side.c.generation = Generation(1, {"c1": "y"}, 1)
+    home.c.epoch = owner_side.c.epoch = Epoch(1, {"c1": "y"}, 1)
     owner_side.c.serving = True
 
     async def call(_: int, values: tuple[Any, ...]) -> tuple[Any, ...]:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,7 @@
 from clayport.dispatch import EpochEndedError
 from clayport.jobs import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, HomeJob
 from clayport.limits import Deadline
-from clayport.membership import COUNTER_BITS, Generation, should_leave
+from clayport.membership import TOKEN_COUNTER_BITS, Epoch, should_leave
 from clayport.model import Chunk, Job, MachineType, chunk_size
 from clayport.placement import OPEN
 from clayport.provisioning import Boot, Boots, Need, pressing, shopping
@@ -484,7 +484,7 @@
         assert {k[0] for k in bought} == {chosen}
 
 
-def test_a_routine_does_not_go_on_under_the_next_generation(
+def test_a_routine_does_not_go_on_under_the_next_epoch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Delayed by a peer that had crashed, one did, beside its successor: both used the same
@@ -496,7 +496,7 @@
     job = made(1)
     c.live[job.id] = (job, 1)
     c.serving = True
-    old = HomeJob(job, 1, 50, home.now, generation=0)
+    old = HomeJob(job, 1, 50, home.now, epoch=0)
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
         if prepare == "starts":
@@ -662,34 +662,34 @@
 
 
 @pytest.mark.parametrize(
-    "generation, heard, heard_s, voids",
+    "epoch, heard, heard_s, voids",
     [
         (4, "second", 1.0, True),
         # The worker has seen no token of its owner, whose answer was lost; a launch is on its way.
         (3, "second", 1.0, True),
         (0, "second", 1.0, True),
-        # A generation that we don't know yet has entitled another process.
+        # An epoch that we don't know yet has entitled another process.
         (5, "second", 1.0, False),
         (4, "first", 1.0, False),
         (3, "first", 1.0, False),
-        # It was the named one's predecessor that answered, before we read of the generation.
+        # It was the named one's predecessor that answered, before we read of the epoch.
         (4, "before", -1.0, False),
         (3, "before", -1.0, False),
     ],
 )
 def test_all_that_an_ended_owner_sent_is_void_and_nothing_later(
-    monkeypatch: pytest.MonkeyPatch, generation: int, heard: str, heard_s: float, voids: bool
+    monkeypatch: pytest.MonkeyPatch, epoch: int, heard: str, heard_s: float, voids: bool
 ) -> None:
-    """What is given out to a machine whose owner's process has ended, by the generation of the
+    """What is given out to a machine whose owner's process has ended, by the epoch of the
     highest token that it has seen, when ours is the fourth."""
     home = Home(monkeypatch)
     c = home.c
-    c.begin(Generation(4, {"c1": "first"}, 7))
+    c.begin(Epoch(4, {"c1": "first"}, 7))
     c.state_known = True
     monkeypatch.setattr(c, "may_renew", lambda now: True)
     c.horizon.promised("c1", heard, home.now + heard_s, home.now + heard_s)
     c.fleet.forwarded["m1"] = home.now
-    sent = generation << COUNTER_BITS | 5
+    sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
     report |= {"loaners": False, "tenure": 1, "counter": 1, "epoch": sent, "pieces": []}
     body = msgspec.json.encode(report)
@@ -699,4 +699,4 @@
     if not voids:
         assert token == sent
     else:
-        assert (4 << COUNTER_BITS) + 1000 < token < 5 << COUNTER_BITS
+        assert (4 << TOKEN_COUNTER_BITS) + 1000 < token < 5 << TOKEN_COUNTER_BITS
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -20,7 +20,7 @@
     """What fences use of a controller; the cloud takes a request each second."""
 
     def __init__(self) -> None:
-        self.cloud = self.generation = self
+        self.cloud = self.epoch = self
         self.sent: list[list[str]] = []
         self.told: list[str] = []
         self.fails: set[int] = set()  # numbers of the requests that are refused
@@ -76,17 +76,17 @@
     assert not fences.waiting and not fences.sending
 
 
-def test_what_waits_is_not_returned_in_a_later_generation() -> None:
+def test_what_waits_is_not_returned_in_a_later_epoch() -> None:
     """Its new owner may have heard the machine meanwhile: it works, and is full again."""
     core = Core()
     fences = Fences(core)  # type: ignore[arg-type]
 
     async def turn() -> None:
-        core.generation = object()  # type: ignore[assignment]
+        core.epoch = object()  # type: ignore[assignment]
 
     core.turn = turn  # type: ignore[method-assign]
     found = curio.run(fence_all, fences, ["i-000001", "i-000002"])
-    assert core.sent == [] and all("generation" in f for f in found)
+    assert core.sent == [] and all("epoch" in f for f in found)
 
 
 def test_an_error_of_any_kind_is_told() -> None:
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -39,7 +39,7 @@
     return hj
 
 
-def test_launch_is_fenced_by_generation_job_and_chunk() -> None:
+def test_launch_is_fenced_by_epoch_job_and_chunk() -> None:
     """A cancellation or an eviction between the write-ahead and the commit stops it."""
     hj = home()
     txn, _ = hj.start_txn(7, [(0, "m1")], 1)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -70,7 +70,7 @@
 LOG = "".join(
     f"  {10 + n}.0 host-0 INFO clayport.api job=j-{n} event=accepted class=a kind=sweep "
     f"tasks={n}\n  {20 + 60 * n}.5 host-1 INFO clayport.dispatch job=j-{n} "
-    f"generation=1 event=launch tasks=1 attempt=1\n"
+    f"epoch=1 event=launch tasks=1 attempt=1\n"
     for n in range(1, 9)
 )
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -55,15 +55,15 @@
 def cast(world: World, row: Gap) -> tuple[str, str, str]:
     """A job of the row's kind, the owner of a machine that it is on, and another controller;
     its home is as the row has it."""
-    generation = next(iter(world.controllers.values())).generation
+    epoch = next(iter(world.controllers.values())).epoch
     for name in sorted(world.accepted - set(world.cancelled)):
         if world.kinds[name] != row.kind:
             continue
-        home = generation.place(name)
+        home = epoch.place(name)
         for worker in world.workers.values():
             if not any(k[0].startswith(name + "/") for k in worker.on()):
                 continue
-            owner = generation.place(worker.name)
+            owner = epoch.place(worker.name)
             others = [x for x in world.labels if x != owner]
             for asked in others:
                 role = "refused" if home == owner else "confirmer" if home == asked else "third"
@@ -169,7 +169,7 @@
 
 
 ROWS = [
-    # The refusal just before, as long as a controller's lease, with a new generation begun.
+    # The refusal just before, as long as a controller's lease, with a new epoch begun.
     *(
         Gap(refused_s=s, word=w, home=h)
         for s, w, h in (
--- a/tests/test_meetings_page.py
+++ b/tests/test_meetings_page.py
@@ -100,7 +100,7 @@
     """Jobs are cancelled before, in and after the same tenth of a second in which the state
     service refuses one alone; a second later it is out for longer than `cancel_s`."""
     names = await long_jobs(world, 10)
-    owners = [world.controllers["c0"].generation.place(w.name) for w in running(world, names[0])]
+    owners = [world.controllers["c0"].epoch.place(w.name) for w in running(world, names[0])]
     await cancel(world, names, 0.5)
     await curio.sleep(0.2)
     world.state.refused.add(owners[0] if owners else "c0")
@@ -189,7 +189,7 @@
 
 
 async def reports_for_the_next(world: World, late_s: tuple[float, float]) -> None:
-    """Old reports reach every controller with a new generation, or once it has acted."""
+    """Old reports reach every controller with a new epoch, or once it has acted."""
     world.kept_reports = 0.5
     copies = await curio.spawn(world.hand_over_copies, late_s, daemon=True)
     names = await long_jobs(world, 6)
@@ -256,7 +256,7 @@
 
 
 # Every row was seen to fail with a mechanism taken out: the conditions of transactions on
-# chunks and generation (zone_cut_off), on quotas (full_team_leader_first) and on live and final
+# chunks and epoch (zone_cut_off), on quotas (full_team_leader_first) and on live and final
 # records (cancelled_at_the_end); the numbers of reports (reports_once_the_next_has_acted);
 # that only a fenced report says "gone" of an adopted task (ten_changes, new_machines_at_once,
 # reports_as_the_next_begins, short_of_room); the zones of spread jobs (bound_to_a_zone); kills
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -418,7 +418,7 @@
     while not on():
         await curio.sleep(0.1)
         for c in world.controllers.values():
-            if c.serving and c.generation.place("j-000001") == c.label:
+            if c.serving and c.epoch.place("j-000001") == c.label:
                 for machine in c.owner.machines.values():
                     machine.hold_job, machine.hold_until = "other", clock() + 60.0
     worker = on()[0]
@@ -435,7 +435,7 @@
 
 
 async def key_applied_twice(clock: Clock) -> World:
-    """A copy of a controller's first key is applied just after the generation of all."""
+    """A copy of a controller's first key is applied just after the epoch of all."""
     world = World(clock, 3)
     commit, first = world.state.commit, []
 
@@ -456,7 +456,7 @@
 
 
 def test_a_late_copy_of_a_key_holds_up_no_upgrade(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version's record was written anew after the generation that all waited for, and
+    """The version's record was written anew after the epoch that all waited for, and
     pipelines were refused until a controller ended."""
     world = simulate(monkeypatch, key_applied_twice)
     assert [c.upgraded for c in world.controllers.values()] == [True] * 3
--- a/tests/test_peer_requests.py
+++ b/tests/test_peer_requests.py
@@ -1,4 +1,4 @@
-"""The table of peers' requests: every kind has its method, and the generation is checked."""
+"""The table of peers' requests: every kind has its method, and the epoch is checked."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from clayport import peerwire
 from clayport.config import parse
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.peer_requests import HANDLERS
 from clayport.server import Controller
 
@@ -29,7 +29,7 @@
     peerwire.HISTORY_TOLD,
     peerwire.EVIDENCE_TOLD,
 }
-# What acts in any generation, and why that is safe.
+# What acts in any epoch, and why that is safe.
 ANY_GENERATION = {
     peerwire.PING,  # tells, and asks for nothing
     peerwire.BEAT,
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize("kind", sorted(set(HANDLERS) - ANY_GENERATION))
 @pytest.mark.parametrize("number, serving", [(7, False), (6, True), (8, True)])
-def test_what_acts_is_refused_in_another_generation(
+def test_what_acts_is_refused_in_another_epoch(
     monkeypatch: pytest.MonkeyPatch, kind: int, number: int, serving: bool
 ) -> None:
     # Fails for every row whose refusal is taken out, and with `serving` not asked for.
@@ -69,6 +69,6 @@
 
     monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=never))
     c = Controller(parse(json.dumps(GOOD).encode()))
-    c.generation, c.serving = Generation(number, {c.label: c.incarnation}, 1), serving
+    c.epoch, c.serving = Epoch(number, {c.label: c.incarnation}, 1), serving
     reply, answer = curio.run(c.peer_requests.answer, kind, example(peerwire.SCHEMAS[kind]))
     assert not answer[0] and peerwire.encode(reply, 1, answer)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -24,7 +24,7 @@
     live_value,
     parse_chunk_key,
 )
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.model import Chunk, Job, chunk_size
 from clayport.pipelines import Pipelines
 from clayport.server import Controller
@@ -639,10 +639,10 @@
 def test_when_all_are_new(
     monkeypatch: pytest.MonkeyPatch, said: dict[str, tuple[int, int]], rev: int, upgraded: bool
 ) -> None:
-    """Every controller of the settings, and a generation that began after they had said so."""
+    """Every controller of the settings, and an epoch that began after they had said so."""
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
-    c.versions, c.generation = said, Generation(9, {"c0": "x"}, rev)
+    c.versions, c.epoch = said, Epoch(9, {"c0": "x"}, rev)
     c.mirror.count_versions()
     assert c.upgraded == upgraded
     c.versions = {}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -349,12 +349,12 @@
 
 
 def test_controller_without_the_state_service_lets_its_workers_go() -> None:
-    """Peers act under a newer generation that it can't see: kept workers would be
+    """Peers act under a newer epoch that it can't see: kept workers would be
     silent to their new owners, who would have them returned."""
-    from clayport.membership import Generation
+    from clayport.membership import Epoch
 
     handler, c = api()
-    c.begin(Generation(3, {"c0": c.incarnation}, 7))
+    c.begin(Epoch(3, {"c0": c.incarnation}, 7))
     c.serving, c.state_known = True, True
     report = dict(REPORT)
 
@@ -372,7 +372,7 @@
     c.horizon.read(now)
     assert ask() == 200
     peer = c.peers["c1"]
-    peer.heard, peer.generation, peer.state_ok = now, 4, True
+    peer.heard, peer.epoch, peer.state_ok = now, 4, True
     assert ask() == 200  # we have the state service: our watch will tell
     c.store.last_bad, c.store.last_ok = now + 1, now - 100
     assert ask() == 421
@@ -396,10 +396,10 @@
 
 def test_a_late_report_does_not_bring_a_returned_machine_back() -> None:
     """It was open for work again until its silence was noticed."""
-    from clayport.membership import Generation
+    from clayport.membership import Epoch
 
     handler, c = api()
-    c.begin(Generation(3, {"c0": c.incarnation}, 7))
+    c.begin(Epoch(3, {"c0": c.incarnation}, 7))
     c.serving, c.state_known = True, True
     c.horizon.read(time.monotonic())
     raw = json.dumps(REPORT).encode()
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -136,7 +136,7 @@
             process.kill()
             process.wait()
         nodes = [k for k in there.state.keys if k.startswith("c/")]
-        assert len(nodes) <= 3, nodes  # its key, its version, the generation
+        assert len(nodes) <= 3, nodes  # its key, its version, the epoch
         assert there.state.keys["c/generation"][0]["number"] >= starts
     finally:
         if process is not None and process.poll() is None:
--- a/tests/test_rebuild.py
+++ b/tests/test_rebuild.py
@@ -80,7 +80,7 @@
     ("end/", prefix("end/")),
     ("run/", prefix("run/")),
     ("quota/", prefix("quota/")),
-    ("generation", prefix("c/generation")),
+    ("epoch", prefix("c/generation")),
     ("c/", prefix("c/")),
     ("nothing", prefix("-")),
 ]
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -9,7 +9,7 @@
 import curio
 import pytest
 
-from clayport.membership import FlapDamping, Generation, may_propose, successor
+from clayport.membership import Epoch, FlapDamping, may_propose, successor
 
 from .test_model import JOBS, JOBS_A_DAY, held, until_over
 from .world import Clock, World, job, simulate
@@ -127,31 +127,31 @@
     assert all(c.serving for c in world.controllers.values())
 
 
-async def generations(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
-    """How many generations a scene costs, and who is a member in the end."""
+async def epochs(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
+    """How many epochs a scene costs, and who is a member in the end."""
     world = World(clock, 33)
     for label in world.labels:
         await world.start(label)
     for routine in (world.spawner, world.watch_rules):
         await curio.spawn(routine, daemon=True)
     await curio.sleep(15.0)
-    before = world.controllers["c0"].generation.number
+    before = world.controllers["c0"].epoch.number
     await scene(world)
-    cost = world.controllers["c0"].generation.number - before
+    cost = world.controllers["c0"].epoch.number - before
     await curio.sleep(90.0)
     assert world.broken == []
-    return cost, sorted(world.controllers["c0"].generation.members)
+    return cost, sorted(world.controllers["c0"].epoch.members)
 
 
 @pytest.mark.parametrize(
     "scene, most",
     [(one_twenty_times, 8), (as_soon_as_it_serves, 16), (all_three_times_in_four_seconds, 12)],
 )
-def test_one_that_ends_over_and_over_costs_a_bounded_number_of_generations(
+def test_one_that_ends_over_and_over_costs_a_bounded_number_of_epochs(
     monkeypatch: pytest.MonkeyPatch, scene: Scene, most: int
 ) -> None:
-    """All the others announced a generation and loaded their jobs for each of its ends."""
-    cost, members = simulate(monkeypatch, lambda clock: generations(clock, scene))
+    """All the others announced an epoch and loaded their jobs for each of its ends."""
+    cost, members = simulate(monkeypatch, lambda clock: epochs(clock, scene))
     assert 1 <= cost <= most
     assert members == ["c0", "c1", "c2"]  # it is back, once it stays
 
@@ -197,7 +197,7 @@
     present: dict[str, str], proposes: dict[str, bool]
 ) -> None:
     """It doesn't know who has ended how often; and all that begin together are taken in by
-    one generation instead of one for each."""
+    one epoch instead of one for each."""
     members = {"a": "a0", "b": "b0", "c": "c0"}
     assert {me: may_propose(me, members, present) for me in present} == proposes
-    assert successor(Generation(4, members, 1), present) is not None
+    assert successor(Epoch(4, members, 1), present) is not None
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from clayport import peerwire
-from clayport.membership import Generation
+from clayport.membership import Epoch
 from clayport.model import Job
 from clayport.provisioning import Arrivals
 
@@ -55,7 +55,7 @@
 
 def test_places_of_more_than_are_remembered_are_the_same() -> None:
     members = {f"c{n}": "x" for n in range(5)}
-    one, other = Generation(1, members, 1), Generation(1, members, 1)
+    one, other = Epoch(1, members, 1), Epoch(1, members, 1)
     names = [f"i-{n:06d}" for n in range(30_000)]
     assert [one.place(n) for n in names][:100] == [other.place(n) for n in names[:100]]
     assert len(one._places) <= 20_000
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from clayport.membership import COUNTER_BITS, Generation, rendezvous, should_leave, successor
+from clayport.membership import TOKEN_COUNTER_BITS, Epoch, rendezvous, should_leave, successor
 from clayport.model import Job, MachineType, Piece, Report
 from clayport.workers import Owner
 
@@ -32,7 +32,7 @@
             3.0,
         )
         self.owner.types = {t.name: t for t in msgspec.convert(TYPES, list[MachineType])}
-        self.owner.begin(Generation(3, {"c0": "x"}, 7), "c0")
+        self.owner.begin(Epoch(3, {"c0": "x"}, 7), "c0")
         self.seq = 0
 
     def report(
@@ -193,10 +193,10 @@
 
 @pytest.mark.parametrize(
     "raised_by, entitled",
-    [(0, True), (1, True), (1 << COUNTER_BITS - 1, True), (1 << COUNTER_BITS, False)],
+    [(0, True), (1, True), (1 << TOKEN_COUNTER_BITS - 1, True), (1 << TOKEN_COUNTER_BITS, False)],
 )
-def test_only_a_later_generation_takes_the_machine_away(raised_by: int, entitled: bool) -> None:
-    """A higher token of our generation, given out by a peer, is taken over: what was sent
+def test_only_a_later_epoch_takes_the_machine_away(raised_by: int, entitled: bool) -> None:
+    """A higher token of our epoch, given out by a peer, is taken over: what was sent
     under the one before can't run any more, and says nothing of what is gone."""
     b = Bench()
     b.report()
@@ -235,14 +235,14 @@
     assert b.owner.open(b.machine) == open_ == b.owner.room(b.machine).open
 
 
-def test_generation_keeps_machines_but_settles_nothing() -> None:
+def test_epoch_keeps_machines_but_settles_nothing() -> None:
     b = Bench()
     b.report()
     b.report(RUN)
     token = b.machine.token
-    b.owner.begin(Generation(4, {"c0": "x"}, 9), "c0")
+    b.owner.begin(Epoch(4, {"c0": "x"}, 9), "c0")
     assert b.machine.token > token and not b.machine.fenced and not b.machine.want
-    b.owner.begin(Generation(5, {"c1": "y"}, 10), "c0")
+    b.owner.begin(Epoch(5, {"c1": "y"}, 10), "c0")
     assert b.owner.machines == {}
 
 
@@ -299,7 +299,7 @@
     assert b.gone() == told and "m1" not in b.owner.machines
 
 
-# -- generations ---------------------------------------------------------
+# -- epochs ---------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -315,10 +315,10 @@
 def test_successor(
     members: dict[str, str], present: dict[str, str], proposed: dict[str, str] | None
 ) -> None:
-    current = Generation(4, members, 9)
+    current = Epoch(4, members, 9)
     found = successor(current, present)
     assert (found.members if found else None) == proposed
-    assert found is None or found.base_token > current.base_token
+    assert found is None or found.first_token > current.first_token
 
 
 @pytest.mark.parametrize(
@@ -345,7 +345,7 @@
 
 
 def test_an_exited_task_that_nobody_cleared_is_told_again() -> None:
-    """Its home's answer was lost; the machine was kept rented until the next generation."""
+    """Its home's answer was lost; the machine was kept rented until the next epoch."""
     b = Bench()
     b.report()
     b.launch()
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -121,7 +121,7 @@
     tasks = {k[0] for w in chosen for k in w.on()}
     out_of_reach.update(w.name for w in chosen)
     if leader_ends:
-        await again(world, world.controllers["c0"].generation.place(chosen[0].name))
+        await again(world, world.controllers["c0"].epoch.place(chosen[0].name))
     since = missed = world.clock()
     while world.clock() < since + watched_s:
         await curio.sleep(0.5)
@@ -183,7 +183,7 @@
 
 
 async def deposed(world: World, label: str, for_s: float) -> None:
-    """One is left out of the generation, while its machines and users reach it."""
+    """One is left out of the epoch, while its machines and users reach it."""
     world.state.refused.add(label)
     await curio.sleep(for_s)
     world.state.refused.discard(label)
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -56,8 +56,7 @@
                 and worker is not None
                 and key in worker.tasks
                 and worker.tasks[key].state != "exited"
-                and c.generation.number
-                == max(x.generation.number for x in self.controllers.values())
+                and c.epoch.number == max(x.epoch.number for x in self.controllers.values())
             ):
                 self.broken.append(f"gone_too_early {event}")
             emit(job_id, event)
--- a/tests/world/deployment.py
+++ b/tests/world/deployment.py
@@ -46,7 +46,7 @@
         # of reports of which a copy arrives again, at any controller, up to two leases later.
         self.late_writes = self.late_reports = 0.0
         # Shares of transactions carried out at once of which only the answer is lost; of reports
-        # of which a copy is kept for the next generation; of direct commands that get no answer
+        # of which a copy is kept for the next epoch; of direct commands that get no answer
         # and are carried out 2 to 16 s late; of the jobs that are cancelled as they end.
         self.lost_answers = self.kept_reports = self.late_commands = self.cancelled_at_end = 0.0
         self.copies: list[tuple[str, bytes]] = []  # the reports that are kept
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -144,7 +144,7 @@
             pass
 
     async def hand_over_copies(self, late_s: tuple[float, float]) -> None:
-        """With each new generation, the reports that were kept reach every controller."""
+        """With each new epoch, the reports that were kept reach every controller."""
         known = self.state.keys.get("c/generation")
         while True:
             await curio.sleep(0.05)
