--- a/bench/capacity/counted_world.py
+++ b/bench/capacity/counted_world.py
@@ -10,7 +10,7 @@
 import pytest
 
 from bench.rebuild_day import Large
-from clayport import peerwire
+from clayport.transport import frames
 from tests.world import Clock, State
 
 WRITES = "writes"
@@ -38,14 +38,14 @@
         self.rebuild = False
         self.state = IndexedState(self)
         self.counts: Counter[str] = Counter()
-        encode = peerwire.encode
+        encode = frames.encode
 
         def counted(kind: int, number: int, values: tuple[Any, ...]) -> bytes:
             frame = encode(kind, number, values)
             self._count("peers", len(frame))
             return frame
 
-        patch.setattr(peerwire, "encode", counted)
+        patch.setattr(frames, "encode", counted)
 
     def _count(self, what: str, size: int) -> None:
         self.counts[f"{what}.messages"] += 1
--- a/bench/capacity/fixtures.py
+++ b/bench/capacity/fixtures.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from bench import fleets, passes
+from clayport.controller import Controller
 from clayport.model import Job
-from clayport.server import Controller
 from tests.world import job as submission
 
 
@@ -18,7 +18,7 @@
     """One that serves alone and may renew leases: its records are always just read."""
     core = passes.controller()
     core.serving = core.state_known = True
-    core.horizon.known = time.monotonic  # type: ignore[method-assign]
+    core.watermark.known = time.monotonic  # type: ignore[method-assign]
     return core
 
 
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -12,11 +12,11 @@
 import curio
 
 from bench import passes, placement
-from clayport import peerwire
-from clayport.cancellations import Horizon, Promises
-from clayport.membership import Epoch
-from clayport.peers import Peer
-from clayport.server import Controller
+from clayport.controller import Controller
+from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.membership.epoch import Epoch
+from clayport.transport import frames
+from clayport.transport.peers import Peer
 
 from . import fixtures, sockets
 from .figures import Figure, figure
@@ -101,14 +101,14 @@
     core = fixtures.controller()
     core.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
     worker = fixtures.Reporter(core, 1, 8)
-    size = peerwire.HEADER.size
+    size = frames.HEADER.size
 
     async def answer(bodies: list[bytes]) -> None:
         for body in bodies:
-            frame = peerwire.encode(peerwire.REPORT, 1, (core.epoch.number, body))
-            values = peerwire.decode_body(peerwire.REPORT, frame[size:])
-            kind, told = await core.peer_requests.answer(peerwire.REPORT, values)
-            peerwire.encode(kind, 1, told)
+            frame = frames.encode(frames.REPORT, 1, (core.epoch.number, body))
+            values = frames.decode_body(frames.REPORT, frame[size:])
+            kind, told = await core.peer_requests.answer(frames.REPORT, values)
+            frames.encode(kind, 1, told)
 
     def measure() -> float:
         bodies = [worker.body() for _ in range(REPORTS)]
@@ -141,7 +141,7 @@
         core.promises = Promises(core.peers, core.settings.cluster.workers.lease_s, 0.0)
         core.epoch = Epoch(1, {"host-0": "x", "host-1": "y"}, 1)
         core.owner.begin(core.epoch, label)
-        core.picture.begin()
+        core.cached_state.begin()
         cores.append(core)
     return cores[0], cores[1]
 
@@ -159,12 +159,14 @@
     found["heartbeat.1800_machines.seconds"], _ = heartbeat(asked, 0)
     for controllers in CONTROLLERS:
         labels = [f"host-{number}" for number in range(controllers)]
-        horizon = Horizon(labels, 15.0)
+        watermark = CancellationWatermark(labels, 15.0)
         for label in labels:
-            horizon.promised(label, "x", 1.0, 1.0)
-        horizon.read(2.0)
+            watermark.promised(label, "x", 1.0, 1.0)
+        watermark.read(2.0)
         found[f"may_renew.{controllers}_controllers.seconds"] = repeated(
-            lambda horizon=horizon: spent(lambda: [horizon.known() for _ in range(3000)], 3000)
+            lambda watermark=watermark: spent(
+                lambda: [watermark.known() for _ in range(3000)], 3000
+            )
         )
     return found
 
@@ -173,18 +175,18 @@
     """Processor time and bytes of one that tells of so many waiting jobs."""
     demand = [(f"j-{number:06d}", 3, 1000.0, "a") for number in range(rows)]
     values = ("host-0", 1, True, 7, demand, "x" * 16, 100)
-    size = peerwire.HEADER.size
+    size = frames.HEADER.size
 
     async def beats() -> None:
         for _ in range(100):
-            raw = peerwire.encode(peerwire.BEAT, 1, values)
+            raw = frames.encode(frames.BEAT, 1, values)
             kind, told = await asked.peer_requests.answer(
-                peerwire.BEAT, peerwire.decode_body(peerwire.BEAT, raw[size:])
+                frames.BEAT, frames.decode_body(frames.BEAT, raw[size:])
             )
-            peerwire.decode_body(kind, peerwire.encode(kind, 1, told)[size:])
+            frames.decode_body(kind, frames.encode(kind, 1, told)[size:])
 
     seconds = repeated(lambda: spent(lambda: curio.run(beats), 100))
-    return seconds, figure("bytes", [len(peerwire.encode(peerwire.BEAT, 1, values))])
+    return seconds, figure("bytes", [len(frames.encode(frames.BEAT, 1, values))])
 
 
 def owned_reporters(owner: Controller, count: int) -> list[fixtures.Reporter]:
@@ -224,9 +226,9 @@
         ) -> Any:
             before = time.process_time()
             reply, told = await owner.peer_requests.answer(kind, values)
-            raw = peerwire.encode(reply, 1, told)
+            raw = frames.encode(reply, 1, told)
             sides["answering"], sides["bytes"] = time.process_time() - before, len(raw)
-            return peerwire.decode_body(reply, raw[peerwire.HEADER.size :])
+            return frames.decode_body(reply, raw[frames.HEADER.size :])
 
         asking.peers["host-1"].call = call  # type: ignore[method-assign]
         for part, share in (("whole", 1.0), ("changed", CHANGED_SHARE)):
@@ -234,16 +236,16 @@
             answering: list[float] = []
             for _ in range(REPEATS + 1):
                 if part == "whole":
-                    asking.picture.pulled.clear()
+                    asking.cached_state.pulled.clear()
                 else:
                     for worker in workers[: int(fleet * share)]:
                         worker.change()
                     curio.run(show, owner, workers[: int(fleet * share)])
-                    asking.picture.stale.update(
+                    asking.cached_state.stale.update(
                         dict.fromkeys(worker.machine for worker in workers[: int(fleet * share)])
                     )
                 before = time.process_time()
-                curio.run(asking.picture._pull, "host-1")
+                curio.run(asking.cached_state._pull, "host-1")
                 taking.append(time.process_time() - before - sides["answering"])
                 answering.append(sides["answering"])
             name = f"refresh.{fleet}_machines.{part}"
@@ -303,16 +305,16 @@
     """Bytes kept for a live job, an ended one, a machine owned, and a task on it."""
 
     def live_job(core: Controller, number: int) -> None:
-        core.mirror.note_live(fixtures.described(number + 10), 1, time.monotonic())
+        core.record_replica.note_live(fixtures.described(number + 10), 1, time.monotonic())
 
     def ended_job(core: Controller, number: int) -> None:
-        core.mirror.note_end(f"j-{number + 10:06d}", "done", time.time(), 2)
+        core.record_replica.note_end(f"j-{number + 10:06d}", "done", time.time(), 2)
 
     def machine(tasks: int) -> Callable[[Controller, int], None]:
         def make(core: Controller, number: int) -> None:
             body = fixtures.Reporter(core, number, tasks).body()
             curio.run(core.api.handle, "POST", "/v1/report", body)
-            core.picture.rooms()
+            core.cached_state.rooms()
 
         return make
 
--- a/bench/capacity/sockets.py
+++ b/bench/capacity/sockets.py
@@ -14,7 +14,7 @@
 
 import curio
 
-from clayport import http, peers, peerwire
+from clayport.transport import frames, http, peers
 
 ADDRESS = "127.0.0.1"
 THREAD_TIME_PATH = "/thread-time"
@@ -131,7 +131,7 @@
     _kind: int, _values: tuple[Any, ...]
 ) -> tuple[int, tuple[bool, int, int]]:
     spent = int(time.thread_time() * 1e6)
-    return peerwire.COUNTED, (True, spent // 1_000_000, spent % 1_000_000)
+    return frames.COUNTED, (True, spent // 1_000_000, spent % 1_000_000)
 
 
 def peer_call_seconds(count: int) -> tuple[float, float]:
@@ -147,10 +147,10 @@
 
     async def ask() -> tuple[float, float]:
         peer = peers.Peer("host-1", ADDRESS, port, CONNECT_S)
-        _, whole, part = await peer.call(peerwire.COUNTS, (1, "j-000001"))
+        _, whole, part = await peer.call(frames.COUNTS, (1, "j-000001"))
         own, other = time.thread_time(), whole + part / 1e6
         for _ in range(count):
-            _, whole, part = await peer.call(peerwire.COUNTS, (1, "j-000001"))
+            _, whole, part = await peer.call(frames.COUNTS, (1, "j-000001"))
         return (
             (time.thread_time() - own) / count,
             (whole + part / 1e6 - other) / count,
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -5,9 +5,9 @@
 import math
 import random
 
-from clayport.index import Index
 from clayport.model import Job, MachineType
-from clayport.placement import Room, capacity
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Room, capacity
 
 TYPES = [
     MachineType(name, cpus, 0.0, memory_gb, 60.0, 0.4, price, price / 4, 50.0, ["a", "b"])
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -3,9 +3,9 @@
     python -m bench.passes [--jobs 10000] [--machines 639] [--passes 20]
 
 One controller without any network: it is home to all jobs and owner of no machine; the
-picture is filled as a peer's table would. The first pass looks at everything; before each
+cached state is filled as a peer's table would. The first pass looks at everything; before each
 of the others `REPORTS` machines are shown anew. It runs on earlier sources as well (with
-their own way to fill the picture), so that both are timed by the same lines.
+their own way to fill the cached state), so that both are timed by the same lines.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 import time
 from collections.abc import Callable
 
-from clayport.config import parse
-from clayport.jobs import HomeJob
-from clayport.membership import Epoch
-from clayport.server import Controller
+from clayport.controller import Controller
+from clayport.jobs.managed_job import ManagedJob
+from clayport.membership.epoch import Epoch
+from clayport.settings import parse
 
 from . import fleets
 
@@ -84,14 +84,14 @@
     start = clock()
     core.placer._pass(time.monotonic())
     took = clock() - start
-    for hj in core.dispatch.homes.values():
-        if hj.starts and hasattr(core.placer, "line"):
-            core.placer.line.touch(hj.job.id)
-        hj.starts.clear()
-        hj.placing.clear()
-        hj.again.clear()
-        hj.cursor = 0
-    core.picture.inflight.clear()
+    for managed in core.dispatcher.managed_jobs.values():
+        if managed.starts and hasattr(core.placer, "line"):
+            core.placer.queue.touch(managed.job.id)
+        managed.starts.clear()
+        managed.placing.clear()
+        managed.again.clear()
+        managed.cursor = 0
+    core.cached_state.inflight.clear()
     for coro in core.coros:
         coro.close()
     core.coros.clear()
@@ -106,11 +106,11 @@
     for room in there:
         show(core, room)
     for job in fleets.jobs(jobs, rng):
-        job = core.judged(job)
+        job = core.with_objectives(job)
         core.live[job.id] = (job, 1)
-        core.dispatch.homes[job.id] = HomeJob(job, 1, 500, time.monotonic())
+        core.dispatcher.managed_jobs[job.id] = ManagedJob(job, 1, 500, time.monotonic())
         if hasattr(core.placer, "line"):
-            core.placer.line.touch(job.id)
+            core.placer.queue.touch(job.id)
     return core, there
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -17,8 +17,8 @@
 import tracemalloc
 from collections.abc import Callable
 
-from clayport.jobs import HomeJob
-from clayport.placement import Policy, Spread, place
+from clayport.jobs.managed_job import ManagedJob
+from clayport.scheduling.placement import Policy, Spread, place
 from tests import plain
 
 from . import fleets
@@ -78,12 +78,12 @@
             place(job, 1, index, Spread(job, ()))
     index_bytes = tracemalloc.get_traced_memory()[0] - before - plain_bytes
     before = tracemalloc.get_traced_memory()[0]
-    homes = [HomeJob(job, 1, 500, 0.0) for job in fleets.jobs(jobs, rng)]
+    managed_jobs = [ManagedJob(job, 1, 500, 0.0) for job in fleets.jobs(jobs, rng)]
     job_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     print(
         f"{plain_bytes / machines:.0f} B a room, and {index_bytes / machines:.0f} B for its "
-        f"places in the index; {job_bytes / len(homes):.0f} B a waiting job"
+        f"places in the index; {job_bytes / len(managed_jobs):.0f} B a waiting job"
     )
 
 
--- a/bench/rebuild.py
+++ b/bench/rebuild.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from clayport.jobs import chunk_key, live_key
-from clayport.membership import rendezvous
+from clayport.jobs.managed_job import chunk_key, live_key
+from clayport.membership.epoch import rendezvous
 from clayport.model import Chunk, Job
 from clayport.rebuild import files
 from clayport.rebuild.evidence import Evidence, only_news, pack, unpack
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -22,7 +22,7 @@
 import curio
 import pytest
 
-from clayport.jobs import chunk_key, live_key, quota_key
+from clayport.jobs.managed_job import chunk_key, live_key, quota_key
 from clayport.model import Chunk
 from tests.world import SETTINGS, Clock, World, job, simulate
 
--- a/bench/served.py
+++ b/bench/served.py
@@ -91,7 +91,7 @@
         return f"{self.job_class} {self.kind}{bound}"
 
 
-class Report(msgspec.Struct):
+class WorkerHeartbeat(msgspec.Struct):
     """The parts of a day's report that are read here."""
 
     scenario: str
@@ -101,7 +101,7 @@
     targets: list[Target] = []
 
 
-def shares(report: Report) -> list[Share]:
+def shares(report: WorkerHeartbeat) -> list[Share]:
     """Every share of the day, the least first."""
     found = []
     for name, c in report.classes.items():
@@ -157,19 +157,19 @@
     for name, jobs in classes.items():
         largest = sorted(jobs, reverse=True)[: max(1, len(jobs) // 4)]
         # What came too late to be judged, or was cancelled before, says nothing.
-        judged = [
+        with_objectives = [
             (job, at)
             for _, job, at in largest
             if job not in cancelled and (job in first or last - at >= BEGIN_S)
         ]
-        if judged:
-            waits = sorted(first.get(job, math.inf) - at for job, at in judged)
+        if with_objectives:
+            waits = sorted(first.get(job, math.inf) - at for job, at in with_objectives)
             served = sum(w <= BEGIN_S for w in waits)
             found.append(
                 Share(
                     f"{name} largest began in {BEGIN_S:g} s (log; longest {waits[-1]:.0f} s)",
-                    served / len(judged),
-                    len(judged),
+                    served / len(with_objectives),
+                    len(with_objectives),
                 )
             )
     return sorted(found, key=lambda s: s.value)
@@ -193,7 +193,7 @@
     failed = False
     for path in chosen.report:
         try:
-            report = msgspec.json.decode(path.read_bytes(), type=Report)
+            report = msgspec.json.decode(path.read_bytes(), type=WorkerHeartbeat)
         except (OSError, msgspec.MsgspecError) as exc:
             print(f"{path}: {exc}", file=sys.stderr)
             return 2
--- a/clayport/__main__.py
+++ b/clayport/__main__.py
@@ -2,6 +2,6 @@
 
 import sys
 
-from .cli import main
+from clayport.cli import main
 
 sys.exit(main())
--- a/clayport/cli.py
+++ b/clayport/cli.py
@@ -7,8 +7,8 @@
 import os
 import sys
 
-from . import __version__
-from .config import ConfigError, load
+from clayport import __version__
+from clayport.settings import ConfigError, load
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -35,7 +35,7 @@
     given = sys.argv[1:] if argv is None else argv
     if given and given[0] in ("snapshot", "restore"):
         try:
-            from .rebuild import commands
+            from clayport.rebuild import commands
         except ModuleNotFoundError as exc:
             print(f"clayport: needs {exc.name}: pip install clayport[snapshots]", file=sys.stderr)
             return 2
@@ -49,9 +49,9 @@
     try:
         settings = load(args.config)
         if args.operator:
-            from . import operator
+            from clayport import operator_settings
 
-            own = operator.load(args.operator)
+            own = operator_settings.load(args.operator)
     except ConfigError as exc:
         print(f"clayport: {exc}", file=sys.stderr)
         return 2
@@ -64,8 +64,8 @@
     # Imported late: checking settings needs none of it.
     import curio
 
-    from .refresh import Asc
-    from .server import Controller
+    from clayport.controller import Controller
+    from clayport.scheduling.refresh import AdaptiveInterval
 
     if own is None:
         controller = Controller(settings)
@@ -80,6 +80,8 @@
                 file=sys.stderr,
             )
             return 2
-        controller.picture.asc = Asc(own.refresh.start_s, own.refresh.least_s, own.refresh.most_s)
+        controller.cached_state.adaptive_interval = AdaptiveInterval(
+            own.refresh.start_s, own.refresh.least_s, own.refresh.most_s
+        )
     curio.run(controller.run)
     return 1
--- a/clayport/server.py
+++ b/clayport/controller.py
@@ -13,38 +13,38 @@
 import curio
 import msgspec
 
-from . import http, peers, peerwire
-from .aims import Aims
-from .api import Api
-from .cancellations import Horizon, Promises
-from .cloud import Cloud, CloudError
-from .config import Settings, endpoint
-from .dispatch import Dispatch
-from .fleet import Fleet
-from .heartbeats import Heartbeats
-from .index import Index
-from .limits import Attempt
-from .membership import NO_EPOCH, Epoch
-from .membership_duties import MembershipDuties
-from .mirror import PROMISES, Mirror
-from .model import SERVICE, Description, Job, MachineType, chunk_size
-from .peer_requests import PeerRequests
-from .picture import Picture
-from .pipelines import Pipelines
-from .placement import Room
-from .placer import Placer
-from .provisioning import LINE, Arrivals, remaining, slack
-from .renting import Provisioner
-from .routines import Routines
-from .stalls import StallDetector
-from .statestore import StateStore
-from .takeover import Takeover
-from .workers import Owner
+from clayport.jobs.dispatcher import Dispatcher
+from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.limits import Attempt
+from clayport.machines.fleet import Fleet
+from clayport.machines.table import MachineTable
+from clayport.membership.epoch import NO_EPOCH, Epoch
+from clayport.membership.failover import Failover
+from clayport.membership.heartbeats import Heartbeats
+from clayport.membership.registration import MembershipDuties
+from clayport.membership.stalls import StallDetector
+from clayport.model import SERVICE, Description, Job, MachineType, chunk_size
+from clayport.peer_requests import PeerRequests
+from clayport.records.replica import PROMISES, RecordReplica
+from clayport.records.store import StateStore
+from clayport.routines import Routines
+from clayport.scaling.cloud import Cloud, CloudError
+from clayport.scaling.provisioning import LINE, Arrivals, remaining, slack
+from clayport.scaling.renting import Provisioner
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.dependencies import DependencyGraph
+from clayport.scheduling.index import Index
+from clayport.scheduling.objectives import Objectives
+from clayport.scheduling.placement import Room
+from clayport.scheduling.placer import Placer
+from clayport.settings import Settings, endpoint
+from clayport.transport import frames, http, peers
+from clayport.user_api import Api
 
 if TYPE_CHECKING:
-    from .rebuild.recovery import Recovery
+    from clayport.rebuild.recovery import Recovery
 
-log = logging.getLogger("clayport.server")
+log = logging.getLogger(__name__)
 
 
 class Controller(Routines):
@@ -109,7 +109,7 @@
     def _set_aims(self) -> None:
         """What is aimed at for the classes, and what the teams are sure of."""
         cluster = self.settings.cluster
-        aims = Aims(cluster.objectives)
+        aims = Objectives(cluster.objectives)
         self.finish_all, self.deadline_times = aims.finish_all, aims.deadline_times
         self.finish_limits, self.wait_limits = aims.finish_limits, aims.wait_limits
         self.urgent, self.aimed = set(aims.wait_limits), aims.classes
@@ -125,13 +125,13 @@
         self.types: list[MachineType] = []
         # Live jobs as they are to be scheduled, with their records' revisions.
         self.live: dict[str, tuple[Job, int]] = {}
-        # What a start takes besides its image: a report each way and a look at the picture.
-        self.pipes = Pipelines(1.0, 3 * cluster.workers.report_s)
+        # What a start takes besides its image: a report each way and a look at the cached state.
+        self.dependencies = DependencyGraph(1.0, 3 * cluster.workers.report_s)
         self.versions: dict[str, tuple[int, int]] = {}  # label: format, revision
         self.upgraded = False  # every controller understands FORMAT
         self.bounds = cluster.state  # the state service's limits as they are to be kept to
         self.narrow_size = chunk_size(cluster.state.least().value_kb)
-        self.descs: dict[str, Job] = {}  # ended jobs that may still be on machines
+        self.ended_descriptions: dict[str, Job] = {}  # ended jobs that may still be on machines
         self.ended: OrderedDict[str, str] = OrderedDict()
         # One job of each class that needs GPUs, remembered over restarts: a machine
         # must not be filled, or emptied, because none of them runs at the moment.
@@ -156,31 +156,31 @@
         # A promise outlasts an ordinary end of a process: until it is over, nobody can be told
         # of what one that has just ended didn't acknowledge.
         self.promises = Promises(self.peers, lease_s, self.started)
-        self.horizon = Horizon(self.peers, lease_s)
+        self.watermark = CancellationWatermark(self.peers, lease_s)
         self.promising = False  # every controller understands promises
         self.stalls = StallDetector(self, self.started)
 
     def _set_parts(self) -> None:
         """The parts that decide and act; each knows this controller."""
         lease_s = self.settings.cluster.workers.lease_s
-        self.owner = Owner(self.job_of, self.over, self._emit, 0.5 * lease_s, 0.3 * lease_s)
+        self.owner = MachineTable(self.job_of, self.over, self._emit, 0.5 * lease_s, 0.3 * lease_s)
         self.fleet = Fleet(self)
-        self.mirror = Mirror(self)
-        self.picture = Picture(self)
+        self.record_replica = RecordReplica(self)
+        self.cached_state = CachedState(self)
         self.placer = Placer(self)
-        self.dispatch = Dispatch(self)
+        self.dispatcher = Dispatcher(self)
         self.provisioner = Provisioner(self)
         self.api = Api(self)
         self.heartbeats = Heartbeats(self)
         self.membership = MembershipDuties(self)
-        self.takeover = Takeover(self)
+        self.failover = Failover(self)
         self.peer_requests = PeerRequests(self)
 
     def rebuilds(self, snapshots: str = "", second_copy: bool = False) -> None:
         """Take part in histories of the records from now on, and keep snapshots of them in
         a directory, if one is given. With a `second_copy`, nobody is told 201 before a
         disk, or another controller's memory, has the record as well."""
-        from .rebuild.recovery import Recovery  # imported only where it is used
+        from clayport.rebuild.recovery import Recovery  # imported only where it is used
 
         self.recovery = Recovery(self, snapshots, second_copy)
 
@@ -219,7 +219,7 @@
     def job_of(self, job: str) -> Job | None:
         """Return the description of a live job, or of an ended one that may be on machines."""
         known = self.live.get(job)
-        return known[0] if known else self.descs.get(job)
+        return known[0] if known else self.ended_descriptions.get(job)
 
     def _emit(self, job: str, event: tuple[str, str, int, str, str, bool]) -> None:
         self.fleet.emit(job, event)
@@ -228,10 +228,14 @@
         """A pause around `base_s`: controllers must not come back in step."""
         return base_s * self.rng.uniform(0.5, 1.5)
 
-    def judged(self, description: Description) -> Job:
+    def with_objectives(self, description: Description) -> Job:
         """The job, with whether anybody has said when it is to be started or finished."""
-        aimless = description.deadline_s is None and description.job_class not in self.aimed
-        return Job(**{**msgspec.structs.asdict(description), "aimless": aimless})
+        without_objective = (
+            description.deadline_s is None and description.job_class not in self.aimed
+        )
+        return Job(
+            **{**msgspec.structs.asdict(description), "without_objective": without_objective}
+        )
 
     def patient(self, job: Job, age_s: float) -> bool:
         """Whether the job can wait for a machine that isn't dear.
@@ -240,7 +244,7 @@
         eighteen times the price, since what has no limit was taken for late.
         """
         return job.kind != SERVICE and (
-            job.aimless or slack(job, age_s, self.finish_limits) > self.patience_s
+            job.without_objective or slack(job, age_s, self.finish_limits) > self.patience_s
         )
 
     def fragile(self, job: Job, age_s: float) -> bool:
@@ -256,8 +260,8 @@
         )
 
     def room_changed(self) -> None:
-        """Wake the placer if the room of our machines has changed since its last picture."""
-        if self.owner.room_rev != self.picture.own_rev:
+        """Wake the placer if the room of our machines has changed since its last cached state."""
+        if self.owner.room_rev != self.cached_state.own_rev:
             self.signal("place")
 
     # -- standing --------------------------------------------------------
@@ -299,7 +303,7 @@
         """
         if self.state_lost(now) and self.superseded(now):
             return False
-        return now - self.horizon.known() < self.renewing_s
+        return now - self.watermark.known() < self.renewing_s
 
     @property
     def renewing_s(self) -> float:
@@ -330,16 +334,16 @@
         )
         if self.recovery is not None:
             self.recovery.history.unsure = True  # who has seen more than the records show?
-        for hj in self.dispatch.homes.values():
-            self.signal(hj.name)
-        self.dispatch.homes = {}
-        self.dispatch.quotas.clear()
+        for managed in self.dispatcher.managed_jobs.values():
+            self.signal(managed.name)
+        self.dispatcher.managed_jobs = {}
+        self.dispatcher.quotas.clear()
         self.placer.begin()
-        self.picture.begin()
+        self.cached_state.begin()
         self.fleet.outboxes.clear()
         self.owner.begin(epoch, self.label)
         if self.member:
-            self.spawn(self.takeover.load(epoch))
+            self.spawn(self.failover.load(epoch))
 
     async def keep_catalogue(self) -> None:
         """The machine types and their present prices."""
@@ -348,7 +352,7 @@
             try:
                 self.types = await self.cloud.catalogue()
                 self.owner.types = {t.name: t for t in self.types}
-                self.pipes.fetch_gb_per_s = min(
+                self.dependencies.fetch_gb_per_s = min(
                     (t.fetch_gb_per_s for t in self.types if t.fetch_gb_per_s > 0), default=1.0
                 )
                 self.owner.touch_all()
@@ -356,7 +360,7 @@
                 await curio.sleep(self.jitter(20 * self.settings.cluster.workers.lease_s))
             except CloudError as exc:
                 log.info("event=no-catalogue cause=%s", exc)
-                await self.cloud.rest(attempt)
+                await self.cloud.back_off(attempt)
 
     # -- machines --------------------------------------------------------
 
@@ -367,9 +371,9 @@
         for name in found:
             self.index.remove(name)
             self.zones.pop(name, None)
-        for hj in self.dispatch.homes.values():
-            if hj.removed(found):
-                self.signal(hj.name)
+        for managed in self.dispatcher.managed_jobs.values():
+            if managed.removed(found):
+                self.signal(managed.name)
         self.signal("place")
 
     async def announce_gone(self, names: list[str]) -> None:
@@ -384,10 +388,10 @@
         attempt = peer.begin()
         for _ in range(3):
             try:
-                await peer.call(peerwire.GONE, (self.epoch.number, rows))
+                await peer.call(frames.GONE, (self.epoch.number, rows))
                 return
             except peers.PeerError:
-                await peer.rest(attempt)
+                await peer.back_off(attempt)
 
     def asks(self, label: str) -> Attempt:
         """A request to another controller sets out; or to this one, which answers at once
@@ -398,7 +402,7 @@
     async def ask_again(self, label: str, attempt: Attempt) -> None:
         """Until the controller may be asked again."""
         peer = self.peers.get(label)
-        await (peer.rest(attempt) if peer is not None else self.store.rest(attempt))
+        await (peer.back_off(attempt) if peer is not None else self.store.back_off(attempt))
 
     async def ask_owner(self, kind: int, machine: str, *more: bool) -> bool:
         """DRAIN or EVACUATE: whether the machine's owner has agreed."""
@@ -406,7 +410,7 @@
         if owner == self.label:
             return (
                 self.owner.drain(machine)
-                if kind == peerwire.DRAIN
+                if kind == frames.DRAIN
                 else self.fleet.evacuate(machine, *more)
             )
         try:
@@ -435,12 +439,12 @@
             *((recovery.run,) if recovery is not None else ()),
             *((recovery.recorder.run,) if recovery is not None and recovery.recorder else ()),
             self.stalls.detect_stalls,
-            self.mirror.follow,
+            self.record_replica.follow,
             self.membership.keep_lease,
             self.membership.keep_members,
-            self.mirror.keep_prereqs,
+            self.record_replica.keep_prereqs,
             self.keep_catalogue,
-            self.picture.refresh,
+            self.cached_state.refresh,
             self.placer.place_all,
             self.fleet.watch_silence,
             self.provisioner.run,
--- a/clayport/jobs.py
+++ b/clayport/jobs/managed_job.py
@@ -11,10 +11,20 @@
 
 import msgspec
 
-from .model import ARRAY, ASSIGNED_BYTES, GANG, SERVICE, TXN_BYTES, Chunk, Job, MachineType, fits
-from .placement import shape
-from .statestore import Txn
-from .workers import GONE
+from clayport.machines.table import GONE
+from clayport.model import (
+    ARRAY,
+    ASSIGNED_BYTES,
+    GANG,
+    SERVICE,
+    TXN_BYTES,
+    Chunk,
+    Job,
+    MachineType,
+    fits,
+)
+from clayport.records.store import Txn
+from clayport.scheduling.placement import shape
 
 # Verdicts on what an owner tells; the last two judge an error.
 OK, KILL, CLEAR, LATER, JOB_AT_FAULT, MACHINE_AT_FAULT = range(6)
@@ -49,7 +59,7 @@
     return f"quota/{team}"
 
 
-class HomeJob:
+class ManagedJob:
     """A job at its home."""
 
     def __init__(
--- a/clayport/cancellations.py
+++ b/clayport/leases/cancellations.py
@@ -21,15 +21,15 @@
 from typing import Any
 
 # The share of a promise's time that its taker counts on: clocks drift apart (by 0.05 %).
-KEPT = 0.99
+PROMISE_CERTAINTY = 0.99
 # The share of a promise's time for which an acknowledgement is waited for before no more is
 # promised.
-PATIENCE = 0.1
+ACKNOWLEDGEMENT_SHARE = 0.1
 # Cancellations that a peer lacks and that are kept by name; of more, only the revision up to
 # which it has to read the records.
-MISSED_MOST = 2000
+MAX_MISSED_CANCELLATIONS = 2000
 # Acknowledgements are kept for so many jobs.
-NOTED_MOST = 20_000
+MAX_NOTED_JOBS = 20_000
 
 
 class Promises:
@@ -79,7 +79,7 @@
             self.missed[peer]
             or self.floor[peer]
             or any(
-                now - since > self.for_s * PATIENCE
+                now - since > self.for_s * ACKNOWLEDGEMENT_SHARE
                 for job, since in self.waiting.items()
                 if peer not in self.acknowledged.get(job, ())
             )
@@ -116,7 +116,7 @@
             return False
         for peer in self.lacking(job):
             missed = self.missed[peer]
-            if len(missed) >= MISSED_MOST:
+            if len(missed) >= MAX_MISSED_CANCELLATIONS:
                 first = next(iter(missed))
                 self.floor[peer] = max(self.floor[peer], missed.pop(first))
             missed[job] = self.revs.get(job, math.inf)
@@ -128,15 +128,15 @@
     @staticmethod
     def _note(where: dict[str, Any], job: str, value: Any) -> None:
         where[job] = value
-        if len(where) > NOTED_MOST:
+        if len(where) > MAX_NOTED_JOBS:
             del where[next(iter(where))]
 
 
-class Horizon:
+class CancellationWatermark:
     """The side of whoever renews leases: up to when it knows what users were told."""
 
     def __init__(self, peers: Iterable[str], for_s: float) -> None:
-        self.for_s = for_s * KEPT
+        self.for_s = for_s * PROMISE_CERTAINTY
         self.state_at = -math.inf  # the records are known here as they were then, or later
         self.until = dict.fromkeys(peers, -math.inf)
         # The process that last promised, and when that was asked of it.
--- a/clayport/limits/__init__.py
+++ b/clayport/limits/__init__.py
@@ -8,19 +8,19 @@
 whether something has happened.
 """
 
-from .admission import AdmissionControl
-from .gate import Gate, GateClosedError, Patience
-from .inflight import Inflight
-from .retry import Attempt, Budget, Deadline, Retries
+from clayport.limits.admission import AdmissionControl
+from clayport.limits.gate import Circuit, Gate, GateClosedError
+from clayport.limits.inflight import Inflight
+from clayport.limits.retry import Attempt, Budget, Deadline, Retries
 
 __all__ = [
     "AdmissionControl",
     "Attempt",
     "Budget",
+    "Circuit",
     "Deadline",
     "Gate",
     "GateClosedError",
     "Inflight",
-    "Patience",
     "Retries",
 ]
--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -9,15 +9,15 @@
 
 import curio
 
-from .inflight import Inflight
-from .retry import Attempt, Deadline, Retries
+from clayport.limits.inflight import Inflight
+from clayport.limits.retry import Attempt, Deadline, Retries
 
 
 class GateClosedError(Exception):
     """The turn would not come in time: nothing was sent."""
 
 
-class Patience:
+class Circuit:
     """Routines that wait to ask one server again: each until its turn comes, and all no
     longer than until the server is seen to serve."""
 
@@ -30,7 +30,7 @@
         """A request sets out that is to be asked again for as long as the deadline says."""
         return self.retries.begin(time.monotonic(), deadline)
 
-    async def rest(self, attempt: Attempt) -> bool:
+    async def back_off(self, attempt: Attempt) -> bool:
         """Until it may be asked again; False: that would be too late."""
         pause = attempt.pause(time.monotonic())
         if pause is None:
@@ -63,7 +63,7 @@
 
     def __init__(self, inflight: Inflight, longest_s: float) -> None:
         self.inflight, self.longest_s = inflight, longest_s
-        self.line: list[tuple[float, int, curio.Event]] = []
+        self.waiting: list[tuple[float, int, curio.Event]] = []
         self.number = 0
 
     @asynccontextmanager
@@ -87,24 +87,24 @@
         event = curio.Event()
         self.number += 1
         entry = (-ahead, self.number, event)
-        heapq.heappush(self.line, entry)
+        heapq.heappush(self.waiting, entry)
         limit = deadline.left(time.monotonic(), self.longest_s)
         try:
             await curio.timeout_after(limit, event.wait)
         except BaseException as exc:
             if event.is_set():
                 # Let in just as it left: its place goes to the next.
-                self.inflight.flying -= 1
+                self.inflight.in_flight -= 1
                 await self._admit()
-            elif entry in self.line:
-                self.line.remove(entry)
-                heapq.heapify(self.line)
+            elif entry in self.waiting:
+                self.waiting.remove(entry)
+                heapq.heapify(self.waiting)
             if isinstance(exc, curio.TaskTimeout):
                 raise GateClosedError(f"no turn in {limit:.1f} s") from None
             raise
 
     async def _admit(self) -> None:
-        while self.line and not self.inflight.full:
-            _, _, event = heapq.heappop(self.line)
+        while self.waiting and not self.inflight.full:
+            _, _, event = heapq.heappop(self.waiting)
             self.inflight.enter()
             await event.set()
--- a/clayport/limits/inflight.py
+++ b/clayport/limits/inflight.py
@@ -20,23 +20,23 @@
     def __init__(self, start: int, least: int, most: int) -> None:
         self.bound = float(start)
         self.least, self.most = least, most
-        self.flying = 0
+        self.in_flight = 0
         self.quickest_s = 0.0
         self.cut_at = -1e9
 
     @property
     def full(self) -> bool:
         """Whether no further request may be sent now."""
-        return self.flying >= int(self.bound)
+        return self.in_flight >= int(self.bound)
 
     def enter(self) -> None:
         """Count a request that is being sent."""
-        self.flying += 1
+        self.in_flight += 1
 
     def leave(self, now: float, took_s: float, served: bool) -> None:
         """A request is over: answered after `took_s`, or refused or not answered."""
-        busy = self.flying * 2 >= self.bound
-        self.flying -= 1
+        busy = self.in_flight * 2 >= self.bound
+        self.in_flight -= 1
         if served:
             if not self.quickest_s or took_s < self.quickest_s:
                 self.quickest_s = took_s
--- a/clayport/fencing.py
+++ b/clayport/machines/fencing.py
@@ -13,12 +13,12 @@
 
 import curio
 
-from .cloud import RETURN_MOST, CloudError
+from clayport.scaling.cloud import RETURN_MOST, CloudError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.fencing")
+log = logging.getLogger(__name__)
 
 
 class _Wait:
@@ -29,7 +29,7 @@
         self.error = ""
 
 
-class Fences:
+class MachineFencing:
     """Returns on the member of the epoch that talks to the cloud.
 
     What is asked for while a request waits for its turn goes with it, so a fence takes as
--- a/clayport/fleet.py
+++ b/clayport/machines/fleet.py
@@ -12,20 +12,20 @@
 import curio
 import msgspec
 
-from . import http, peerwire
-from .cloud import CloudError
-from .config import ConfigError, endpoint
-from .fencing import Fences
-from .jobs import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
-from .membership import TOKEN_COUNTER_BITS, Epoch
-from .model import Job, Report, split_task
-from .peers import PeerError
-from .workers import BATCH, GONE, Key, Machine
+from clayport.jobs.managed_job import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
+from clayport.machines.fencing import MachineFencing
+from clayport.machines.table import GONE, MAX_COMMANDS, Key, Machine
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
+from clayport.model import Job, WorkerHeartbeat, split_task
+from clayport.scaling.cloud import CloudError
+from clayport.settings import ConfigError, endpoint
+from clayport.transport import frames, http
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.fleet")
+log = logging.getLogger(__name__)
 
 Told = tuple[str, str, int, str, str, bool]
 
@@ -50,7 +50,7 @@
     def __init__(self, core: Controller) -> None:
         self.core = core
         self.clients: OrderedDict[str, http.Client] = OrderedDict()
-        self.fences = Fences(core)
+        self.fencing = MachineFencing(core)
         self.forwarded: dict[str, float] = {}
         self.outboxes: dict[str, OrderedDict[tuple[str, str, int], Told]] = {}
         w = core.settings.cluster.workers
@@ -64,7 +64,7 @@
     async def report(self, body: bytes) -> tuple[int, dict[str, Any]]:
         """Answer a worker's report."""
         try:
-            report = msgspec.json.decode(body, type=Report)
+            report = msgspec.json.decode(body, type=WorkerHeartbeat)
         except msgspec.MsgspecError as exc:
             log.error("malformed report dropped: %s", exc)
             return 400, {}
@@ -73,7 +73,7 @@
             self._kill_cancelled(report, answer["orders"])
         return status, answer
 
-    def _kill_cancelled(self, report: Report, orders: list[dict[str, Any]]) -> None:
+    def _kill_cancelled(self, report: WorkerHeartbeat, orders: list[dict[str, Any]]) -> None:
         """Have what is known to be cancelled stopped by whoever answers the worker: the job's
         home may not be there, or belong to an epoch that can't be loaded, and a kill of
         such a task is right under any token."""
@@ -84,9 +84,9 @@
             if t.state != "exited"
             and (t.task, t.attempt) not in ordered
             and self._cancelled(report, t.task.partition("/")[0])
-        ][: BATCH - len(ordered)]
+        ][: MAX_COMMANDS - len(ordered)]
 
-    def _cancelled(self, report: Report, job: str) -> bool:
+    def _cancelled(self, report: WorkerHeartbeat, job: str) -> bool:
         """Whether a job with a task on a machine is known to be over. One that is neither
         live nor known to have ended is, where all that was launched there was launched under
         epochs before ours: we have read what was live since."""
@@ -98,13 +98,13 @@
     def _stranger(self, job: str) -> bool:
         return self.core.state_known and job not in self.core.live and job not in self.core.ended
 
-    def _before_us(self, report: Report) -> bool:
+    def _before_us(self, report: WorkerHeartbeat) -> bool:
         epoch, number = self.core.epoch, report.token >> TOKEN_COUNTER_BITS
         return number < epoch.number or (
             number == epoch.number and epoch.place(report.machine) == self.core.label
         )
 
-    async def _report(self, report: Report, body: bytes) -> tuple[int, dict[str, Any]]:
+    async def _report(self, report: WorkerHeartbeat, body: bytes) -> tuple[int, dict[str, Any]]:
         core = self.core
         now = time.monotonic()
         epoch = core.epoch
@@ -130,7 +130,7 @@
             # reach it, so its report is passed on.
             if peer is not None and core.member:
                 try:
-                    status, raw = await peer.call(peerwire.REPORT, (epoch.number, body))
+                    status, raw = await peer.call(frames.REPORT, (epoch.number, body))
                     if status == 200:
                         return 200, msgspec.json.decode(raw)
                 except (PeerError, msgspec.DecodeError):
@@ -149,22 +149,22 @@
         """Whether the process that an epoch names as the owner is known to have ended:
         another one has answered in its place. One that answered before we knew of the
         epoch may be its predecessor."""
-        horizon, named = self.core.horizon, epoch.members.get(owner)
-        heard = horizon.incarnations.get(owner)
+        watermark, named = self.core.watermark, epoch.members.get(owner)
+        heard = watermark.incarnations.get(owner)
         return (
             epoch is self.core.epoch
             and bool(named and heard and named != heard)
-            and horizon.asked_at[owner] > self.core.epoch_started_at
+            and watermark.asked_at[owner] > self.core.epoch_started_at
         )
 
-    def _unsure(self, report: Report) -> bool:
+    def _unsure(self, report: WorkerHeartbeat) -> bool:
         """Whether a machine has tasks of jobs that we can't say anything of: accepted, and
         perhaps cancelled, after we had last read the records."""
         return not self._before_us(report) and any(
             t.state != "exited" and self._stranger(t.task.partition("/")[0]) for t in report.tasks
         )
 
-    def own_report(self, report: Report, now: float) -> tuple[int, dict[str, Any]]:
+    def own_report(self, report: WorkerHeartbeat, now: float) -> tuple[int, dict[str, Any]]:
         core = self.core
         if report.machine in core.owner.gone:
             # Held on its way: a machine that had been returned was open for work again, until
@@ -278,7 +278,7 @@
     def _body(self, m: Machine, raw: bytes) -> None:
         """The report in a command's answer."""
         try:
-            report = msgspec.json.decode(raw, type=Report)
+            report = msgspec.json.decode(raw, type=WorkerHeartbeat)
         except msgspec.MsgspecError as exc:
             log.error("machine=%s malformed answer dropped: %s", m.name, exc)
             return
@@ -294,27 +294,27 @@
     # -- telling homes ---------------------------------------------------
 
     def emit(self, job: str, event: Told) -> None:
-        home = self.core.epoch.place(job)
-        box = self.outboxes.setdefault(home, OrderedDict())
+        leader = self.core.epoch.place(job)
+        box = self.outboxes.setdefault(leader, OrderedDict())
         box[event[:3]] = event
-        self.core.signal(f"outbox {home}")
+        self.core.signal(f"outbox {leader}")
 
-    async def tell(self, home: str) -> None:
+    async def tell(self, leader: str) -> None:
         """Deliver events to one home until it has taken them."""
         core = self.core
         while True:
-            await core.wait(f"outbox {home}")
-            box = self.outboxes.setdefault(home, OrderedDict())
-            attempt = core.asks(home)
+            await core.wait(f"outbox {leader}")
+            box = self.outboxes.setdefault(leader, OrderedDict())
+            attempt = core.asks(leader)
             while box and core.serving:
                 epoch = core.epoch
                 batch = [box.popitem(last=False)[1] for _ in range(min(len(box), 500))]
                 try:
-                    if home == core.label:
-                        ok, verdicts = True, core.dispatch.told(batch)
+                    if leader == core.label:
+                        ok, verdicts = True, core.dispatcher.told(batch)
                     else:
-                        ok, packed = await core.peers[home].call(
-                            peerwire.STATES, (epoch.number, batch)
+                        ok, packed = await core.peers[leader].call(
+                            frames.STATES, (epoch.number, batch)
                         )
                         verdicts = [v for (v,) in packed]
                 except (PeerError, KeyError):
@@ -324,7 +324,7 @@
                 if not ok or len(verdicts) != len(batch):
                     for event in batch:
                         box.setdefault(event[:3], event)
-                    await core.ask_again(home, attempt)
+                    await core.ask_again(leader, attempt)
                     continue
                 touched: dict[str, None] = {}
                 for event, verdict in zip(batch, verdicts):
@@ -360,7 +360,7 @@
             or m.evacuating
             or not core.owner.replicas(m)
             or now - m.evacuated_at < core.settings.cluster.workers.lease_s / 2
-            or not (core.owner.open(m) or core.owner.sick(m))
+            or not (core.owner.open(m) or core.owner.unhealthy(m))
         ):
             return False
         log.info(
@@ -405,14 +405,14 @@
     async def _movable(self, m: Machine, key: Key, job: Job, drain: bool) -> bool:
         core = self.core
         number = split_task(key[0])[1]
-        home = core.epoch.place(job.id)
-        if home == core.label:
+        leader = core.epoch.place(job.id)
+        if leader == core.label:
             return core.placer.movable(job.id, number, m.name, drain)
         try:
             return bool(
                 (
-                    await core.peers[home].call(
-                        peerwire.MOVE, (core.epoch.number, job.id, number, m.name, drain)
+                    await core.peers[leader].call(
+                        frames.MOVE, (core.epoch.number, job.id, number, m.name, drain)
                     )
                 )[0]
             )
@@ -435,20 +435,20 @@
             mine = list(core.owner.machines.values())
             for m in mine:
                 # Not at once: the job that failed there may yet prove to be at fault.
-                m.ailing = m.ailing + 1 if core.owner.sick(m) else 0
-                if m.ailing >= 3 and m.known:
+                m.unhealthy_checks = m.unhealthy_checks + 1 if core.owner.unhealthy(m) else 0
+                if m.unhealthy_checks >= 3 and m.known:
                     self.evacuate(m.name, True)
             silent = [
                 m
                 for m in mine
-                if now - m.heard > self.silent_s and not m.fencing and (m.known or m.want)
+                if now - m.heard > self.silent_s and not m.fencing and (m.known or m.desired)
             ]
             # When most are silent at once it is we who are cut off, or a whole
             # zone is: returning them all would destroy what still works.
             cut = len(silent) > 2 and len(silent) * 2 > len(mine)
             for m in silent:
-                patience = core.settings.cluster.workers.cancel_s / 2
-                if not cut or now - m.heard > patience:
+                circuit = core.settings.cluster.workers.cancel_s / 2
+                if not cut or now - m.heard > circuit:
                     m.fencing = True
                     core.owner.touch(m.name)
                     core.spawn(self._fence(m))
@@ -458,7 +458,7 @@
         epoch = core.epoch
         try:
             # An owner that has not heard the machine yet knows its address from the
-            # picture or the list; with none, silence alone is no ground to return a
+            # cached state or the list; with none, silence alone is no ground to return a
             # machine that may well work (fifteen were, when one controller lost the
             # state service).
             room, listed = core.rooms.get(m.name), core.provisioner.listed.get(m.name)
@@ -479,13 +479,13 @@
                 "machine=%s generation=%d event=fence cause=silent tasks=%d",
                 m.name,
                 epoch.number,
-                len(m.want),
+                len(m.desired),
             )
             if epoch.provisioner == core.label:
-                await self.fences.fence(m.name)
+                await self.fencing.fence(m.name)
             else:
                 await core.peers[epoch.provisioner].call(
-                    peerwire.FENCE, (epoch.number, m.name, "silent"), 10 * self.command_s
+                    frames.FENCE, (epoch.number, m.name, "silent"), 10 * self.command_s
                 )
         except (PeerError, CloudError, KeyError) as exc:
             log.info("machine=%s event=not-fenced cause=%s", m.name, exc)
@@ -517,9 +517,7 @@
             if label in members:
                 try:
                     return bool(
-                        (await peer.call(peerwire.INSPECT, (name, address), self.command_s * 1.5))[
-                            0
-                        ]
+                        (await peer.call(frames.INSPECT, (name, address), self.command_s * 1.5))[0]
                     )
                 except PeerError:
                     continue
--- a/clayport/workers.py
+++ b/clayport/machines/table.py
@@ -12,27 +12,27 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from .membership import TOKEN_COUNTER_BITS, Epoch
-from .model import SERVICE, Job, MachineType, Report, split_task
-from .placement import Room, capacity
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
+from clayport.model import SERVICE, Job, MachineType, WorkerHeartbeat, split_task
+from clayport.scheduling.placement import Room, capacity
 
-log = logging.getLogger("clayport.workers")
+log = logging.getLogger(__name__)
 
 Key = tuple[str, int]  # task, attempt
 
 # Phases of a task that a home wants on a machine.
 RESERVED, QUEUED, SENT, LIVE = range(4)
 # Commands per request, so that 64 KiB always suffice.
-BATCH = 300
+MAX_COMMANDS = 300
 # Jobs of which is remembered whose fault their errors were.
-JUDGED_MOST = 1000
+MAX_JUDGED_JOBS = 1000
 # Machines no longer here whose end is remembered as a change of the table.
-CHANGES_MOST = 1000
+MAX_TABLE_CHANGES = 1000
 # Machines whose return is remembered, so that a late report doesn't bring them back.
-GONE_MOST = 5000
+MAX_GONE_MACHINES = 5000
 
 
-class Want:
+class DesiredTask:
     """A task that its home wants here, or has wanted and not yet settled."""
 
     __slots__ = ("phase", "since", "tried")
@@ -63,7 +63,7 @@
         self.evacuated_at = -1e9
         self.listed: dict[Key, tuple[str, str, bool]] = {}
         self.told: dict[Key, tuple[str, str, bool]] = {}
-        self.want: dict[Key, Want] = {}
+        self.desired: dict[Key, DesiredTask] = {}
         self.kills: dict[Key, float] = {}
         self.clears: dict[Key, None] = {}
         self.images: OrderedDict[str, float] = OrderedDict()
@@ -71,20 +71,20 @@
         self.bad_until = -1e9  # /do did not get through: use report responses
         self.by_response: list[Key] = []  # launches sent in the last report response
         self.errors: dict[str, int] = {}  # job: failures here since the last success
-        self.ailing = 0  # looks in a row at which it was found sick
+        self.unhealthy_checks = 0  # looks in a row at which it was found sick
         self.busy = False  # a /do is in flight
         self.fencing = False
         # Room made by preemption is kept for the job it was made for: others of
         # its rank would otherwise take it first.
         self.hold_job, self.hold_until = "", -1e9
-        # Its room as last built: reports, reservations, the picture and the peers' tables
+        # Its room as last built: reports, reservations, the cached state and the peers' tables
         # all ask for it, and most of the time nothing has changed.
         self.built: Room | None = None
 
     @property
     def urgent(self) -> bool:
         """Whether something is to be started or stopped."""
-        return bool(self.kills or any(w.phase == QUEUED for w in self.want.values()))
+        return bool(self.kills or any(w.phase == QUEUED for w in self.desired.values()))
 
     @property
     def orders(self) -> bool:
@@ -94,7 +94,7 @@
 GONE = "gone"
 
 
-class Owner:
+class MachineTable:
     """State of all machines owned here; every method is free of I/O.
 
     `job_of` finds a job's description, `over` says whether it is known to be cancelled, `emit`
@@ -116,15 +116,15 @@
         self.gone: OrderedDict[str, None] = OrderedDict()
         self.types: dict[str, MachineType] = {}
         self.epoch: Epoch | None = None
-        # What of the free-room table changed when, so that a picture is renewed by what
+        # What of the free-room table changed when, so that a cached state is renewed by what
         # changed and not by building every room anew: a revision for each machine, the
         # latest last, and the revision up to which that is not known.
         self.room_rev = 0
         self.changes: OrderedDict[str, int] = OrderedDict()
         self.whole_rev = 0
         # What homes have judged: jobs that fail by their own fault, and those that do not.
-        self.faulty: dict[str, None] = {}
-        self.sound: dict[str, None] = {}
+        self.failing_jobs: dict[str, None] = {}
+        self.healthy_jobs: dict[str, None] = {}
 
     def begin(self, epoch: Epoch, me: str) -> None:
         """A new epoch: tokens rise and every want is adopted anew.
@@ -139,7 +139,7 @@
             m.token = epoch.first_token + 1
             m.fenced = m.fencing = False
             m.by_response = []
-            for holder in (m.want, m.told, m.kills, m.clears):
+            for holder in (m.desired, m.told, m.kills, m.clears):
                 holder.clear()
         self.touch_all()
 
@@ -166,7 +166,7 @@
         self.room_rev += 1
         self.changes[name] = self.room_rev
         self.changes.move_to_end(name)
-        while len(self.changes) > CHANGES_MOST + len(self.machines):
+        while len(self.changes) > MAX_TABLE_CHANGES + len(self.machines):
             self.whole_rev = self.changes.popitem(last=False)[1]
 
     def touch_all(self) -> None:
@@ -189,7 +189,7 @@
 
     # -- reports ---------------------------------------------------------
 
-    def entitled(self, report: Report) -> bool:
+    def entitled(self, report: WorkerHeartbeat) -> bool:
         """False when a successor has given out a token of a later epoch.
 
         A higher one of ours was given out by a peer that took us for ended.
@@ -197,7 +197,7 @@
         assert self.epoch is not None
         return report.token >> TOKEN_COUNTER_BITS <= self.epoch.number
 
-    def take_report(self, report: Report, now: float, reported: bool) -> Machine | None:
+    def take_report(self, report: WorkerHeartbeat, now: float, reported: bool) -> Machine | None:
         """Apply a report; None for one that is older than what is known. `reported`: the worker
         sent it to a controller, so its answer renews the lease; a command's doesn't.
 
@@ -227,9 +227,9 @@
             listed[(piece.task, piece.attempt)] = (piece.state, piece.why, piece.saved)
         before, m.listed = m.listed, listed
         for key, status in listed.items():
-            want = m.want.get(key)
-            if want is not None and want.phase in (QUEUED, SENT):
-                want.phase = LIVE
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase in (QUEUED, SENT):
+                desired.phase = LIVE
             if m.told.get(key) != status:
                 self._tell(m, key, status)
         if before != listed:
@@ -239,20 +239,24 @@
         for key in m.by_response:
             # The worker has one report in flight: what the previous response
             # ordered is listed now, or that response was dropped.
-            want = m.want.get(key)
-            if want is not None and want.phase == SENT:
-                want.phase = LIVE if key in m.kills else QUEUED
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase == SENT:
+                desired.phase = LIVE if key in m.kills else QUEUED
         m.by_response = []
         if m.kills:
-            m.kills = {k: g for k, g in m.kills.items() if k in listed or k in m.want}
+            m.kills = {k: g for k, g in m.kills.items() if k in listed or k in m.desired}
         if m.notice_at is not None:
             self._save(m)
         if m.fenced:
-            for key, want in m.want.items():
-                if want.phase == LIVE and key not in listed and m.told.get(key, ("",))[0] != GONE:
+            for key, desired in m.desired.items():
+                if (
+                    desired.phase == LIVE
+                    and key not in listed
+                    and m.told.get(key, ("",))[0] != GONE
+                ):
                     self._tell(m, key, (GONE, "", False))
         if len(m.told) > len(listed):
-            for key in [k for k in m.told if k not in listed and k not in m.want]:
+            for key in [k for k in m.told if k not in listed and k not in m.desired]:
                 del m.told[key]
         if m.clears:
             m.clears = dict.fromkeys(key for key in m.clears if key in listed)
@@ -272,34 +276,39 @@
             ):
                 m.kills[key] = job.save_s
 
-    def sick(self, m: Machine) -> bool:
+    def unhealthy(self, m: Machine) -> bool:
         """A machine that fails the work of several jobs, or again and again that of one that
         runs well elsewhere, and completes none."""
         return bool(m.errors) and (
-            len(m.errors) >= 2 or any(n >= 2 and job in self.sound for job, n in m.errors.items())
+            len(m.errors) >= 2
+            or any(n >= 2 and job in self.healthy_jobs for job, n in m.errors.items())
         )
 
     def judge(self, name: str, job: str, at_fault: bool) -> None:
         """A home says whose fault an error was. What a job failed by its own is held
         against no machine: a few such jobs once closed sound ones."""
-        here, there = (self.faulty, self.sound) if at_fault else (self.sound, self.faulty)
+        here, there = (
+            (self.failing_jobs, self.healthy_jobs)
+            if at_fault
+            else (self.healthy_jobs, self.failing_jobs)
+        )
         there.pop(job, None)
         known = job in here
         here[job] = None
-        while len(here) > JUDGED_MOST:
+        while len(here) > MAX_JUDGED_JOBS:
             here.pop(next(iter(here)))
         if at_fault and not known:
             log.info("job=%s event=at-fault", job)
             self._forgive(job)
         m = self.machines.get(name)
-        if m is not None and not at_fault and job in m.errors and self.sick(m):
+        if m is not None and not at_fault and job in m.errors and self.unhealthy(m):
             log.info("machine=%s job=%s event=sick errors=%d", name, job, sum(m.errors.values()))
             self.touch(name)
 
     def ended(self, job: str, status: str) -> None:
         """A job is over, and what was judged of it; a user cancels what has a mistake."""
-        self.sound.pop(job, None)
-        self.faulty.pop(job, None)
+        self.healthy_jobs.pop(job, None)
+        self.failing_jobs.pop(job, None)
         if status == "cancelled":
             self._forgive(job)
 
@@ -312,9 +321,9 @@
         m.told[key] = status
         if status[1] == "error":
             job = key[0].partition("/")[0]
-            if job not in self.faulty:
+            if job not in self.failing_jobs:
                 m.errors[job] = m.errors.get(job, 0) + 1
-            if self.sick(m):
+            if self.unhealthy(m):
                 log.info(
                     "machine=%s job=%s event=sick errors=%d", m.name, job, sum(m.errors.values())
                 )
@@ -332,9 +341,9 @@
         """The home has taken note that the task is gone."""
         m = self.machines.get(machine)
         if m is not None and key not in m.listed:
-            want = m.want.get(key)
-            if want is not None and want.phase == LIVE:
-                del m.want[key]
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase == LIVE:
+                del m.desired[key]
                 self.touch(machine)
 
     def _cached(self, m: Machine, key: Key) -> None:
@@ -351,7 +360,7 @@
 
     def _touched(self, m: Machine, now: float) -> None:
         self.touch(m.name)
-        for key in (*m.want, *(k for k, s in m.listed.items() if s[0] != "exited")):
+        for key in (*m.desired, *(k for k, s in m.listed.items() if s[0] != "exited")):
             job = self.job_of(key[0].partition("/")[0])
             if job is None or job.standing >= 0:
                 m.idle_since = now
@@ -373,13 +382,13 @@
             # would be taken to have never been sent.
             ok = (
                 m is not None
-                and (f"{job.id}/{number}", attempt) not in m.want
+                and (f"{job.id}/{number}", attempt) not in m.desired
                 and (f"{job.id}/{number}", attempt) not in m.listed
                 and rooms[name].fits(job)
                 and (m.hold_job == job.id or now >= m.hold_until)
             )
             if ok and m is not None:
-                m.want[(f"{job.id}/{number}", attempt)] = Want(RESERVED, now)
+                m.desired[(f"{job.id}/{number}", attempt)] = DesiredTask(RESERVED, now)
                 rooms[name].take(job)
                 if job.standing >= 0:
                     m.idle_since = now
@@ -397,10 +406,10 @@
         answers = []
         for name, task, attempt in items:
             m = self.machines.get(name)
-            want = m.want.get((task, attempt)) if m is not None else None
-            if want is not None and want.phase == RESERVED:
-                want.phase = QUEUED
-            answers.append(0 if want is None else 1)
+            desired = m.desired.get((task, attempt)) if m is not None else None
+            if desired is not None and desired.phase == RESERVED:
+                desired.phase = QUEUED
+            answers.append(0 if desired is None else 1)
         return answers
 
     def stop(self, items: Iterable[tuple[str, str, int, float, bool]]) -> None:
@@ -410,22 +419,22 @@
             if m is None:
                 continue
             key = (task, attempt)
-            want = m.want.get(key)
-            if want is not None and want.phase in (RESERVED, QUEUED) and not want.tried:
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.tried:
                 # Never sent: settled at once.
-                del m.want[key]
+                del m.desired[key]
                 self.touch(name)
                 self.emit(task.partition("/")[0], (name, task, attempt, GONE, "", False))
             elif clear:
-                m.want.pop(key, None)
+                m.desired.pop(key, None)
                 self.touch(name)
                 if m.listed.get(key, ("",))[0] == "exited":
                     m.clears[key] = None
             else:
-                if want is not None and want.phase == QUEUED:
+                if desired is not None and desired.phase == QUEUED:
                     # Sent before without an answer: no new launch, and the next
                     # report under the raised token settles the old one.
-                    want.phase = LIVE
+                    desired.phase = LIVE
                 m.kills[key] = min(grace, m.kills.get(key, grace))
 
     def preempt(
@@ -482,30 +491,30 @@
         for name, task, attempt in items:
             m = self.machine(name, now)
             key = (task, attempt)
-            if key not in m.want:
-                m.want[key] = Want(LIVE, now)
+            if key not in m.desired:
+                m.desired[key] = DesiredTask(LIVE, now)
                 self.touch(name)
-            elif m.want[key].phase == RESERVED:
-                m.want[key].phase = LIVE
+            elif m.desired[key].phase == RESERVED:
+                m.desired[key].phase = LIVE
             m.told.pop(key, None)
             if key in m.listed:
                 self._tell(m, key, m.listed[key])
-            elif m.known and m.fenced and m.want[key].phase == LIVE:
+            elif m.known and m.fenced and m.desired[key].phase == LIVE:
                 self._tell(m, key, (GONE, "", False))
 
     def removed(self, names: Iterable[str]) -> None:
         """The cloud has confirmed the machines' return."""
         for name in names:
             self.gone[name] = None
-            if len(self.gone) > GONE_MOST:
+            if len(self.gone) > MAX_GONE_MACHINES:
                 self.gone.popitem(last=False)
             m = self.machines.pop(name, None)
             if m is not None:
                 self.touch(name)
                 # Homes are told as well: one that took over a moment ago has adopted its
                 # tasks here after it heard of the return, and would wait for ever.
-                for key, want in m.want.items():
-                    if want.phase != RESERVED:
+                for key, desired in m.desired.items():
+                    if desired.phase != RESERVED:
                         self.emit(key[0].partition("/")[0], (name, *key, GONE, "", False))
 
     def drain(self, name: str) -> bool:
@@ -526,10 +535,10 @@
                     m.kills.setdefault(key, job.save_s)
             self.touch(name)
             return False
-        if m.want or any(s[0] != "exited" for s in m.listed.values()):
+        if m.desired or any(s[0] != "exited" for s in m.listed.values()):
             # What has exited is told again: where the home's answer was lost, with nothing
             # else to remind it, the machine was never given back.
-            for key in m.want:
+            for key in m.desired:
                 if m.listed.get(key, ("",))[0] == "exited":
                     m.told.pop(key, None)
             return False
@@ -554,10 +563,10 @@
                 self.touch(m.name)
             for key in [
                 k
-                for k, w in m.want.items()
+                for k, w in m.desired.items()
                 if w.phase == RESERVED and now - w.since > self.reserve_s
             ]:
-                del m.want[key]
+                del m.desired[key]
                 self.touch(m.name)
 
     # -- commands --------------------------------------------------------
@@ -565,28 +574,28 @@
     def orders(self, m: Machine) -> tuple[list[dict[str, Any]], list[Key]]:
         """Commands to send now; launches among them become SENT."""
         out: list[dict[str, Any]] = []
-        for key in list(m.clears)[:BATCH]:
+        for key in list(m.clears)[:MAX_COMMANDS]:
             out.append({"verb": "clear", "piece": key[0], "try": key[1]})
-        for key, grace in list(m.kills.items())[:BATCH]:
+        for key, grace in list(m.kills.items())[:MAX_COMMANDS]:
             out.append({"verb": "kill", "piece": key[0], "try": key[1], "wind_down_s": grace})
         launches = []
-        for key in [k for k, w in m.want.items() if w.phase == QUEUED][:BATCH]:
+        for key in [k for k, w in m.desired.items() if w.phase == QUEUED][:MAX_COMMANDS]:
             if self.over(key[0].partition("/")[0]):
                 # Cancelled since; its home may not be there to say so.
                 self.stop([(m.name, *key, 0.0, False)])
                 continue
             launches.append(key)
-            m.want[key].phase = SENT
-            m.want[key].tried = True
+            m.desired[key].phase = SENT
+            m.desired[key].tried = True
             out.append({"verb": "launch", "piece": key[0], "try": key[1]})
         return out, launches
 
     def answered(self, m: Machine, orders: list[dict[str, Any]], launches: list[Key]) -> None:
         """The worker has executed the commands."""
         for key in launches:
-            want = m.want.get(key)
-            if want is not None and want.phase == SENT:
-                want.phase = LIVE
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase == SENT:
+                desired.phase = LIVE
         for order in orders:
             key = (order["piece"], order["try"])
             if order["verb"] == "kill":
@@ -595,11 +604,11 @@
     def unanswered(self, m: Machine, launches: list[Key], sent: bool, now: float) -> None:
         """No answer: raise the token, which voids what may still be on its way."""
         for key in launches:
-            want = m.want.get(key)
-            if want is not None and want.phase == SENT:
+            desired = m.desired.get(key)
+            if desired is not None and desired.phase == SENT:
                 # What was killed meanwhile must not be launched again: a job that was
                 # cancelled while its launch was on its way once was.
-                want.phase = LIVE if key in m.kills else QUEUED
+                desired.phase = LIVE if key in m.kills else QUEUED
         if sent:
             m.token += 1
             m.fenced = False
@@ -614,7 +623,7 @@
             and m.notice_at is None
             and not m.fencing
             and not m.lapsed
-            and not self.sick(m)
+            and not self.unhealthy(m)
         )
 
     def room(self, m: Machine, owner: str = "", now: float | None = None) -> Room:
@@ -653,7 +662,7 @@
         )
         known = True
         keys = dict.fromkeys(k for k, s in m.listed.items() if s[0] != "exited")
-        keys.update(dict.fromkeys(k for k in m.want if m.listed.get(k, ("",))[0] != "exited"))
+        keys.update(dict.fromkeys(k for k in m.desired if m.listed.get(k, ("",))[0] != "exited"))
         counts: dict[str, int] = {}
         for key in keys:
             job = key[0].partition("/")[0]
@@ -669,4 +678,4 @@
 
     def jobs_on(self, name: str) -> set[str]:
         m = self.machines.get(name)
-        return {split_task(k[0])[0] for k in (*m.want, *m.listed)} if m else set()
+        return {split_task(k[0])[0] for k in (*m.desired, *m.listed)} if m else set()
--- /dev/null
+++ b/clayport/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Which controllers take part: epochs, heartbeats, failure detection and failover."""
--- a/clayport/membership.py
+++ b/clayport/membership/epoch.py
@@ -15,7 +15,7 @@
 # A token is the epoch above the owner's own counter for the machine.
 TOKEN_COUNTER_BITS = 24
 # Places of jobs and machines that are remembered.
-MEMBER_CACHE_MOST = 20_000
+MAX_CACHED_MEMBERS = 20_000
 # Ends of a controller within the window that cost it no pause.
 RESTARTS_WITHOUT_PAUSE = 2
 
@@ -57,7 +57,7 @@
         """
         found = self._places.get(key)
         if found is None:
-            if len(self._places) >= MEMBER_CACHE_MOST:
+            if len(self._places) >= MAX_CACHED_MEMBERS:
                 self._places.clear()
             found = self._places[key] = rendezvous(key, self.members)
         return found
--- a/clayport/takeover.py
+++ b/clayport/membership/failover.py
@@ -8,16 +8,16 @@
 
 import msgspec
 
-from .jobs import HomeJob, end_key, ended, parse_chunk_key
-from .membership import Epoch
-from .model import Chunk, Job, chunk_size
-from .record_keys import is_anchor
-from .statestore import Entry, OutcomeUnknownError, UnavailableError
+from clayport.jobs.managed_job import ManagedJob, end_key, ended, parse_chunk_key
+from clayport.membership.epoch import Epoch
+from clayport.model import Chunk, Job, chunk_size
+from clayport.records.keys import is_anchor
+from clayport.records.store import Entry, OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.takeover")
+log = logging.getLogger(__name__)
 
 # The chunks of a job, by their size and index.
 Chunks = dict[tuple[int, int], Chunk]
@@ -30,7 +30,7 @@
     unreadable: set[str]  # jobs with a chunk that can't be read
 
 
-class Takeover:
+class Failover:
     """Loads the share of an epoch's jobs that belongs to this controller."""
 
     def __init__(self, core: Controller) -> None:
@@ -51,7 +51,7 @@
                 log.debug("event=load-failed cause=%s", exc)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-            await core.store.rest(attempt)
+            await core.store.back_off(attempt)
 
     async def _load_once(self, epoch: Epoch) -> None:
         """Read the records and begin to serve, unless the epoch has moved on.
@@ -72,12 +72,14 @@
             return
         for job, (desc, rev) in core.live.items():
             if rev and epoch.place(job) == core.label and job not in share.unreadable:
-                self.home(desc, rev, share.chunks.get(job, {}), "")
+                self.lead(desc, rev, share.chunks.get(job, {}), "")
         for job, (desc, status) in orphans.items():
-            core.descs[job] = desc
-            self.home(desc, 0, share.chunks[job], status)
+            core.ended_descriptions[job] = desc
+            self.lead(desc, 0, share.chunks[job], status)
         core.serving = True
-        log.info("generation=%d event=serving jobs=%d", epoch.number, len(core.dispatch.homes))
+        log.info(
+            "generation=%d event=serving jobs=%d", epoch.number, len(core.dispatcher.managed_jobs)
+        )
         for name in ("place", "starved", "demand", "prereqs"):
             core.signal(name)
         await core.flush()
@@ -108,13 +110,13 @@
             entry = await core.store.get(end_key(job))
             if entry is None:
                 continue
-            core.mirror.note_end(job, *ended(entry.value), entry.rev)
+            core.record_replica.note_end(job, *ended(entry.value), entry.rev)
             if "j" in entry.value:
-                desc = core.judged(msgspec.convert(entry.value["j"], Job))
+                desc = core.with_objectives(msgspec.convert(entry.value["j"], Job))
                 orphans[job] = (desc, entry.value["s"])
         return orphans
 
-    def home(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
+    def lead(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
         """Become home to a job.
 
         Args:
@@ -125,7 +127,7 @@
         """
         core = self.core
         cluster = core.settings.cluster
-        hj = HomeJob(
+        managed = ManagedJob(
             job,
             rev,
             chunk_size(cluster.state.value_kb),
@@ -135,12 +137,12 @@
             cluster.workers.report_s,
             6 * cluster.workers.lease_s,
         )
-        hj.suspected = job.id in core.owner.faulty
-        hj.load_all(chunks)
-        link = core.pipes.links.get(job.id)
-        if link is not None:
-            hj.blocked = bool(link.needs)
-            hj.since = link.ready
-        core.dispatch.homes[job.id] = hj
-        core.placer.line.touch(job.id)
-        core.spawn(core.dispatch.drive(hj))
+        managed.suspected = job.id in core.owner.failing_jobs
+        managed.load_all(chunks)
+        node = core.dependencies.nodes.get(job.id)
+        if node is not None:
+            managed.blocked = bool(node.needs)
+            managed.since = node.ready
+        core.dispatcher.managed_jobs[job.id] = managed
+        core.placer.queue.touch(job.id)
+        core.spawn(core.dispatcher.drive(managed))
--- a/clayport/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -8,14 +8,14 @@
 
 import curio
 
-from . import peerwire
-from .membership import should_leave
-from .peers import Peer, PeerError
+from clayport.membership.epoch import should_leave
+from clayport.transport import frames
+from clayport.transport.peers import Peer, PeerError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.heartbeats")
+log = logging.getLogger(__name__)
 
 
 class Heartbeats:
@@ -44,15 +44,15 @@
             PeerError: The peer has not answered.
         """
         core, sent = self.core, time.monotonic()
-        fields = (*self.sign(sent), self._demand_for(peer.label))
+        fields = (*self.status_fields(sent), self._demand_for(peer.label))
         if not core.promising:
-            label, number, state_ok, room_rev = await peer.call(peerwire.PING, fields)
+            label, number, state_ok, room_rev = await peer.call(frames.PING, fields)
         else:
             label, number, state_ok, room_rev, incarnation, promised = await peer.call(
-                peerwire.BEAT, (*fields, core.incarnation, core.mirror.known_rev)
+                frames.BEAT, (*fields, core.incarnation, core.record_replica.known_rev)
             )
             if promised and label == peer.label:
-                core.horizon.promised(label, incarnation, sent, time.monotonic())
+                core.watermark.promised(label, incarnation, sent, time.monotonic())
         if label == peer.label:
             self._heard(peer, number, state_ok, room_rev)
 
@@ -97,12 +97,12 @@
         peer.state_ok, peer.epoch = state_ok, number
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
-            if core.picture.starved:
+            if core.cached_state.starved:
                 core.signal("starved")
         if number > core.epoch.number and core.store.ok:
             core.rescan = True
 
-    def sign(self, now: float) -> tuple[str, int, bool, int]:
+    def status_fields(self, now: float) -> tuple[str, int, bool, int]:
         """What a heartbeat and its answer begin with.
 
         It is our label, the epoch's number, whether the state service answers us, and
@@ -131,5 +131,5 @@
         core.promises.seen(label, known_rev)
         if core.promises.promise(label, now):
             return True
-        core.mirror.make_up(label)
+        core.record_replica.resend_cancellations(label)
         return False
--- a/clayport/membership_duties.py
+++ b/clayport/membership/registration.py
@@ -8,10 +8,10 @@
 
 import curio
 
-from .jobs import EPOCH_KEY
-from .membership import Epoch, FlapDamping, may_propose, successor
-from .mirror import NODE_PREFIX, VERSION_PREFIX
-from .statestore import (
+from clayport.jobs.managed_job import EPOCH_KEY
+from clayport.membership.epoch import Epoch, FlapDamping, may_propose, successor
+from clayport.records.replica import NODE_PREFIX, VERSION_PREFIX
+from clayport.records.store import (
     LEASE_S,
     ConflictError,
     NoLeaseError,
@@ -21,9 +21,9 @@
 )
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.membership")
+log = logging.getLogger(__name__)
 
 
 class MembershipDuties:
@@ -98,7 +98,7 @@
                     entry = await core.store.get(key, doubtful=True)
                     if entry is None:
                         raise
-                    core.mirror.note_version(core.label, entry.value, entry.rev)
+                    core.record_replica.note_version(core.label, entry.value, entry.rev)
 
     async def keep_members(self) -> None:
         """Propose the next epoch when those present differ from its members."""
--- a/clayport/stalls.py
+++ b/clayport/membership/stalls.py
@@ -9,9 +9,9 @@
 import curio
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.stalls")
+log = logging.getLogger(__name__)
 
 # The pause between two checks, and the gap that counts as a stall, in report intervals.
 CHECK_INTERVALS = 0.25
--- a/clayport/model.py
+++ b/clayport/model.py
@@ -77,26 +77,26 @@
     prereqs: Prereqs | None = None
 
 
-class Job(Description, frozen=True):
+class Job(Description, frozen=True, rename={"without_objective": "aimless"}):
     """A job's description, and what the controllers say of it beside."""
 
-    # Nobody has said when it is to be started or finished (`Controller.judged`). Users have
+    # Nobody has said when it is to be started or finished (`Objectives`). Users have
     # no such field: whatever they send under this name is ignored.
-    aimless: bool = False
+    without_objective: bool = False
 
     @property
     def rank(self) -> int:
         return RANKS[self.priority]
 
     @property
-    def filler(self) -> bool:
+    def backfill(self) -> bool:
         """Whether it takes only room that nobody else needs."""
-        return self.aimless and self.kind != SERVICE
+        return self.without_objective and self.kind != SERVICE
 
     @property
     def standing(self) -> int:
         """The rank as it counts when room is to be made: without an aim, below the lowest."""
-        return -1 if self.filler and self.rank == 0 else self.rank
+        return -1 if self.backfill and self.rank == 0 else self.rank
 
 
 class MachineType(
@@ -127,7 +127,7 @@
     zones: list[str]
 
 
-class Piece(
+class ReportedTask(
     msgspec.Struct,
     rename={
         "task": "piece",
@@ -146,7 +146,7 @@
     saved: bool = False
 
 
-class Report(
+class WorkerHeartbeat(
     msgspec.Struct,
     rename={
         "machine": "host",
@@ -170,11 +170,11 @@
     session: int
     seq: int
     token: int
-    tasks: list[Piece]
+    tasks: list[ReportedTask]
     notice_s: float | None = None
 
 
-class Listed(
+class CloudMachine(
     msgspec.Struct,
     rename={
         "type": "flavor",
--- a/clayport/operator.py
+++ b/clayport/operator_settings.py
@@ -16,7 +16,7 @@
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory, text_format
 
-from .config import ConfigError
+from clayport.settings import ConfigError
 
 REFRESH = ("start_s", "least_s", "most_s")
 
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -1,6 +1,6 @@
 """What a controller answers to the requests of its peers: one method for each kind of frame.
 
-The fields of each kind are laid out in `peerwire.SCHEMAS`; a method takes them as its
+The fields of each kind are laid out in `frames.SCHEMAS`; a method takes them as its
 arguments, in that order. Times are seconds on this process's steady clock.
 """
 
@@ -13,26 +13,26 @@
 
 import msgspec
 
-from . import peerwire
-from .cloud import CloudError
-from .model import Report
+from clayport.model import WorkerHeartbeat
+from clayport.scaling.cloud import CloudError
+from clayport.transport import frames
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.peers")
+log = logging.getLogger(__name__)
 
 # The kind of the answer's frame, and its fields.
 Answer = tuple[int, tuple[Any, ...]]
 
-AGREED: Answer = (peerwire.ACK, (True,))
-REFUSED: Answer = (peerwire.ACK, (False,))
-NO_COUNTS: Answer = (peerwire.COUNTED, (False, 0, 0))
-NO_TABLE: Answer = (peerwire.TABLE, (False, 0, False, [], [], []))
-NO_RESERVATIONS: Answer = (peerwire.RESERVED, (False, []))
-NO_VERDICTS: Answer = (peerwire.VERDICTS, (False, []))
-NO_HISTORY: Answer = (peerwire.HISTORY_TOLD, ("", 0, 0, False, 0))
-NO_EVIDENCE: Answer = (peerwire.EVIDENCE_TOLD, (0, b""))
+AGREED: Answer = (frames.ACK, (True,))
+REFUSED: Answer = (frames.ACK, (False,))
+NO_COUNTS: Answer = (frames.COUNTED, (False, 0, 0))
+NO_TABLE: Answer = (frames.TABLE, (False, 0, False, [], [], []))
+NO_RESERVATIONS: Answer = (frames.RESERVED, (False, []))
+NO_VERDICTS: Answer = (frames.VERDICTS, (False, []))
+NO_HISTORY: Answer = (frames.HISTORY_TOLD, ("", 0, 0, False, 0))
+NO_EVIDENCE: Answer = (frames.EVIDENCE_TOLD, (0, b""))
 
 # Final states of a job, as `ENDED` carries them.
 FINAL_STATES = ("done", "cancelled")
@@ -71,7 +71,7 @@
         """PING, a heartbeat without promises."""
         heartbeats = self.core.heartbeats
         heartbeats.received(label, number, state_ok, room_rev, demand)
-        return peerwire.PONG, heartbeats.sign(time.monotonic())
+        return frames.PONG, heartbeats.status_fields(time.monotonic())
 
     async def beat(
         self,
@@ -87,31 +87,31 @@
         now = time.monotonic()
         heartbeats = self.core.heartbeats
         is_peer = heartbeats.received(label, number, state_ok, room_rev, demand)
-        sign = heartbeats.sign(now)
+        status_fields = heartbeats.status_fields(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
-        return peerwire.BEATEN, (*sign, self.core.incarnation, promised)
+        return frames.BEATEN, (*status_fields, self.core.incarnation, promised)
 
     async def ended(self, job: str, status: str) -> Answer:
         """ENDED: a job's final state, to be acknowledged before its user is told."""
         if status in FINAL_STATES and job not in self.core.ended:
-            self.core.mirror.note_end(job, status)
+            self.core.record_replica.note_end(job, status)
         return AGREED
 
     async def history(self, *values: Any) -> Answer:
         """HISTORY: which history of the records the sender acts on, and which we do."""
         if self.core.recovery is None:
             return NO_HISTORY
-        return self.core.recovery.answer(peerwire.HISTORY, values)
+        return self.core.recovery.answer(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
         """EVIDENCE: one part of what is known here about the records to be rebuilt."""
         if self.core.recovery is None:
             return NO_EVIDENCE
-        return self.core.recovery.answer(peerwire.EVIDENCE, values)
+        return self.core.recovery.answer(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
         """INSPECT: whether a machine that its owner misses answers us."""
-        return peerwire.ACK, (await self.core.fleet.inspect(machine, address),)
+        return frames.ACK, (await self.core.fleet.inspect(machine, address),)
 
     async def gone(self, _epoch: int, machines: list[tuple[str]]) -> Answer:
         """GONE: machines whose return the cloud has confirmed.
@@ -125,40 +125,40 @@
         """REPORT: the report of a worker that can't reach us, passed on by a peer."""
         now = time.monotonic()
         try:
-            report = msgspec.json.decode(body, type=Report)
+            report = msgspec.json.decode(body, type=WorkerHeartbeat)
         except msgspec.MsgspecError:
-            return peerwire.REPORTED, (400, b"{}")
+            return frames.REPORTED, (400, b"{}")
         core = self.core
         if (
             not self._is_current(epoch)
             or core.epoch.place(report.machine) != core.label
             or not core.may_renew(now)
         ):
-            return peerwire.REPORTED, (503, b"{}")
+            return frames.REPORTED, (503, b"{}")
         status, value = core.fleet.own_report(report, now)
-        return peerwire.REPORTED, (status, msgspec.json.encode(value))
+        return frames.REPORTED, (status, msgspec.json.encode(value))
 
     # -- requests to the home of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
         """COUNTS: how many tasks of a job are done and how many run."""
-        counts = self.core.dispatch.counts(job)
-        return NO_COUNTS if counts is None else (peerwire.COUNTED, (True, *counts))
+        counts = self.core.dispatcher.counts(job)
+        return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
     async def states(self, _epoch: int, events: list[tuple[Any, ...]]) -> Answer:
         """STATES: what machines' owners have seen of tasks."""
-        verdicts = self.core.dispatch.told(events)
-        return peerwire.VERDICTS, (True, [(v,) for v in verdicts])
+        verdicts = self.core.dispatcher.told(events)
+        return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
         """MOVE: whether a replica has another place than this machine."""
-        return peerwire.ACK, (self.core.placer.movable(job, number, machine, drain),)
+        return frames.ACK, (self.core.placer.movable(job, number, machine, drain),)
 
     # -- requests to the owner of machines -------------------------------
 
     async def room(self, _epoch: int, since: int, machines: list[tuple[str]]) -> Answer:
         """ROOM: the table of free room, or what has changed in it since a revision."""
-        return peerwire.TABLE, self.core.picture.table(since, [name for (name,) in machines])
+        return frames.TABLE, self.core.cached_state.table(since, [name for (name,) in machines])
 
     async def reserve(
         self, _epoch: int, job: str, attempt: int, places: list[tuple[str, int]]
@@ -168,13 +168,13 @@
         if known is None:
             return NO_RESERVATIONS
         granted = self.core.owner.reserve(known, places, attempt, time.monotonic())
-        return peerwire.RESERVED, (True, [(g,) for g in granted])
+        return frames.RESERVED, (True, [(g,) for g in granted])
 
     async def launch(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """LAUNCH: start tasks whose room has been reserved."""
         verdicts = self.core.owner.launch(tasks)
         self._poke(tasks)
-        return peerwire.VERDICTS, (True, [(v,) for v in verdicts])
+        return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def stop(self, _epoch: int, tasks: list[tuple[str, str, int, float, bool]]) -> Answer:
         """STOP: kill tasks, or clear them from the machines' reports."""
@@ -202,15 +202,15 @@
             wanting, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
         )
         self.core.fleet.poke(machine)
-        return peerwire.ACK, (made,)
+        return frames.ACK, (made,)
 
     async def evacuate(self, _epoch: int, machine: str, drain: bool) -> Answer:
         """EVACUATE: move replicas off a machine."""
-        return peerwire.ACK, (self.core.fleet.evacuate(machine, drain),)
+        return frames.ACK, (self.core.fleet.evacuate(machine, drain),)
 
     async def drain(self, _epoch: int, machine: str) -> Answer:
         """DRAIN: whether a machine is empty and takes no more work."""
-        return peerwire.ACK, (self.core.owner.drain(machine),)
+        return frames.ACK, (self.core.owner.drain(machine),)
 
     # -- requests to the one that rents machines -------------------------
 
@@ -220,7 +220,7 @@
         if core.epoch.provisioner != core.label:
             return REFUSED
         try:
-            await core.fleet.fences.fence(machine)
+            await core.fleet.fencing.fence(machine)
         except CloudError as exc:
             log.info("machine=%s event=not-fenced cause=%s", machine, exc)
             return REFUSED
@@ -241,24 +241,24 @@
 
 
 HANDLERS: dict[int, Handler] = {
-    peerwire.PING: Handler(PeerRequests.ping),
-    peerwire.BEAT: Handler(PeerRequests.beat),
-    peerwire.ENDED: Handler(PeerRequests.ended),
-    peerwire.HISTORY: Handler(PeerRequests.history),
-    peerwire.EVIDENCE: Handler(PeerRequests.evidence),
-    peerwire.INSPECT: Handler(PeerRequests.inspect),
-    peerwire.GONE: Handler(PeerRequests.gone),
-    peerwire.REPORT: Handler(PeerRequests.report),
-    peerwire.COUNTS: Handler(PeerRequests.counts, NO_COUNTS),
-    peerwire.STATES: Handler(PeerRequests.states, NO_VERDICTS),
-    peerwire.MOVE: Handler(PeerRequests.move, REFUSED),
-    peerwire.ROOM: Handler(PeerRequests.room, NO_TABLE),
-    peerwire.RESERVE: Handler(PeerRequests.reserve, NO_RESERVATIONS),
-    peerwire.LAUNCH: Handler(PeerRequests.launch, NO_VERDICTS),
-    peerwire.STOP: Handler(PeerRequests.stop, REFUSED),
-    peerwire.ADOPT: Handler(PeerRequests.adopt, REFUSED),
-    peerwire.PREEMPT: Handler(PeerRequests.preempt, REFUSED),
-    peerwire.EVACUATE: Handler(PeerRequests.evacuate, REFUSED),
-    peerwire.DRAIN: Handler(PeerRequests.drain, REFUSED),
-    peerwire.FENCE: Handler(PeerRequests.fence, REFUSED),
+    frames.PING: Handler(PeerRequests.ping),
+    frames.BEAT: Handler(PeerRequests.beat),
+    frames.ENDED: Handler(PeerRequests.ended),
+    frames.HISTORY: Handler(PeerRequests.history),
+    frames.EVIDENCE: Handler(PeerRequests.evidence),
+    frames.INSPECT: Handler(PeerRequests.inspect),
+    frames.GONE: Handler(PeerRequests.gone),
+    frames.REPORT: Handler(PeerRequests.report),
+    frames.COUNTS: Handler(PeerRequests.counts, NO_COUNTS),
+    frames.STATES: Handler(PeerRequests.states, NO_VERDICTS),
+    frames.MOVE: Handler(PeerRequests.move, REFUSED),
+    frames.ROOM: Handler(PeerRequests.room, NO_TABLE),
+    frames.RESERVE: Handler(PeerRequests.reserve, NO_RESERVATIONS),
+    frames.LAUNCH: Handler(PeerRequests.launch, NO_VERDICTS),
+    frames.STOP: Handler(PeerRequests.stop, REFUSED),
+    frames.ADOPT: Handler(PeerRequests.adopt, REFUSED),
+    frames.PREEMPT: Handler(PeerRequests.preempt, REFUSED),
+    frames.EVACUATE: Handler(PeerRequests.evacuate, REFUSED),
+    frames.DRAIN: Handler(PeerRequests.drain, REFUSED),
+    frames.FENCE: Handler(PeerRequests.fence, REFUSED),
 }
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -16,14 +16,27 @@
 
 import curio
 
-from ..config import ConfigError, Settings, endpoint, load
-from ..model import chunk_size
-from ..statestore import ConflictError, OutcomeUnknownError, StateStore, Txn, UnavailableError
-from . import files, plan
-from .files import Found, Header, SnapshotError
-from .history import HEAD_KEY, PREFIXES, REBUILDING, anchor_key, anchor_value, is_anchor
-from .merge import Merged, merge
-from .recorder import remembered
+from clayport.model import chunk_size
+from clayport.rebuild import files, plan
+from clayport.rebuild.files import Found, Header, SnapshotError
+from clayport.rebuild.history import (
+    HEAD_KEY,
+    PREFIXES,
+    REBUILDING,
+    anchor_key,
+    anchor_value,
+    is_anchor,
+)
+from clayport.rebuild.merge import Merged, merge
+from clayport.rebuild.recorder import remembered
+from clayport.records.store import (
+    ConflictError,
+    OutcomeUnknownError,
+    StateStore,
+    Txn,
+    UnavailableError,
+)
+from clayport.settings import ConfigError, Settings, endpoint, load
 
 # Who writes, where a controller's label would stand.
 BY = "clayport restore"
@@ -278,4 +291,4 @@
             unsure = True
         except UnavailableError:
             pass
-        await store.rest(attempt)
+        await store.back_off(attempt)
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -10,7 +10,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from ..server import Controller
+    from clayport.controller import Controller
 
 # A frame's share of it, and the most that a whole may unpack to.
 PART, WHOLE_MOST = 1024 * 1024, 512 * 1024 * 1024
@@ -54,22 +54,22 @@
         core.label, core.incarnation, core.epoch.number, dict(core.epoch.members), loaded
     )
     for name, (job, _) in core.live.items():
-        link = core.pipes.links.get(name)
+        node = core.dependencies.nodes.get(name)
         found.live[name] = (
-            msgspec.to_builtins(link.job if link else job),
-            round(day - (now - link.submitted), 3) if link else day,
+            msgspec.to_builtins(node.job if node else job),
+            round(day - (now - node.submitted), 3) if node else day,
         )
     for name, status in core.ended.items():
-        at = core.pipes.ends.get(name, ("", 0.0))[1]
-        desc = core.descs.get(name)
+        at = core.dependencies.ends.get(name, ("", 0.0))[1]
+        desc = core.ended_descriptions.get(name)
         found.ended[name] = (
             status,
             round(day - (now - at), 3) if at else 0.0,
             msgspec.to_builtins(desc) if desc is not None else None,
         )
-    for hj in core.dispatch.homes.values():
-        for index, chunk in hj.chunks.items():
-            found.chunks[hj.key(index)] = chunk.value()
+    for managed in core.dispatcher.managed_jobs.values():
+        for index, chunk in managed.chunks.items():
+            found.chunks[managed.key(index)] = chunk.value()
     found.versions = {label: number for label, (number, _) in core.versions.items()}
     found.classes = {
         name: msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))
--- a/clayport/rebuild/files.py
+++ b/clayport/rebuild/files.py
@@ -20,7 +20,7 @@
 import msgspec
 import zstandard
 
-from .merge import Values
+from clayport.rebuild.merge import Values
 
 MAGIC = b"CLAYREC1"
 BLOCK = struct.Struct("!III")
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from ..record_keys import HEAD_KEY as HEAD_KEY
-from ..record_keys import is_anchor as is_anchor
+from clayport.records.keys import HEAD_KEY as HEAD_KEY
+from clayport.records.keys import is_anchor as is_anchor
 
 # Where records are kept for good.
 PREFIXES = ("c/", "run/", "end/", "quota/")
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -15,16 +15,16 @@
 import curio
 import msgspec
 
-from .. import http
-from ..cloud import RETURN_MOST, CloudError
-from ..membership import TOKEN_COUNTER_BITS
-from ..model import Report, split_task
-from .evidence import Evidence, Task
+from clayport.membership.epoch import TOKEN_COUNTER_BITS
+from clayport.model import WorkerHeartbeat, split_task
+from clayport.rebuild.evidence import Evidence, Task
+from clayport.scaling.cloud import RETURN_MOST, CloudError
+from clayport.transport import http
 
 if TYPE_CHECKING:
-    from ..server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.rebuild")
+log = logging.getLogger(__name__)
 
 # Machines asked at a time.
 ASKED = 32
@@ -154,17 +154,17 @@
             if p.task.partition("/")[0] in known
         ]
 
-    async def _report(self, client: Any, method: str, path: str, body: Any) -> Report:
+    async def _report(self, client: Any, method: str, path: str, body: Any) -> WorkerHeartbeat:
         raw = None if body is None else msgspec.json.encode(body)
         _, answer = await client.request(method, path, raw, self.core.fleet.command_s)
-        return msgspec.json.decode(answer, type=Report)
+        return msgspec.json.decode(answer, type=WorkerHeartbeat)
 
     async def _give_up(self) -> None:
         """Return machines that stay silent; not most of them at once, which would be us."""
         core, silent, now = self.core, self.silent, time.monotonic()
         most = len(silent) > 2 and len(silent) > len(self.held)
-        patience = core.settings.cluster.workers.cancel_s / 2 if most else core.fleet.silent_s
-        names = [n for n, since in silent.items() if now - since > patience][:RETURN_MOST]
+        circuit = core.settings.cluster.workers.cancel_s / 2 if most else core.fleet.silent_s
+        names = [n for n, since in silent.items() if now - since > circuit][:RETURN_MOST]
         if names:
             try:
                 await core.cloud.give_back(names)
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -6,15 +6,15 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from ..jobs import end_key, end_value, live_key
-from ..statestore import ConflictError, OutcomeUnknownError, Txn, UnavailableError
-from .evidence import Evidence
-from .history import History
+from clayport.jobs.managed_job import end_key, end_value, live_key
+from clayport.rebuild.evidence import Evidence
+from clayport.rebuild.history import History
+from clayport.records.store import ConflictError, OutcomeUnknownError, Txn, UnavailableError
 
 if TYPE_CHECKING:
-    from ..server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.rebuild")
+log = logging.getLogger(__name__)
 
 
 class LateEvidence:
@@ -36,14 +36,14 @@
                     txn = Txn().require(live_key(name), 0).require(end_key(name), 0)
                     txn.put(live_key(name), {"j": desc, "t": at})
                     if not await self._once(txn, "job", name):
-                        await core.mirror.learn(name)
+                        await core.record_replica.learn(name)
                     todo.pop()
                 else:
                     name, (status, at, desc) = ends[-1]
                     await self._end(name, status, at, desc)
                     ends.pop()
             except (UnavailableError, OutcomeUnknownError):
-                await core.store.rest(attempt)
+                await core.store.back_off(attempt)
 
     async def _once(self, txn: Txn, what: str, name: str) -> bool:
         """Write what nobody else had; False if something else is there instead."""
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -25,8 +25,8 @@
 
 import msgspec
 
-from ..jobs import (
-    HomeJob,
+from clayport.jobs.managed_job import (
+    ManagedJob,
     amounts,
     chunk_key,
     counts,
@@ -37,10 +37,10 @@
     quota_key,
     quota_of,
 )
-from ..membership import rendezvous
-from ..model import Chunk, Job
-from .evidence import Evidence, Task, split
-from .history import is_anchor
+from clayport.membership.epoch import rendezvous
+from clayport.model import Chunk, Job
+from clayport.rebuild.evidence import Evidence, Task, split
+from clayport.rebuild.history import is_anchor
 
 Values = Mapping[str, tuple[Any, int]]  # key: value, revision
 
@@ -75,19 +75,19 @@
     order = sorted(parts.values(), key=lambda e: (-e.epoch, e.label))
     ended = _ended(records, order)
     live = _live(records, order, ended)
-    descs: dict[str, Job] = {}
+    ended_descriptions: dict[str, Job] = {}
     for name in (*live, *ended):
         raw = live[name][0] if name in live else ended[name][2]
         if raw is not None:
-            descs[name] = msgspec.convert(raw, Job)
-    members, homes = split(parts)
+            ended_descriptions[name] = msgspec.convert(raw, Job)
+    members, leaders = split(parts)
     stored = _by_job(
         ((k, v) for k, (v, _) in records.items() if k.startswith("run/") and not is_anchor(k)),
         first_size,
     )
-    said = {label: _by_job(e.chunks.items(), first_size) for label, e in homes.items()}
+    said = {label: _by_job(e.chunks.items(), first_size) for label, e in leaders.items()}
     # What is older than the last epoch says what was done, and which attempts were used.
-    before = [_by_job(e.chunks.items(), first_size) for e in order if homes.get(e.label) is not e]
+    before = [_by_job(e.chunks.items(), first_size) for e in order if leaders.get(e.label) is not e]
     seen: dict[str, list[Task]] = {}
     for task in listed:
         seen.setdefault(task.job, []).append(task)
@@ -99,12 +99,12 @@
         for known in before:
             if name in known:
                 stored[name] = _older(stored.get(name), known[name], first_size)
-        home = said.get(rendezvous(name, members))
+        leader = said.get(rendezvous(name, members))
         over = name in ended
         here = _united(
             stored.get(name),
-            home.get(name) if home is not None else None,
-            () if home is not None else seen.get(name, ()),
+            leader.get(name) if leader is not None else None,
+            () if leader is not None else seen.get(name, ()),
             first_size,
             over,
         )
@@ -119,8 +119,8 @@
         for key, chunk in wanted.items():
             if not _same(records.get(key), chunk):
                 changes[key] = chunk.value()
-        if left and name in descs:
-            _charge(used, descs[name], left, limits)
+        if left and name in ended_descriptions:
+            _charge(used, ended_descriptions[name], left, limits)
         if over:
             _final(changes, records, name, ended[name], left > 0)
         elif live_key(name) not in records:
@@ -195,9 +195,9 @@
         keys.setdefault(job, set()).add(key)
     found = {}
     for job, chunks in raw.items():
-        hj = HomeJob(_ANY, 1, first_size, 0.0)
-        hj.load_all(chunks)
-        found[job] = Chunks(hj.layout, hj.chunks, keys[job])
+        managed = ManagedJob(_ANY, 1, first_size, 0.0)
+        managed.load_all(chunks)
+        found[job] = Chunks(managed.layout, managed.chunks, keys[job])
     return found
 
 
--- a/clayport/rebuild/plan.py
+++ b/clayport/rebuild/plan.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from ..model import RANKS, SERVICE, TXN_BYTES
-from ..statestore import Txn
-from .merge import Values
+from clayport.model import RANKS, SERVICE, TXN_BYTES
+from clayport.rebuild.merge import Values
+from clayport.records.store import Txn
 
 # What a write and a condition take beside key and value.
 ROW_BYTES = 64
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -13,23 +13,12 @@
 
 import curio
 
-from .. import peerwire
-from ..jobs import EPOCH_KEY
-from ..membership import TOKEN_COUNTER_BITS, Epoch
-from ..model import chunk_size
-from ..peers import PeerError
-from ..statestore import (
-    LEASE_S,
-    ConflictError,
-    Entry,
-    OutcomeUnknownError,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
-from . import evidence, plan
-from .evidence import Evidence, Task
-from .history import (
+from clayport.jobs.managed_job import EPOCH_KEY
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
+from clayport.model import chunk_size
+from clayport.rebuild import evidence, plan
+from clayport.rebuild.evidence import Evidence, Task
+from clayport.rebuild.history import (
     HEAD_KEY,
     PREFIXES,
     REBUILDING,
@@ -39,13 +28,24 @@
     anchor_value,
     is_anchor,
 )
-from .inventory import Inventory
-from .merge import merge
+from clayport.rebuild.inventory import Inventory
+from clayport.rebuild.merge import merge
+from clayport.records.store import (
+    LEASE_S,
+    ConflictError,
+    Entry,
+    OutcomeUnknownError,
+    StateStore,
+    Txn,
+    UnavailableError,
+)
+from clayport.transport import frames
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from ..server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.rebuild")
+log = logging.getLogger(__name__)
 
 
 class ConcurrentChangeError(Exception):
@@ -101,8 +101,8 @@
         anchor = await self._begin(head, records, name, number)
         log.info("event=rebuild-began history=%s cause=%r", name, h.doubt)
         parts = await self._gather(name)
-        members, homes = evidence.split(parts)
-        missing = sorted(set(members) - set(homes))
+        members, managed_jobs = evidence.split(parts)
+        missing = sorted(set(members) - set(managed_jobs))
         machines = {n: a for e in parts.values() for n, a in e.machines.items()}
         listed: list[Task] = []
         highest_token = 0
@@ -185,7 +185,7 @@
             except UnavailableError:
                 if not unsure:
                     raise
-            await core.store.rest(attempt)
+            await core.store.back_off(attempt)
 
     async def _gather(self, name: str) -> dict[str, Evidence]:
         """The evidence of all controllers that answer, ours included."""
@@ -209,11 +209,10 @@
     async def _evidence_of(self, label: str, name: str) -> Evidence | None:
         peer, parts = self.core.peers[label], []
         try:
-            count, part = await peer.call(peerwire.EVIDENCE, (name, 0))
+            count, part = await peer.call(frames.EVIDENCE, (name, 0))
             parts.append(part)
             parts += [
-                (await peer.call(peerwire.EVIDENCE, (name, number)))[1]
-                for number in range(1, count)
+                (await peer.call(frames.EVIDENCE, (name, number)))[1] for number in range(1, count)
             ]
             return evidence.unpack(parts)
         except (PeerError, ValueError) as exc:
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -10,17 +10,17 @@
 import curio
 import msgspec
 
-from ..jobs import EPOCH_KEY
-from ..statestore import Change, CompactedError, OutcomeUnknownError, UnavailableError
-from . import files
-from .evidence import Evidence
-from .files import Header, Log, Row, SnapshotError
-from .history import PREFIXES, is_anchor
+from clayport.jobs.managed_job import EPOCH_KEY
+from clayport.rebuild import files
+from clayport.rebuild.evidence import Evidence
+from clayport.rebuild.files import Header, Log, Row, SnapshotError
+from clayport.rebuild.history import PREFIXES, is_anchor
+from clayport.records.store import Change, CompactedError, OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
-    from ..server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.rebuild")
+log = logging.getLogger(__name__)
 
 # Bases that are kept. A new one is written once the log is so many times as long as the last.
 KEEP, LOG_TIMES = 3, 2.0
@@ -93,7 +93,7 @@
                 log.info("event=snapshot-anew cause='too far behind'")
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=snapshot-waits cause=%s", exc)
-                await core.store.rest(attempt)
+                await core.store.back_off(attempt)
             except (OSError, msgspec.MsgspecError) as exc:
                 log.error("event=snapshot-failed cause=%r", exc)
                 await curio.sleep(core.jitter(core.ttl_s * 4))
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -13,30 +13,30 @@
 import curio
 import msgspec
 
-from .. import peerwire
-from ..jobs import EPOCH_KEY
-from ..limits import Deadline
-from ..membership import Epoch
-from ..mirror import rebuilds
-from ..peers import PeerError
-from ..statestore import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
-from . import evidence
-from .evidence import Evidence
-from .history import (
+from clayport.jobs.managed_job import EPOCH_KEY
+from clayport.limits import Deadline
+from clayport.membership.epoch import Epoch
+from clayport.rebuild import evidence
+from clayport.rebuild.evidence import Evidence
+from clayport.rebuild.history import (
     HEAD_KEY,
     PREFIXES,
     REBUILDING,
     WHOLE,
     History,
 )
-from .late_evidence import LateEvidence
-from .rebuilder import ConcurrentChangeError, Rebuilder, read_anchors
+from clayport.rebuild.late_evidence import LateEvidence
+from clayport.rebuild.rebuilder import ConcurrentChangeError, Rebuilder, read_anchors
+from clayport.records.replica import rebuilds
+from clayport.records.store import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
+from clayport.transport import frames
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from ..server import Controller
-    from .recorder import Recorder
+    from clayport.controller import Controller
+    from clayport.rebuild.recorder import Recorder
 
-log = logging.getLogger("clayport.rebuild")
+log = logging.getLogger(__name__)
 
 
 class Said(NamedTuple):
@@ -57,7 +57,7 @@
         self.recorder: Recorder | None = None
         self.remembered: Evidence | None = None
         if directory:
-            from .recorder import Recorder  # imported only where there is a disk
+            from clayport.rebuild.recorder import Recorder  # imported only where there is a disk
 
             self.recorder = Recorder(core, Path(directory))
             self.remembered = self.recorder.load()
@@ -117,8 +117,8 @@
         try:
             said = Said(
                 *await core.peers[label].call(
-                    peerwire.HISTORY,
-                    (h.name, h.number, h.floor, bool(h.doubt), core.mirror.seen),
+                    frames.HISTORY,
+                    (h.name, h.number, h.floor, bool(h.doubt), core.record_replica.seen),
                     core.ttl_s / 4,
                 )
             )
@@ -154,22 +154,22 @@
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """What peers ask."""
         h = self.history
-        if kind == peerwire.HISTORY:
+        if kind == frames.HISTORY:
             if not h.doubt:
                 h.told(*values[:4])
-            return peerwire.HISTORY_TOLD, (
+            return frames.HISTORY_TOLD, (
                 h.name,
                 h.number,
                 h.floor,
                 bool(h.doubt),
-                self.core.mirror.seen,
+                self.core.record_replica.seen,
             )
         name, part = values
         if self.packed[0] != name:
             h.suspect("the records are rebuilt")
             self.packed = (name, evidence.pack(self._own()))
         parts = self.packed[1]
-        return peerwire.EVIDENCE_TOLD, (len(parts), parts[part] if part < len(parts) else b"")
+        return frames.EVIDENCE_TOLD, (len(parts), parts[part] if part < len(parts) else b"")
 
     def note_head(self, value: Any) -> None:
         """Which history the records belong to, as the watch has it."""
@@ -233,7 +233,7 @@
                 await curio.sleep(core.jitter(core.ttl_s / 16))
             except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
                 log.debug("event=rebuild-waits cause=%s", exc)
-                await core.store.rest(attempt)
+                await core.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
                 await curio.sleep(core.jitter(core.ttl_s / 4))
@@ -247,7 +247,9 @@
         for entry in entries:
             # Who is there, and understands what: also for who has only just begun.
             if entry.key.startswith("c/version/"):
-                core.mirror.note_version(entry.key[len("c/version/") :], entry.value, entry.rev)
+                core.record_replica.note_version(
+                    entry.key[len("c/version/") :], entry.value, entry.rev
+                )
         head = records.get(HEAD_KEY)
         # Whoever is there with no record at all has none of before.
         told = [
--- a/clayport/mirror.py
+++ b/clayport/records/replica.py
@@ -11,13 +11,12 @@
 import curio
 import msgspec
 
-from . import peers, peerwire
-from .jobs import EPOCH_KEY, end_key, ended, live_key
-from .limits import Deadline
-from .membership import Epoch
-from .model import Job
-from .record_keys import HEAD_KEY
-from .statestore import (
+from clayport.jobs.managed_job import EPOCH_KEY, end_key, ended, live_key
+from clayport.limits import Deadline
+from clayport.membership.epoch import Epoch
+from clayport.model import Job
+from clayport.records.keys import HEAD_KEY
+from clayport.records.store import (
     Change,
     CompactedError,
     ConflictError,
@@ -25,11 +24,12 @@
     Txn,
     UnavailableError,
 )
+from clayport.transport import frames, peers
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.mirror")
+log = logging.getLogger(__name__)
 
 NODE_PREFIX, LIVE_PREFIX, CLASS_PREFIX = "c/node/", "c/live/", "c/class/"
 # What a controller understands, by its label; kept for good, since one that has been
@@ -48,21 +48,21 @@
 
 
 # Ended jobs kept in memory so that polls for them need no read.
-ENDED_MOST = 20_000
+MAX_ENDED_JOBS = 20_000
 # Cancellations that a peer is told of at a time once it is heard again.
-MADE_UP = 50
-CLASSES_MOST = 100
+RESEND_BATCH = 50
+MAX_REMEMBERED_CLASSES = 100
 
 
-class Mirror:
-    """The routines that keep the controller's picture of the records."""
+class RecordReplica:
+    """The routines that keep the controller's cached state of the records."""
 
     def __init__(self, core: Controller) -> None:
         self.core = core
         self.seen = 0  # the revision up to which all changes under `c/` are known here
         # Jobs whose live record is gone and whose end is still to be read, and up to when, and
         # up to which revision, all was known before.
-        self.unlearned: dict[str, tuple[float, int]] = {}
+        self.unresolved_ends: dict[str, tuple[float, int]] = {}
         self.telling: dict[tuple[str, str], None] = {}  # peers that are being told, of what
 
     # -- versions ---------------------------------------------------------
@@ -91,8 +91,8 @@
             core.bounds.txn_ops,
             core.bounds.write_rps,
         )
-        for hj in core.dispatch.homes.values():
-            core.signal(hj.name)
+        for managed in core.dispatcher.managed_jobs.values():
+            core.signal(managed.name)
 
     def note_version(self, label: str, value: Any, rev: int) -> None:
         """A version's record was read; one that can't be says nothing, and is written anew."""
@@ -130,7 +130,7 @@
                 core.rescan = True
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=watch-lost cause=%s", exc)
-                await core.store.rest(attempt)
+                await core.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
                 await curio.sleep(core.jitter(core.ttl_s / 8))
@@ -168,12 +168,12 @@
     def _read(self, asked_at: float, rev: int) -> None:
         """All changes up to the revision have come, in answer to what was asked then."""
         self.seen = rev
-        self.core.horizon.read(next(iter(self.unlearned.values()), (asked_at, rev))[0])
+        self.core.watermark.read(next(iter(self.unresolved_ends.values()), (asked_at, rev))[0])
 
     @property
     def known_rev(self) -> int:
         """Up to which revision it is known what became of every job."""
-        return next(iter(self.unlearned.values()), (0.0, self.seen))[1]
+        return next(iter(self.unresolved_ends.values()), (0.0, self.seen))[1]
 
     def _apply(self, change: Change) -> None:
         core = self.core
@@ -207,11 +207,13 @@
             elif key.startswith(VERSION_PREFIX):
                 self.note_version(key[len(VERSION_PREFIX) :], value, rev)
             elif key.startswith(CLASS_PREFIX):
-                known = core.judged(msgspec.convert(value["j"], Job))
+                known = core.with_objectives(msgspec.convert(value["j"], Job))
                 core.classes[known.job_class] = known
             elif key.startswith(LIVE_PREFIX):
                 self.note_live(
-                    core.judged(msgspec.convert(value["j"], Job)), rev, self.since(value.get("t"))
+                    core.with_objectives(msgspec.convert(value["j"], Job)),
+                    rev,
+                    self.since(value.get("t")),
                 )
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
             log.error("key=%s event=malformed-value cause=%r", key, exc)
@@ -232,22 +234,22 @@
         core = self.core
         if job.id in core.live and rev > core.live[job.id][1]:
             core.live[job.id] = (core.live[job.id][0], rev)  # written anew by a rebuild
-            if job.id in core.dispatch.homes:
-                core.dispatch.homes[job.id].live_rev = rev
+            if job.id in core.dispatcher.managed_jobs:
+                core.dispatcher.managed_jobs[job.id].live_rev = rev
         if job.id in core.live or job.id in core.ended:
             return
-        changed = core.pipes.add(job, submitted)
-        core.live[job.id] = (core.pipes.view(job.id, core.finish_limits), rev)
+        changed = core.dependencies.add(job, submitted)
+        core.live[job.id] = (core.dependencies.view(job.id, core.finish_limits), rev)
         core.placer.learn(core.live[job.id][0])
         self._review(changed)
-        if core.pipes.waiting(job.id):
+        if core.dependencies.waiting(job.id):
             core.signal("prereqs")
         elif core.state_known:
             core.arrivals.note(job, time.monotonic())
         if (
             job.gpus > 0
             and job.job_class not in core.classes
-            and len(core.classes) < CLASSES_MOST
+            and len(core.classes) < MAX_REMEMBERED_CLASSES
             and job.job_class.isascii()
             and job.job_class.replace("-", "").replace("_", "").isalnum()
         ):
@@ -256,9 +258,9 @@
         if (
             core.serving
             and core.epoch.place(job.id) == core.label
-            and job.id not in core.dispatch.homes
+            and job.id not in core.dispatcher.managed_jobs
         ):
-            core.takeover.home(core.live[job.id][0], rev, {}, "")
+            core.failover.lead(core.live[job.id][0], rev, {}, "")
             core.signal("place")
 
     def _review(self, changed: Iterable[str]) -> None:
@@ -266,12 +268,12 @@
         core = self.core
         for name in changed:
             if name in core.live:
-                job = core.pipes.view(name, core.finish_limits)
+                job = core.dependencies.view(name, core.finish_limits)
                 core.live[name] = (job, core.live[name][1])
-                hj = core.dispatch.homes.get(name)
-                if hj is not None:
-                    hj.job = job
-                    core.placer.line.touch(name)
+                managed = core.dispatcher.managed_jobs.get(name)
+                if managed is not None:
+                    managed.job = job
+                    core.placer.queue.touch(name)
                     core.signal("place")
 
     def _ready(self, name: str) -> None:
@@ -280,11 +282,11 @@
         job = core.live[name][0]
         if core.state_known:
             core.arrivals.note(job, time.monotonic())
-        hj = core.dispatch.homes.get(name)
-        if hj is not None and not hj.ended:
-            hj.since = core.pipes.links[name].ready
-            hj.blocked = False
-            core.placer.line.touch(name)
+        managed = core.dispatcher.managed_jobs.get(name)
+        if managed is not None and not managed.ended:
+            managed.since = core.dependencies.nodes[name].ready
+            managed.blocked = False
+            core.placer.queue.touch(name)
             log.info("job=%s event=ready", name)
             core.signal("place")
 
@@ -297,9 +299,10 @@
         again_at = 0.0
         while True:
             await core.wait(
-                "prereqs", core.jitter(core.ttl_s / 4 if core.pipes.missing else 2 * core.ttl_s)
+                "prereqs",
+                core.jitter(core.ttl_s / 4 if core.dependencies.missing else 2 * core.ttl_s),
             )
-            for name in list(core.pipes.missing):
+            for name in list(core.dependencies.missing):
                 if name in core.ended:
                     self._end_of(name, core.ended[name], time.monotonic())
                     continue
@@ -329,9 +332,9 @@
         """Live jobs that jobs at home here wait for."""
         return {
             need
-            for name, hj in self.core.dispatch.homes.items()
-            if hj.blocked and name in self.core.pipes.links
-            for need in self.core.pipes.links[name].needs
+            for name, managed in self.core.dispatcher.managed_jobs.items()
+            if managed.blocked and name in self.core.dependencies.nodes
+            for need in self.core.dependencies.nodes[name].needs
         }
 
     async def _remember(self, job: Job) -> None:
@@ -347,7 +350,7 @@
 
     def _gone_live(self, job: str) -> None:
         if job in self.core.live and job not in self.core.ended:
-            self.unlearned.setdefault(job, (self.core.horizon.state_at, self.known_rev))
+            self.unresolved_ends.setdefault(job, (self.core.watermark.state_at, self.known_rev))
             self.core.spawn(self.learn(job))
 
     async def learn(self, job: str) -> None:
@@ -355,7 +358,7 @@
         try:
             await self._learn(job)
         finally:
-            self.unlearned.pop(job, None)
+            self.unresolved_ends.pop(job, None)
 
     async def _learn(self, job: str) -> None:
         core = self.core
@@ -380,14 +383,14 @@
 
     def _end_of(self, job: str, status: str, at: float) -> None:
         """What the end of a job means for those that need it, and for what it needed."""
-        ready, doomed, changed = self.core.pipes.end(job, status, at)
+        ready, doomed, changed = self.core.dependencies.end(job, status, at)
         self._review(changed)
         for name in ready:
             self._ready(name)
         for name in doomed:
-            hj = self.core.dispatch.homes.get(name)
-            if hj is not None:
-                self.core.signal(hj.name)
+            managed = self.core.dispatcher.managed_jobs.get(name)
+            if managed is not None:
+                self.core.signal(managed.name)
 
     def note_end(self, job: str, status: str, at: float | None = None, rev: int = 0) -> None:
         """A job is over, as committed (at that time of day, with that revision)."""
@@ -396,20 +399,20 @@
             core.promises.ended(job, rev)
         self._end_of(job, status, self.since(at))
         core.ended[job] = status
-        while len(core.ended) > ENDED_MOST:
+        while len(core.ended) > MAX_ENDED_JOBS:
             core.ended.popitem(last=False)
         core.owner.ended(job, status)
         known = core.live.pop(job, None)
-        hj = core.dispatch.homes.get(job)
+        managed = core.dispatcher.managed_jobs.get(job)
         if known is not None:
-            core.descs[job] = known[0]
-            while len(core.descs) > ENDED_MOST // 10:
-                core.descs.pop(next(iter(core.descs)))
-        if hj is not None and not hj.ended:
-            hj.ended = status
-            hj.kill_at = 0.0
-            core.placer.line.touch(job)
-            core.signal(hj.name)
+            core.ended_descriptions[job] = known[0]
+            while len(core.ended_descriptions) > MAX_ENDED_JOBS // 10:
+                core.ended_descriptions.pop(next(iter(core.ended_descriptions)))
+        if managed is not None and not managed.ended:
+            managed.ended = status
+            managed.kill_at = 0.0
+            core.placer.queue.touch(job)
+            core.signal(managed.name)
 
     def tell_cancelled(self, job: str) -> None:
         """Have all peers acknowledge a cancellation that they don't know of yet."""
@@ -425,9 +428,9 @@
         try:
             while time.monotonic() < end:
                 try:
-                    await peer.call(peerwire.ENDED, (job, "cancelled"))
+                    await peer.call(frames.ENDED, (job, "cancelled"))
                 except peers.PeerError:
-                    await peer.rest(attempt)
+                    await peer.back_off(attempt)
                     continue
                 core.promises.acknowledge(label, job)
                 core.signal(f"told {job}")
@@ -452,9 +455,9 @@
             )
         core.events.pop(name, None)
 
-    def make_up(self, label: str) -> None:
+    def resend_cancellations(self, label: str) -> None:
         """A peer is heard again that was not told of everything."""
-        for job in self.core.promises.owed(label)[:MADE_UP]:
+        for job in self.core.promises.owed(label)[:RESEND_BATCH]:
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
                 self.core.spawn(self._tell_cancelled(label, job))
--- a/clayport/statestore.py
+++ b/clayport/records/store.py
@@ -10,11 +10,11 @@
 import curio
 import msgspec
 
-from . import http
-from .limits import Budget, Deadline, Gate, GateClosedError, Inflight, Patience, Retries
+from clayport.limits import Budget, Circuit, Deadline, Gate, GateClosedError, Inflight, Retries
+from clayport.transport import http
 
 if TYPE_CHECKING:
-    from .rebuild.history import History
+    from clayport.rebuild.history import History
 
 # How far what users and replicas wait for may go ahead of the queue (the service allows
 # bursts of a whole second's worth), how far cancellations may, which have a limit of their
@@ -198,7 +198,7 @@
         )
         # Asked again after a pause like an eighth of the time that a request may take; what
         # waits for the service to come back is woken when it does.
-        self.patience = Patience(
+        self.circuit = Circuit(
             Retries(
                 timeout_s / 8,
                 timeout_s,
@@ -206,7 +206,7 @@
                 uniform,
             )
         )
-        self.begin, self.rest = self.patience.begin, self.patience.rest
+        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
         # Where records may be rebuilt: the history that commits rest on, and how the peers
         # are asked what they have seen of it.
         self.history: History | None = None
@@ -304,7 +304,7 @@
                 await self._failed()
             raise UnavailableError(f"{status} {path}")
         self.last_ok = time.monotonic()
-        await self.patience.seen(True)
+        await self.circuit.seen(True)
         if self.history is not None and not doubtful and status in (200, 404, 409):
             self._shown(payload, name, floor, wrote and status == 200)
         return status, payload
@@ -326,7 +326,7 @@
         self.last_bad = time.monotonic()
         if self.history is not None:
             self.history.unsure = True
-        await self.patience.seen(False)
+        await self.circuit.seen(False)
 
     async def _read(
         self, path: str, deadline: Deadline | None = None, doubtful: bool = False
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -8,7 +8,7 @@
 
 import curio
 
-log = logging.getLogger("clayport.routines")
+log = logging.getLogger(__name__)
 
 
 class Routines:
--- /dev/null
+++ b/clayport/scaling/__init__.py
@@ -0,0 +1,1 @@
+"""Renting machines from the cloud and returning them."""
--- a/clayport/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -10,10 +10,10 @@
 import curio
 import msgspec
 
-from . import http
-from .limits import Budget, Patience, Retries
-from .model import Listed, MachineType
-from .statestore import Bucket
+from clayport.limits import Budget, Circuit, Retries
+from clayport.model import CloudMachine, MachineType
+from clayport.records.store import Bucket
+from clayport.transport import http
 
 # Retries that each first try earns; the share of our requests that may be retries; and the
 # pauses between them as shares of the time that a request may take.
@@ -36,7 +36,7 @@
 
 
 class _Page(msgspec.Struct):
-    machines: list[Listed] = msgspec.field(name="hosts")
+    machines: list[CloudMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
@@ -60,7 +60,7 @@
         self.bucket = Bucket(rps * 0.8, now)
         self.timeout_s = timeout_s
         again = max(1.0, AGAIN * self.bucket.rate)
-        self.patience = Patience(
+        self.circuit = Circuit(
             Retries(
                 PAUSE * timeout_s,
                 PAUSE_MOST * timeout_s,
@@ -68,7 +68,7 @@
                 uniform,
             )
         )
-        self.begin, self.rest = self.patience.begin, self.patience.rest
+        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
 
     async def turn(self) -> None:
         """Until another request may be sent."""
@@ -85,10 +85,10 @@
         try:
             status, payload = await self.client.request(method, path, raw, self.timeout_s)
         except http.NoAnswerError as exc:
-            await self.patience.seen(False)
+            await self.circuit.seen(False)
             raise CloudError(str(exc)) from None
         # What is refused for lack of capacity has been served.
-        await self.patience.seen(status != 429 and (status != 503 or b"no capacity" in payload))
+        await self.circuit.seen(status != 429 and (status != 503 or b"no capacity" in payload))
         return status, payload
 
     @staticmethod
@@ -110,13 +110,13 @@
         found: list[MachineType] = self._decode(status, payload, _Catalogue).types
         return found
 
-    async def machines(self) -> list[Listed]:
+    async def machines(self) -> list[CloudMachine]:
         """Return the machines in the cloud's list, page after page; the list lags.
 
         Raises:
             CloudError: A page was refused or not answered.
         """
-        found: list[Listed] = []
+        found: list[CloudMachine] = []
         since = ""
         while True:
             status, payload = await self._call(
--- a/clayport/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from .index import Index
-from .model import ARRAY, SERVICE, Job, MachineType, fits
-from .placement import Policy, Room, Spread, capacity, holds, place
+from clayport.model import ARRAY, SERVICE, Job, MachineType, fits
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Policy, Room, Spread, capacity, holds, place
 
 Kind = tuple[str, str, bool]  # type, zone, spot
 
@@ -41,7 +41,7 @@
 SEEN_MOST, SEEN_LEAST = 8, 3
 
 
-class Need(NamedTuple):
+class Demand(NamedTuple):
     """Tasks of a job that want room: how long they have waited, and the zones in
     which the job's other tasks are (where that matters)."""
 
@@ -51,7 +51,7 @@
     zones: tuple[str, ...] = ()
 
 
-class Boot:
+class BootingMachine:
     """A machine that has been rented and has not reported yet."""
 
     __slots__ = ("kind", "name", "since")
@@ -60,7 +60,7 @@
         self.name, self.kind, self.since = name, kind, since
 
 
-class Boots:
+class BootTimes:
     """How long machines of each type took to come up of late, in their type's boot times."""
 
     def __init__(self, span_s: float) -> None:
@@ -74,7 +74,7 @@
         )
 
     def observed(
-        self, types: Iterable[MachineType], booting: Iterable[Boot], now: float
+        self, types: Iterable[MachineType], booting: Iterable[BootingMachine], now: float
     ) -> list[MachineType]:
         """The catalogue with the boot times that are to be expected now.
 
@@ -138,11 +138,11 @@
 
 def short(
     index: Index,
-    demand: Iterable[Need],
+    demand: Iterable[Demand],
     policy: Policy,
     patient: bool = False,
     lodger: bool = False,
-) -> list[Need]:
+) -> list[Demand]:
     """The demand that doesn't fit into the rooms (which are charged): off dear machines for
     the `patient`, off ordinary ones that it alone would keep for a `lodger`.
 
@@ -170,7 +170,7 @@
 
 def ample(
     index: Index,
-    demand: Iterable[Need],
+    demand: Iterable[Demand],
     policy: Policy,
     without: Iterable[str] = (),
     patient: bool = False,
@@ -220,7 +220,7 @@
 
 def spare_room(
     live: Iterable[Job], arrivals: Arrivals, types: list[MachineType], urgent: set[str], now: float
-) -> list[Need]:
+) -> list[Demand]:
     """Room kept for work that must start sooner than a machine boots.
 
     For each class whose start is an aim, what is to be expected while a machine
@@ -244,7 +244,7 @@
         mean = arrivals.expected(name, min(boots, default=0.0), now)
         expected = mean + NINE_IN_TEN * math.sqrt(mean)
         lost = SPARE * tasks.get(name, 0) if job.kind == SERVICE else 0.0
-        found.append(Need(job, max(1, math.ceil(max(expected, lost)))))
+        found.append(Demand(job, max(1, math.ceil(max(expected, lost)))))
     return found
 
 
@@ -266,7 +266,9 @@
     return math.inf if limit is None else limit - age_s - job.estimate_s
 
 
-def in_waves(need: Need, limits: dict[str, float], boot_s: float) -> tuple[int, bool | None] | None:
+def in_waves(
+    need: Demand, limits: dict[str, float], boot_s: float
+) -> tuple[int, bool | None] | None:
     """For a job of tasks so short that it runs in many waves: how many at a time let it end
     in time, and whether it will be late at its pace (None: too early to say); None for all
     others.
@@ -289,14 +291,14 @@
     return tasks, (job.tasks - need.tasks) / need.age_s * left < need.tasks
 
 
-def pressing(
-    demand: Iterable[Need],
+def urgent_demand(
+    demand: Iterable[Demand],
     limits: dict[str, float],
     fleet_cpus: float,
     line_factor: float = LINE,
     margin: float = MARGIN,
     boot_s: float = 0.0,
-) -> list[Need]:
+) -> list[Demand]:
     """The demand that would be late if it waited for room to become free.
 
     With factors of 1 it is what will be late if the estimates are right: a dear machine
@@ -324,9 +326,9 @@
     return found
 
 
-def shopping(
+def plan_rentals(
     types: list[MachineType],
-    missing: list[Need],
+    missing: list[Demand],
     refused: set[Kind],
     busy_cpus: float,
     policy: Policy,
--- a/clayport/renting.py
+++ b/clayport/scaling/renting.py
@@ -10,32 +10,32 @@
 
 import curio
 
-from . import peerwire
-from .cloud import RETURN_MOST, CloudError, NoCapacityError
-from .index import Index
-from .model import RANKS, Listed, MachineType, fits
-from .placement import Policy, Room
-from .provisioning import (
+from clayport.model import RANKS, CloudMachine, MachineType, fits
+from clayport.scaling.cloud import RETURN_MOST, CloudError, NoCapacityError
+from clayport.scaling.provisioning import (
     GIVE_UP,
     LATE,
     RENT_MOST,
-    Boot,
-    Boots,
+    BootingMachine,
+    BootTimes,
+    Demand,
     Kind,
-    Need,
     ample,
     empty_room,
-    pressing,
+    plan_rentals,
     remaining,
-    shopping,
     short,
     spare_room,
+    urgent_demand,
 )
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Policy, Room
+from clayport.transport import frames
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.renting")
+log = logging.getLogger(__name__)
 
 # The share of the fleet's CPUs that has to be free before replicas are moved to
 # empty a machine.
@@ -51,15 +51,15 @@
 
     def __init__(self, core: Controller) -> None:
         self.core = core
-        self.boots: dict[str, Boot] = {}
+        self.boots: dict[str, BootingMachine] = {}
         self.own: set[str] = set()  # machines rented here that have not come up yet
-        self.took = Boots(20 * core.settings.cluster.workers.lease_s)
+        self.took = BootTimes(20 * core.settings.cluster.workers.lease_s)
         self.returned: dict[str, float] = {}
         self.refused: dict[Kind, float] = {}
         # Machines that their owners did not close, and until when they are not asked again.
         self.held: dict[str, float] = {}
         self.emptied: dict[str, float] = {}  # when a machine was last to be emptied
-        self.listed: dict[str, Listed] = {}
+        self.listed: dict[str, CloudMachine] = {}
         self.sequence = 0
         self.began: object = None
         self.ready_at = 0.0
@@ -83,14 +83,14 @@
                 attempt.served()
             except CloudError as exc:
                 log.info("event=cloud-trouble cause=%s", exc)
-                await core.cloud.rest(attempt)
+                await core.cloud.back_off(attempt)
 
     async def tick(self) -> None:
         core = self.core
         now = time.monotonic()
         epoch = core.epoch
         fresh = self.began is not epoch
-        await core.picture.refresh_peers(changed_only=not fresh)
+        await core.cached_state.refresh_peers(changed_only=not fresh)
         if fresh or now - self.listed_at > core.settings.cluster.cloud.list_lag_s:
             await self._list(now)
         if fresh:
@@ -106,11 +106,11 @@
         now = time.monotonic()
         types = {t.name: t for t in core.types}
         await self._give_up(now, types)
-        index, policy = core.picture.index(), core.placer.policy()
+        index, policy = core.cached_state.index(), core.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
             self._describe(list(index.rooms.values()), types)
         waiting = core.placer.all_demand()
-        demand = [n for n in waiting if not n.job.filler]
+        demand = [n for n in waiting if not n.job.backfill]
         observed = self.took.observed(
             core.types, (b for n, b in self.boots.items() if n in self.own), now
         )
@@ -126,13 +126,13 @@
             )
         await self._return_idle(types, demand, spare, policy, now)
         if now - self.evacuated_at > core.settings.cluster.workers.lease_s / 2:
-            for room in list(core.picture.rooms().values()):
+            for room in list(core.cached_state.rooms().values()):
                 kind = types.get(room.type)
                 if (
                     kind is not None
                     and room.open
                     and policy.blocked(room, kind) > 0
-                    and await core.ask_owner(peerwire.EVACUATE, room.machine, False)
+                    and await core.ask_owner(frames.EVACUATE, room.machine, False)
                 ):
                     # Replicas placed before a job that needs the GPUs was known.
                     self.evacuated_at = now
@@ -151,9 +151,9 @@
 
     def _wanted(
         self,
-        waiting: list[Need],
-        demand: list[Need],
-        spare: list[Need],
+        waiting: list[Demand],
+        demand: list[Demand],
+        spare: list[Demand],
         observed: list[MachineType],
         index: Index,
         policy: Policy,
@@ -174,7 +174,7 @@
                 busy += len(pool.rooms) * kind.cpus - totals.free
         cpus = there - lasting + sum(r.cpus for r in booting)
         boot_s = min(t.boot_s for t in observed)
-        needs = pressing(demand, core.finish_limits, cpus, boot_s=boot_s)
+        needs = urgent_demand(demand, core.finish_limits, cpus, boot_s=boot_s)
         moving = self._on_dear(index, policy)
         if (
             not needs
@@ -182,7 +182,7 @@
             and ample(index, moving, policy, patient=True)
         ):
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
-        kept: list[Need] = []
+        kept: list[Demand] = []
         if moving:
             with index.trial(extra=booting):
                 # Room for replicas on dear machines has to be where it is cheap: else it
@@ -194,15 +194,15 @@
             kept = short(index, spare, policy, True) + kept
         if not missing and not kept:
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
-        late = {n.job.id for n in pressing(demand, core.finish_limits, cpus, 1.0, 1.0, boot_s)}
+        late = {n.job.id for n in urgent_demand(demand, core.finish_limits, cpus, 1.0, 1.0, boot_s)}
         left = {
             n.job.id: -math.inf
-            if n.job.aimless or n.job.id not in late
+            if n.job.without_objective or n.job.id not in late
             else remaining(n.job, n.age_s, core.finish_limits)
             for n in demand
         }
-        wanted = shopping(observed, missing, set(self.refused), busy, policy, left, boots)
-        wanted += shopping(
+        wanted = plan_rentals(observed, missing, set(self.refused), busy, policy, left, boots)
+        wanted += plan_rentals(
             observed,
             kept,
             set(self.refused),
@@ -220,16 +220,16 @@
 
     def _fill(
         self,
-        waiting: list[Need],
-        needs: list[Need],
-        spare: list[Need],
+        waiting: list[Demand],
+        needs: list[Demand],
+        spare: list[Demand],
         busy: float,
         booting: list[Room],
         index: Index,
         policy: Policy,
     ) -> list[Kind]:
         """Machines for work without any aim, once nothing else lacks any."""
-        if not any(n.job.filler for n in waiting):
+        if not any(n.job.backfill for n in waiting):
             return []
         with index.trial(extra=booting):
             short(index, needs, policy)
@@ -237,7 +237,7 @@
             return self._filling(waiting, busy, index, policy)
 
     def _filling(
-        self, waiting: list[Need], busy: float, index: Index, policy: Policy
+        self, waiting: list[Demand], busy: float, index: Index, policy: Policy
     ) -> list[Kind]:
         """Machines for work without any aim: only once nothing else lacks any, within its
         share, and ordinary ones only if it can't be had otherwise. (Within a trial.)"""
@@ -246,7 +246,7 @@
         wanted: list[Kind] = []
         ordinary = {(t.name, z, False) for t in self.core.types for z in t.zones}
         for need in waiting:
-            if not need.job.filler:
+            if not need.job.backfill:
                 continue
             beside, tasks, rank = placer.hinders(need.job), need.tasks, need.job.rank
             if beside:
@@ -262,13 +262,13 @@
                     refused |= ordinary
                 lodger = True
             missing = short(index, [need._replace(tasks=tasks)], policy, lodger=lodger)
-            wanted += shopping(
+            wanted += plan_rentals(
                 self.core.types, missing, refused, busy, policy, {need.job.id: -math.inf}
             )
         return wanted
 
     @staticmethod
-    def _on_dear(index: Index, policy: Policy) -> list[Need]:
+    def _on_dear(index: Index, policy: Policy) -> list[Demand]:
         """Replicas that run on machines far dearer than they need."""
         found = []
         for job in policy.services:
@@ -279,7 +279,7 @@
                 for r in p.rooms.values()
             )
             if cpus > 0:
-                found.append(Need(job, math.ceil(cpus / max(job.cpus, 0.1))))
+                found.append(Demand(job, math.ceil(cpus / max(job.cpus, 0.1))))
         return found[:1]
 
     def _describe(self, rooms: list[Room], types: dict[str, MachineType]) -> None:
@@ -319,7 +319,9 @@
             if m.state == "failed":
                 failed.append(m.id)
             elif m.id not in core.rooms:
-                self.boots.setdefault(m.id, Boot(m.id, (m.type, m.zone, m.spot), now - m.age_s))
+                self.boots.setdefault(
+                    m.id, BootingMachine(m.id, (m.type, m.zone, m.spot), now - m.age_s)
+                )
         for name, boot in list(self.boots.items()):
             gone = name not in self.listed and now - boot.since > 4 * lag + core.ttl_s
             if name in core.rooms or name in self.returned or gone:
@@ -330,7 +332,7 @@
         for first in range(0, len(failed), RETURN_MOST):
             await self._return(failed[first : first + RETURN_MOST], now)
 
-    def _up(self, boot: Boot, now: float) -> None:
+    def _up(self, boot: BootingMachine, now: float) -> None:
         for kind in self.core.types:
             if kind.name == boot.kind[0]:
                 self.took.note(kind, now - boot.since, now)
@@ -380,14 +382,14 @@
                 self.refused[kind] = now + types[kind[0]].boot_s / 2
                 core.signal("demand")
             for machine in got:
-                self.boots[machine] = Boot(machine, kind, now)
+                self.boots[machine] = BootingMachine(machine, kind, now)
                 self.own.add(machine)
 
     async def _return_idle(
         self,
         types: dict[str, MachineType],
-        demand: list[Need],
-        spare: list[Need],
+        demand: list[Demand],
+        spare: list[Demand],
         policy: Policy,
         now: float,
     ) -> None:
@@ -395,7 +397,7 @@
         core = self.core
         names: list[str] = []
         needs = demand + spare
-        index = core.picture.index()
+        index = core.cached_state.index()
         # Cheap room that replicas on dear machines can still move to is kept.
         keep = sum(n.job.cpus * n.tasks for n in self._on_dear(index, policy))
         self.held = {n: until for n, until in self.held.items() if now < until}
@@ -416,7 +418,7 @@
         # Together first: where there is room to spare one look says so for all of them.
         # (On a fleet that shrinks, looks one by one were half of all processor time.)
         roomy = sum(r.open for r in few) > 1 and not self._lost(
-            core.picture.index(), [r.machine for r in few if r.open], needs, policy
+            core.cached_state.index(), [r.machine for r in few if r.open], needs, policy
         )
         for room in few:
             # A dear machine is not kept for what may come, or for what can wait.
@@ -428,14 +430,14 @@
                 room.open
                 and not roomy
                 and self._worse(
-                    core.picture.index(),
+                    core.cached_state.index(),
                     (room.machine, *names),
                     needs if cheap else hurried,
                     policy,
                 )
             ):
                 continue
-            if await core.ask_owner(peerwire.DRAIN, room.machine):
+            if await core.ask_owner(frames.DRAIN, room.machine):
                 names.append(room.machine)
             else:
                 # Four that are never closed would keep all others rented.
@@ -445,7 +447,7 @@
             await self._return(names, now)
 
     @staticmethod
-    def _lost(index: Index, without: Sequence[str], needs: list[Need], policy: Policy) -> int:
+    def _lost(index: Index, without: Sequence[str], needs: list[Demand], policy: Policy) -> int:
         """How many tasks of what is needed don't fit without the machines."""
         if ample(index, needs, policy, without):
             return 0
@@ -454,7 +456,7 @@
 
     @classmethod
     def _worse(
-        cls, index: Index, without: Sequence[str], needs: list[Need], policy: Policy
+        cls, index: Index, without: Sequence[str], needs: list[Demand], policy: Policy
     ) -> bool:
         """Whether less of what is needed would fit without the first of the machines (the
         others are not counted on in any case)."""
@@ -464,8 +466,8 @@
     async def _consolidate(
         self,
         types: dict[str, MachineType],
-        demand: list[Need],
-        spare: list[Need],
+        demand: list[Demand],
+        spare: list[Demand],
         policy: Policy,
         now: float,
     ) -> None:
@@ -477,7 +479,7 @@
         this a machine that has one stays rented, however little else there is for it.
         """
         core = self.core
-        rooms = core.picture.rooms()
+        rooms = core.cached_state.rooms()
         self.emptied = {n: t for n, t in self.emptied.items() if n in rooms}
         total = sum(types[r.type].cpus for r in rooms.values() if r.type in types)
         offers: list[tuple[bool, float, str]] = []
@@ -532,7 +534,7 @@
                 free < (2 * kind.cpus if dear else max(2 * kind.cpus, SLACK * total))
                 or not dear
                 and self._worse(
-                    core.picture.index(),
+                    core.cached_state.index(),
                     (name, *(r.machine for r in rooms.values() if r.spot and not room.spot)),
                     spare,
                     policy,
@@ -540,7 +542,7 @@
             ):
                 continue
             self.emptied[name] = now
-            if await core.ask_owner(peerwire.EVACUATE, name, True):
+            if await core.ask_owner(frames.EVACUATE, name, True):
                 # Each replica that moves is missed for about as long as a report takes.
                 share = lasting / max(lasting, total_lasting)
                 self.emptying_at = (
--- a/clayport/picture.py
+++ b/clayport/scheduling/cached_state.py
@@ -1,4 +1,4 @@
-"""The cached picture of free room that work is placed from, and its adaptive refresh."""
+"""The cached cached state of free room that work is placed from, and its adaptive refresh."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 import curio
 
-from . import peerwire
-from .index import Index
-from .model import Job
-from .peers import PeerError
-from .placement import Room
-from .refresh import Asc
+from clayport.model import Job
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Room
+from clayport.scheduling.refresh import AdaptiveInterval
+from clayport.transport import frames
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.picture")
+log = logging.getLogger(__name__)
 
 
-class Picture:
+class CachedState:
     """Rooms of all machines, as their owners' tables said when they were last pulled."""
 
     def __init__(self, core: Controller) -> None:
         self.core = core
-        self.asc = Asc()
+        self.adaptive_interval = AdaptiveInterval()
         # Tasks that are placed and not committed yet: what they take is subtracted.
         self.inflight: dict[tuple[str, int], tuple[str, Job]] = {}
         self.pulled: dict[str, int] = {}  # peer: its room revision at the last pull
@@ -113,7 +113,7 @@
         charged = [n for n in self.stale if n in core.rooms and core.rooms[n].owner == label]
         try:
             ok, rev, whole, removed, rows, taken = await core.peers[label].call(
-                peerwire.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
+                frames.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
             )
         except (PeerError, KeyError):
             return
@@ -201,12 +201,14 @@
     async def refresh(self) -> None:
         """The adaptive refresh; a lasting shortage also looks when a peer's table changed."""
         core = self.core
-        due = time.monotonic() + self.asc.interval
+        due = time.monotonic() + self.adaptive_interval.interval
         looked = -math.inf
         # Between two looks for want of room: what machines report in between comes together.
-        apart_s = max(self.asc.least, core.settings.cluster.workers.report_s) / 2
+        apart_s = max(self.adaptive_interval.least, core.settings.cluster.workers.report_s) / 2
         while True:
-            await core.wait("starved", min(self.asc.least, max(0.01, due - time.monotonic())))
+            await core.wait(
+                "starved", min(self.adaptive_interval.least, max(0.01, due - time.monotonic()))
+            )
             if not core.serving:
                 continue
             now = time.monotonic()
@@ -217,8 +219,10 @@
                 await curio.sleep(min(due, looked + apart_s) - now)
                 now = time.monotonic()
             if now >= due:
-                interval = self.asc.step()
-                log.debug("event=refresh ratio=%.3f interval=%.1f", self.asc.ratio, interval)
+                interval = self.adaptive_interval.step()
+                log.debug(
+                    "event=refresh ratio=%.3f interval=%.1f", self.adaptive_interval.ratio, interval
+                )
                 due = now + interval
                 await self.refresh_peers(changed_only=False)
                 core.signal("place")
--- a/clayport/pipelines.py
+++ b/clayport/scheduling/dependencies.py
@@ -14,14 +14,14 @@
 
 import msgspec
 
-from .model import RANKS, Job
+from clayport.model import RANKS, Job
 
 NAMES = {rank: name for name, rank in RANKS.items()}
 # Ended jobs whose end is remembered for those that name them later.
-ENDS_MOST = 5_000
+MAX_REMEMBERED_ENDS = 5_000
 
 
-class Link:
+class DependencyNode:
     """A live job in its pipelines."""
 
     __slots__ = ("due", "job", "needs", "rank", "ready", "submitted")
@@ -34,7 +34,7 @@
         self.rank = job.rank
 
 
-class Pipelines:
+class DependencyGraph:
     """The live jobs and what they wait for.
 
     `aside_s` is what a job takes besides its run and its image: to be placed, to be told
@@ -44,9 +44,9 @@
 
     def __init__(self, fetch_gb_per_s: float, aside_s: float) -> None:
         self.fetch_gb_per_s, self.aside_s = fetch_gb_per_s, aside_s
-        self.links: dict[str, Link] = {}
+        self.nodes: dict[str, DependencyNode] = {}
         # Live jobs by the jobs that they name.
-        self.followers: dict[str, set[str]] = {}
+        self.dependents: dict[str, set[str]] = {}
         self.ends: OrderedDict[str, tuple[str, float]] = OrderedDict()
         self.doomed: set[str] = set()
         # Jobs that others wait for and of which nothing is known here.
@@ -58,37 +58,37 @@
 
     def add(self, job: Job, submitted: float) -> set[str]:
         """A job is accepted; the jobs that have become more urgent by it."""
-        if job.id in self.links or job.id in self.ends:
+        if job.id in self.nodes or job.id in self.ends:
             return set()
-        link = self.links[job.id] = Link(job, submitted)
+        node = self.nodes[job.id] = DependencyNode(job, submitted)
         self.missing.pop(job.id, None)
         for name in dict.fromkeys(job.prereqs or ()):
             status, at = self.ends.get(name, ("", 0.0))
-            self.followers.setdefault(name, set()).add(job.id)
+            self.dependents.setdefault(name, set()).add(job.id)
             if status == "done":
-                link.ready = max(link.ready, at)
+                node.ready = max(node.ready, at)
             else:
-                link.needs.add(name)
-                if not status and name not in self.links:
+                node.needs.add(name)
+                if not status and name not in self.nodes:
                     self.missing[name] = None
                 if status or name in self.doomed:
                     self.doomed.add(job.id)
         changed: set[str] = set()
         # Known before what it needs, or before what needs it: they come in any order.
-        for follower in self.followers.get(job.id, ()):
-            if follower in self.links:
-                self._raise(link, self.links[follower])
+        for follower in self.dependents.get(job.id, ()):
+            if follower in self.nodes:
+                self._raise(node, self.nodes[follower])
                 if job.id in self.doomed:
                     self._doom(follower)
         self._up(job.id, changed)
         return changed
 
-    def _raise(self, link: Link, follower: Link) -> bool:
+    def _raise(self, node: DependencyNode, follower: DependencyNode) -> bool:
         """What a follower asks of a job that it needs; whether that changes anything."""
-        due = min(link.due, follower.due - self.takes(follower.job))
-        rank = max(link.rank, follower.rank)
-        changed = (due, rank) != (link.due, link.rank)
-        link.due, link.rank = due, rank
+        due = min(node.due, follower.due - self.takes(follower.job))
+        rank = max(node.rank, follower.rank)
+        changed = (due, rank) != (node.due, node.rank)
+        node.due, node.rank = due, rank
         return changed
 
     def _up(self, name: str, changed: set[str]) -> None:
@@ -98,12 +98,12 @@
             # Records that named each other in a ring, which no user can make, would
             # otherwise raise each other for ever.
             steps += 1
-            if steps > 10 * len(self.links):
+            if steps > 10 * len(self.nodes):
                 return
-            follower = self.links[todo.pop()]
+            follower = self.nodes[todo.pop()]
             for need in follower.needs:
-                link = self.links.get(need)
-                if link is not None and self._raise(link, follower):
+                node = self.nodes.get(need)
+                if node is not None and self._raise(node, follower):
                     changed.add(need)
                     todo.append(need)
 
@@ -112,29 +112,29 @@
         todo, steps = list(names), 0
         while todo:
             steps += 1
-            if steps > 10 * len(self.links):
+            if steps > 10 * len(self.nodes):
                 return
-            link = self.links.get(todo.pop())
-            if link is None:
+            node = self.nodes.get(todo.pop())
+            if node is None:
                 continue
-            before, own = (link.due, link.rank), Link(link.job, link.submitted)
-            link.due, link.rank = own.due, own.rank
-            for follower in self.followers.get(link.job.id, ()):
-                if follower in self.links:
-                    self._raise(link, self.links[follower])
-            if (link.due, link.rank) != before:
-                changed.add(link.job.id)
-                todo += link.needs
+            before, own = (node.due, node.rank), DependencyNode(node.job, node.submitted)
+            node.due, node.rank = own.due, own.rank
+            for follower in self.dependents.get(node.job.id, ()):
+                if follower in self.nodes:
+                    self._raise(node, self.nodes[follower])
+            if (node.due, node.rank) != before:
+                changed.add(node.job.id)
+                todo += node.needs
 
     def _doom(self, name: str) -> list[str]:
         """A job is to be cancelled, and all live ones that need it."""
         found, todo = [], [name]
         while todo:
             job = todo.pop()
-            if job in self.links and job not in self.doomed:
+            if job in self.nodes and job not in self.doomed:
                 self.doomed.add(job)
                 found.append(job)
-                todo += self.followers.get(job, ())
+                todo += self.dependents.get(job, ())
         return found
 
     def end(self, name: str, status: str, at: float) -> tuple[list[str], list[str], set[str]]:
@@ -143,15 +143,15 @@
         if name in self.ends:
             return [], [], set()
         self.ends[name] = (status, at)
-        while len(self.ends) > ENDS_MOST:
+        while len(self.ends) > MAX_REMEMBERED_ENDS:
             self.ends.popitem(last=False)
-        link = self.links.pop(name, None)
+        node = self.nodes.pop(name, None)
         self.missing.pop(name, None)
         self.doomed.discard(name)
         ready: list[str] = []
         doomed: list[str] = []
-        for follower in sorted(self.followers.get(name, ())):
-            waiting = self.links.get(follower)
+        for follower in sorted(self.dependents.get(name, ())):
+            waiting = self.nodes.get(follower)
             if waiting is None or name not in waiting.needs:
                 continue
             if status != "done":
@@ -162,35 +162,38 @@
             if not waiting.needs:
                 ready.append(follower)
         changed: set[str] = set(ready)
-        if link is not None:
-            for need in dict.fromkeys(link.job.prereqs or ()):
-                self.followers.get(need, set()).discard(name)
-                if not self.followers.get(need):
-                    self.followers.pop(need, None)
+        if node is not None:
+            for need in dict.fromkeys(node.job.prereqs or ()):
+                self.dependents.get(need, set()).discard(name)
+                if not self.dependents.get(need):
+                    self.dependents.pop(need, None)
                     self.missing.pop(need, None)
-            self._down(link.needs, changed)
+            self._down(node.needs, changed)
         return ready, doomed, changed
 
     def waiting(self, name: str) -> bool:
         """Whether a live job must not start yet."""
-        link = self.links.get(name)
-        return link is not None and bool(link.needs)
+        node = self.nodes.get(name)
+        return node is not None and bool(node.needs)
 
     def own_rank(self, job: Job) -> int:
         """The rank that its user gave it."""
-        link = self.links.get(job.id)
-        return link.job.rank if link is not None else job.rank
+        node = self.nodes.get(job.id)
+        return node.job.rank if node is not None else job.rank
 
     def view(self, name: str, limits: dict[str, float]) -> Job:
         """The job as it is to be scheduled: with the rank of all that need it, and with the
         time that they leave it, counted from when it was ready."""
-        link = self.links[name]
-        job = link.job
-        if link.due == math.inf and link.rank == job.rank:
+        node = self.nodes[name]
+        job = node.job
+        if node.due == math.inf and node.rank == job.rank:
             return job
-        left = None if link.due == math.inf else link.due - link.ready
+        left = None if node.due == math.inf else node.due - node.ready
         if left is not None and job.deadline_s is None and job.job_class in limits:
             left = min(left, limits[job.job_class])
         return msgspec.structs.replace(
-            job, priority=NAMES[link.rank], deadline_s=left, aimless=job.aimless and left is None
+            job,
+            priority=NAMES[node.rank],
+            deadline_s=left,
+            without_objective=job.without_objective and left is None,
         )
--- a/clayport/index.py
+++ b/clayport/scheduling/index.py
@@ -20,8 +20,8 @@
 from sortedcontainers import SortedList
 
 if TYPE_CHECKING:
-    from .model import Job
-    from .placement import Room
+    from clayport.model import Job
+    from clayport.scheduling.placement import Room
 
 EPSILON = 1e-6
 # Shelves of images kept for a pool: more than a class has images in use at a time, and a
@@ -168,7 +168,7 @@
     """All rooms, for whichever question is asked of them.
 
     `salt` differs by controller, so that equal machines are taken in another order by each
-    of them and equal pictures don't herd onto one machine.
+    of them and equal cached states don't herd onto one machine.
     """
 
     def __init__(self, salt: str = "", rooms: Iterable[Room] = ()) -> None:
--- a/clayport/aims.py
+++ b/clayport/scheduling/objectives.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterable
 
-from .config import Objective
+from clayport.settings import Objective
 
 
-class Aims:
+class Objectives:
     """The objectives by class; all times are in seconds.
 
     Attributes:
--- a/clayport/placement.py
+++ b/clayport/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Placing tasks from the cached picture of free room. Pure: no I/O, no clock."""
+"""Placing tasks from the cached cached state of free room. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Container, Iterable
 from typing import Any, NamedTuple
 
-from .index import EPSILON, Index, Pool, Row, allows
-from .model import GANG, RANKS, SERVICE, Job, MachineType, fits
+from clayport.model import GANG, RANKS, SERVICE, Job, MachineType, fits
+from clayport.scheduling.index import EPSILON, Index, Pool, Row, allows
 
 # How much above the cheapest type's price a type is dear: beyond what types of
 # different size differ by, well below what GPUs add.
@@ -257,7 +257,7 @@
         job.spot,
         job.kind,
         job.rank,
-        job.filler,
+        job.backfill,
     )
 
 
