--- a/clayport/placer.py
+++ b/clayport/scheduling/placer.py
@@ -1,4 +1,4 @@
-"""What waits here, and where it is to start: the placer's pass over the cached picture."""
+"""What waits here, and where it is to start: the placer's pass over the cached cached state."""
 
 from __future__ import annotations
 
@@ -13,34 +13,44 @@
 
 import curio
 
-from . import peerwire
-from .index import Index
-from .jobs import HomeJob, amounts, quota_of
-from .model import ARRAY, GANG, RANKS, SERVICE, Job
-from .peers import PeerError
-from .placement import Kept, Policy, Room, Spread, capacity, place, preempt, shape, takes
-from .provisioning import Need
-from .queueing import Group, Line, Shares
-from .queueing.shares import Name, Owed, names, names_of
-from .record_keys import is_anchor
-from .statestore import OutcomeUnknownError, UnavailableError
+from clayport.jobs.managed_job import ManagedJob, amounts, quota_of
+from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
+from clayport.records.keys import is_anchor
+from clayport.records.store import OutcomeUnknownError, UnavailableError
+from clayport.scaling.provisioning import Demand
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import (
+    Kept,
+    Policy,
+    Room,
+    Spread,
+    capacity,
+    place,
+    preempt,
+    shape,
+    takes,
+)
+from clayport.scheduling.queueing import Group, JobQueue, Shares
+from clayport.scheduling.queueing.shares import Name, Owed, names, names_of
+from clayport.transport import frames
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.placer")
+log = logging.getLogger(__name__)
 
 # The share of the fleet's CPUs that work without any aim may hold beside work that has one.
 FILL = 0.25
 # The standing of work of the lowest rank without any aim (`Job.standing`).
 UNAIMED = -1
 # Demand told to peers: enough jobs to fill any fleet, and a bounded frame.
-DEMAND_MOST = 500
+MAX_DEMAND_ROWS = 500
 # Leases that work without any aim can wait before it is owed a share of room.
 BEARS = 40.0
 # Of the machines, how many times the share that is still owed to somebody who found no room
 # is kept free of smaller work, in steps of one in so many.
-KEPT, KEPT_STEPS = 1.0, 8
+STARVING_SHARE, STARVING_SHARE_STEPS = 1.0, 8
 # The share of a report's interval for which room that comes free is gathered before arrays
 # that had found none are looked at again. On a full fleet machines come free one by one, and
 # each task had a pass, a commit and two requests to an owner of its own.
@@ -51,7 +61,7 @@
 PASSES = 50
 # Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
 # some ten milliseconds, in which no report is answered.
-WORK_MOST = 1000
+MAX_PASS_WORK = 1000
 
 
 class Look:
@@ -110,8 +120,8 @@
             )
             for name in {*core.wait_limits, *core.finish_limits}
         }
-        self.line = Line(
-            lambda: core.dispatch.homes,
+        self.queue = JobQueue(
+            lambda: core.dispatcher.managed_jobs,
             core.finish_all,
             core.wait_limits,
             Shares(
@@ -140,7 +150,7 @@
     def begin(self) -> None:
         """A new epoch: other homes, and nothing told by peers."""
         self.demands.clear()
-        self.line.clear(time.monotonic())
+        self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
         self.kept = None
         self.missed = {}
@@ -152,38 +162,38 @@
         """What waits here: (job, tasks, since, zones of its other tasks), bounded: the most
         urgent is told, the rest when that has been served."""
         now = time.monotonic()
-        line = self.line
-        line.catch_up(now)
+        queue = self.queue
+        queue.catch_up(now)
         found = [
-            self._row(hj, now)
-            for hj, _ in line.flying.values()
-            if now >= hj.not_before and not hj.at_fault
+            self._row(managed, now)
+            for managed, _ in queue.in_flight.values()
+            if now >= managed.not_before and not managed.at_fault
         ]
         groups = sorted(
-            line.groups.values(), key=lambda g: (g.example.job.filler, -g.example.job.rank)
+            queue.groups.values(), key=lambda g: (g.example.job.backfill, -g.example.job.rank)
         )
-        for name in (n for g in groups for lane in g.lanes.values() for n in lane):
-            if len(found) >= DEMAND_MOST:
+        for name in (n for g in groups for subqueue in g.subqueues.values() for n in subqueue):
+            if len(found) >= MAX_DEMAND_ROWS:
                 if now >= self.cut_logged_at:
                     self.cut_logged_at = now + 20 * self.core.ttl_s
                     log.info(
                         "event=demand-bounded told=%d jobs=%d",
-                        DEMAND_MOST,
-                        len(line.marks) + len(line.flying),
+                        MAX_DEMAND_ROWS,
+                        len(queue.entries) + len(queue.in_flight),
                     )
                 break
-            hj = line.marks[name].hj
-            if not hj.at_fault:
-                found.append(self._row(hj, now))
-        return found[:DEMAND_MOST]
+            managed = queue.entries[name].managed
+            if not managed.at_fault:
+                found.append(self._row(managed, now))
+        return found[:MAX_DEMAND_ROWS]
 
-    def _row(self, hj: HomeJob, now: float) -> tuple[str, int, float, str]:
+    def _row(self, managed: ManagedJob, now: float) -> tuple[str, int, float, str]:
         zones = ""
-        if hj.job.spread or hj.job.one_zone:
-            zones = " ".join(self.core.zones.get(m, "") for _, _, m in hj.assignments())
-        return hj.job.id, hj.pending + len(hj.placing), now - hj.since, zones
+        if managed.job.spread or managed.job.one_zone:
+            zones = " ".join(self.core.zones.get(m, "") for _, _, m in managed.assignments())
+        return managed.job.id, managed.pending + len(managed.placing), now - managed.since, zones
 
-    def all_demand(self) -> list[Need]:
+    def all_demand(self) -> list[Demand]:
         """Demand of the whole epoch, most urgent first."""
         core = self.core
         rows = self.demand()
@@ -191,11 +201,11 @@
             if label != core.label:
                 rows += self.demands.get(label, [])
         found = [
-            Need(core.live[job][0], count, age, tuple(zones.split()))
+            Demand(core.live[job][0], count, age, tuple(zones.split()))
             for job, count, age, zones in rows
             if job in core.live
         ]
-        found.sort(key=lambda need: (need.job.filler, -need.job.rank, -need.age_s))
+        found.sort(key=lambda need: (need.job.backfill, -need.job.rank, -need.age_s))
         return found
 
     # -- placing ---------------------------------------------------------
@@ -210,7 +220,7 @@
                 now = time.monotonic()
                 if now - self.swept_at > core.settings.cluster.workers.lease_s:
                     self.swept_at = now
-                    self.line.sweep()
+                    self.queue.sweep()
                 self._pass(now)
                 await core.flush()
             # Changes come one by one, and a pass takes them all.
@@ -224,28 +234,33 @@
         nothing sleep, and of one that is awake no more is looked at once it has found less
         than it wants.
         """
-        core, line = self.core, self.line
-        line.catch_up(now)
-        if not line.marks:
-            core.picture.starved = False
+        core, queue = self.core, self.queue
+        queue.catch_up(now)
+        if not queue.entries:
+            core.cached_state.starved = False
             return
         look = Look(
-            now, core.picture.index(), self.policy(), self._owed_now(now), self.kept, self.given
+            now,
+            core.cached_state.index(),
+            self.policy(),
+            self._owed_now(now),
+            self.kept,
+            self.given,
         )
         awake: list[Group] = []
         asleep: list[Group] = []
-        for group in line.groups.values():
+        for group in queue.groups.values():
             (asleep if self._sleeps(group, look, True) else awake).append(group)
         if any(g.example.job.kind != SERVICE for g in awake):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
             awake += [g for g in asleep if not self._sleeps(g, look, False)]
-        for hj in self._in_order(awake, look):
-            if look.work >= WORK_MOST:
+        for managed in self._in_order(awake, look):
+            if look.work >= MAX_PASS_WORK:
                 core.signal("place")
                 break
-            self._serve(hj, look)
+            self._serve(managed, look)
         for key, rev in look.full.items():
-            full = line.groups.get(key)
+            full = queue.groups.get(key)
             # Replicas are missed every second: they are looked at each time.
             if full is not None and full.example.job.kind != SERVICE:
                 gather_s = (
@@ -256,16 +271,16 @@
                 full.nap = Nap(rev, now + gather_s, now + core.ttl_s / 6, look.policy, look.kept)
                 full.fresh = False
         self._keep(look)
-        if look.starved and not core.picture.starved:
+        if look.starved and not core.cached_state.starved:
             core.signal("starved")
             core.signal("demand")
-        core.picture.starved = look.starved
+        core.cached_state.starved = look.starved
 
     def _owed_now(self, now: float) -> dict[Name, Owed]:
         """Who is owed a share, looked up anew a few times between two reports."""
         if now >= self.owed_until:
             self.owed_until = now + self.core.settings.cluster.workers.report_s / OWED_LOOKS
-            self.owed = self.line.shares.owed(now)
+            self.owed = self.queue.shares.owed(now)
             self.given = {}
         return self.owed
 
@@ -284,45 +299,45 @@
             group.nap = None
             return False
         if gather and look.now < nap.least:
-            look.starved = look.starved or not job.filler
+            look.starved = look.starved or not job.backfill
             return True
         kept = (
             None
             if job.kind == SERVICE
-            or any(self._lacks(names(job.gpus > 0, *which), look) > 0 for which in group.lanes)
+            or any(self._lacks(names(job.gpus > 0, *which), look) > 0 for which in group.subqueues)
             else look.kept
         )
         for room in look.index.news(job, nap.rev):
-            mark = self.line.marks.get(room.hold) if room.hold else None
+            mark = self.queue.entries.get(room.hold) if room.hold else None
             if mark is not None and mark.group is group or takes(job, room, look.policy, kept):
                 group.nap = None
                 return False
-        look.starved = look.starved or not job.filler
+        look.starved = look.starved or not job.backfill
         return True
 
-    def _in_order(self, groups: list[Group], look: Look) -> Iterator[HomeJob]:
+    def _in_order(self, groups: list[Group], look: Look) -> Iterator[ManagedJob]:
         """The jobs of the groups as they are to be looked at; of a group that found less
         than it wanted only those that room is held for."""
-        marks, serial = self.line.marks, itertools.count()
-        heap: list[tuple[tuple[float, ...], int, HomeJob, Iterator[str]]] = []
-        held = {name: None for name in look.index.held if name in marks}
+        entries, serial = self.queue.entries, itertools.count()
+        heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
+        held = {name: None for name in look.index.held if name in entries}
 
         def push(rest: Iterator[str]) -> None:
             name = next(rest, None)
             if name is not None:
-                hj = marks[name].hj
-                heappush(heap, (self._order(hj, look), next(serial), hj, rest))
+                managed = entries[name].managed
+                heappush(heap, (self._order(managed, look), next(serial), managed, rest))
 
         for name in held:
             push(iter((name,)))
         for group in groups:
-            for lane in group.lanes.values():
-                push(name for name in lane if name not in held)
+            for subqueue in group.subqueues.values():
+                push(name for name in subqueue if name not in held)
         while heap:
-            _, _, hj, rest = heappop(heap)
-            yield hj
-            if hj.group in look.full:
-                look.starved = look.starved or not hj.job.filler
+            _, _, managed, rest = heappop(heap)
+            yield managed
+            if managed.group in look.full:
+                look.starved = look.starved or not managed.job.backfill
             else:
                 push(rest)
 
@@ -342,8 +357,8 @@
         for which, found in self.missed.items():
             owed = look.owed[which]
             if found.gpus == 0 and owed.total > 0:
-                share = min(1.0, KEPT * owed.missing / owed.total)
-                steps = math.ceil(share * KEPT_STEPS) / KEPT_STEPS
+                share = min(1.0, STARVING_SHARE * owed.missing / owed.total)
+                steps = math.ceil(share * STARVING_SHARE_STEPS) / STARVING_SHARE_STEPS
                 if kept is None or steps > kept.share:
                     kept = Kept(found, steps, look.policy.able(found))
         # Whoever sleeps is woken when it changes: it stays as it is while it says the same.
@@ -355,64 +370,67 @@
         ):
             self.kept = kept
 
-    def _serve(self, hj: HomeJob, look: Look) -> None:
+    def _serve(self, managed: ManagedJob, look: Look) -> None:
         """Find room for one job, or have it made; what is found is to be started."""
-        job = hj.job
-        if job.filler and job.rank not in look.fill:
+        job = managed.job
+        if job.backfill and job.rank not in look.fill:
             look.fill[job.rank] = self.fill_cpus(look.index, job.rank)
-        if hj.at_fault and hj.assigned > hj.running:
+        if managed.at_fault and managed.assigned > managed.running:
             # One trial at a time. (Not none while others of it run: a replica that had
             # failed on three sick machines would have been missing for good.)
             return
         look.work += 1
-        wanted = self._wanted(hj, look)
-        if wanted <= 0 or (job.kind == GANG and wanted < hj.pending):
+        wanted = self._wanted(managed, look)
+        if wanted <= 0 or (job.kind == GANG and wanted < managed.pending):
             return
-        chosen, wanted = self._seek(hj, wanted, look)
-        if job.filler:
+        chosen, wanted = self._seek(managed, wanted, look)
+        if job.backfill:
             look.fill[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
-            look.starved = look.starved or not job.filler
+            look.starved = look.starved or not job.backfill
             for which in names_of(job):
                 self.missed.setdefault(which, job)
-            if job.id not in look.index.held and not hj.errors and not hj.left:
-                look.full.setdefault(hj.group, look.index.rev)
+            if job.id not in look.index.held and not managed.errors and not managed.left:
+                look.full.setdefault(managed.group, look.index.rev)
         else:
             for which in names_of(job):
                 self.missed.pop(which, None)
         look.work += len(chosen)
         if chosen:
-            self._begin(hj, chosen, look)
+            self._begin(managed, chosen, look)
 
-    def _wanted(self, hj: HomeJob, look: Look) -> int:
+    def _wanted(self, managed: ManagedJob, look: Look) -> int:
         """Tasks to look for: what one transaction holds, and the job may have."""
-        job = hj.job
+        job = managed.job
         wanted = min(
-            hj.pending,
-            hj.size * max(self.core.bounds.txn_ops // 4, min(3, self.core.dispatch.start_chunks)),
+            managed.pending,
+            managed.size
+            * max(self.core.bounds.txn_ops // 4, min(3, self.core.dispatcher.start_chunks)),
         )
         wanted = self._within_limit(job, wanted)
-        if hj.at_fault and job.kind != GANG:
+        if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
         lacks = self._lacks(names_of(job), look)
         if job.kind == ARRAY and lacks > 0 and job.cpus > 0:
             # It goes first for what is owed, and no further: the rest would be stopped again
             # for whoever it went before.
             wanted = min(wanted, math.ceil(lacks / job.cpus))
-        if job.filler and job.cpus > 0 and self.hinders(job, job.rank):
+        if job.backfill and job.cpus > 0 and self.hinders(job, job.rank):
             wanted = int(max(0.0, min(wanted, max(look.fill[job.rank], lacks) / job.cpus)))
         return wanted
 
-    def _seek(self, hj: HomeJob, wanted: int, look: Look) -> tuple[list[Room], int]:
+    def _seek(self, managed: ManagedJob, wanted: int, look: Look) -> tuple[list[Room], int]:
         """Room that is free, and room made by stopping others; and for how many it was
         looked for in the end (fewer, where some is being made)."""
-        core, job, now, index, policy = self.core, hj.job, look.now, look.index, look.policy
-        without: Collection[str] = {*hj.avoided(), *hj.left} if hj.errors or hj.left else ()
-        age = now - hj.since
+        core, job, now, index, policy = self.core, managed.job, look.now, look.index, look.policy
+        without: Collection[str] = (
+            {*managed.avoided(), *managed.left} if managed.errors or managed.left else ()
+        )
+        age = now - managed.since
         # Not on ordinary machines that it alone would keep rented.
-        lodger = job.filler and age < self.long_s and self.hinders(job)
+        lodger = job.backfill and age < self.long_s and self.hinders(job)
         patient, fragile = core.patient(job, age), core.fragile(job, age)
-        spread = self.spread(hj)
+        spread = self.spread(managed)
         limit = core.wait_limits.get(job.job_class)
         most = self._spared(job, self._stops(job, age, patient), look)
         find = partial(
@@ -425,9 +443,9 @@
             lodger=lodger,
             kept=None if job.kind == SERVICE or self._is_owed(job, look) else look.kept,
         )
-        make = partial(self._make_room, hj, spread=spread, look=look, without=without)
+        make = partial(self._make_room, managed, spread=spread, look=look, without=without)
         chosen: list[Room] = []
-        if hj.at_fault:
+        if managed.at_fault:
             # No room is made, and no guarantee claimed, for what will hardly use it.
             chosen = find(job, wanted, patient=True)
             wanted = len(chosen)
@@ -437,32 +455,32 @@
             soon = self._soon(job, limit - age)
             chosen = find(job, wanted, uncached=soon)
             if len(chosen) < wanted and most >= 0:
-                if now < hj.preempt_at:
+                if now < managed.preempt_at:
                     wanted = len(chosen)
-                elif not hj.preempted and make(
+                elif not managed.preempted and make(
                     wanted - len(chosen), grace_s=0.0, most=RANKS["best_effort"], uncached=soon
                 ):
-                    hj.preempted = True
+                    managed.preempted = True
                     wanted = len(chosen)
         if len(chosen) < wanted:
             chosen += find(job, wanted - len(chosen), patient=patient or job.kind != GANG)
         if len(chosen) < wanted and not patient and job.kind != GANG:
             # Dear machines only for what work of lower rank on others can't make
             # way for: they would be kept rented for what could run cheaply.
-            if most >= 0 and now >= hj.preempt_at:
+            if most >= 0 and now >= managed.preempt_at:
                 make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, patient=True)
-            coming = sum(n for n, until in hj.made.values() if now < until)
+            coming = sum(n for n, until in managed.made.values() if now < until)
             chosen += find(job, max(0, wanted - len(chosen) - coming))
-        if len(chosen) < wanted and now >= hj.preempt_at:
+        if len(chosen) < wanted and now >= managed.preempt_at:
             # What nobody waits for stops nothing but what is of a lower rank and as little
             # waited for.
-            if not job.filler and most >= 0:
+            if not job.backfill and most >= 0:
                 make(wanted - len(chosen), grace_s=self._grace(job, age), most=most)
-            elif job.filler and job.standing >= 0:
+            elif job.backfill and job.standing >= 0:
                 make(wanted - len(chosen), grace_s=math.inf, most=UNAIMED)
         if (
             len(chosen) < wanted
-            and now >= max(hj.preempt_at, hj.claim_at)
+            and now >= max(managed.preempt_at, managed.claim_at)
             and self._guaranteed(job)
         ):
             able = policy.able(job)
@@ -478,35 +496,35 @@
                 spread,
             )
             # A look at all machines: not with each pass.
-            hj.claim_at = now + core.ttl_s / 6
+            managed.claim_at = now + core.ttl_s / 6
             if machines:
-                hj.preempt_at = now + core.ttl_s
+                managed.preempt_at = now + core.ttl_s
                 core.spawn(self._claim(job, machines))
         return chosen, wanted
 
-    def _begin(self, hj: HomeJob, chosen: list[Room], look: Look) -> None:
+    def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
         """Hand what was found to the job's routine."""
         for room in chosen:
-            if room.machine in hj.made:
-                left, until = hj.made[room.machine]
-                hj.made[room.machine] = (max(0, left - 1), until)
-        numbers = hj.take(len(chosen), self.core.dispatch.start_chunks)
-        for which in names_of(hj.job):
-            look.given[which] = look.given.get(which, 0.0) + len(numbers) * hj.job.cpus
+            if room.machine in managed.made:
+                left, until = managed.made[room.machine]
+                managed.made[room.machine] = (max(0, left - 1), until)
+        numbers = managed.take(len(chosen), self.core.dispatcher.start_chunks)
+        for which in names_of(managed.job):
+            look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
         for room in chosen[len(numbers) :]:
-            room.take(hj.job, -1)  # the next transaction's
-        hj.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
-        self.line.touch(hj.job.id)
-        for number, machine in hj.starts:
-            self.core.picture.inflight[(hj.job.id, number)] = (machine, hj.job)
-        self.core.signal(hj.name)
-
-    def _order(self, hj: HomeJob, look: Look) -> tuple[float, ...]:
+            room.take(managed.job, -1)  # the next transaction's
+        managed.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
+        self.queue.touch(managed.job.id)
+        for number, machine in managed.starts:
+            self.core.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
+        self.core.signal(managed.name)
+
+    def _order(self, managed: ManagedJob, look: Look) -> tuple[float, ...]:
         """By rank, but for who is owed a share and hasn't had it: these come after replicas
         and before all others; then as the line says; what is owed to a team before what it
         borrows."""
-        job = hj.job
-        band, (start_by, rev, _), _ = self.line.standing(hj, look.now)
+        job = managed.job
+        band, (start_by, rev, _), _ = self.queue.standing(managed, look.now)
         left = start_by - look.now if math.isfinite(start_by) else 0.0
         rank = float(job.rank)
         if self._is_owed(job, look):
@@ -576,8 +594,8 @@
         return (
             known is not None
             and known[0].kind != SERVICE
-            and not known[0].aimless
-            and not self.core.pipes.waiting(name)
+            and not known[0].without_objective
+            and not self.core.dependencies.waiting(name)
         )
 
     def _in_guarantee(self, job: Job) -> bool:
@@ -586,7 +604,7 @@
         if not self._guaranteed(job):
             return True
         which = 1 if job.gpus > 0 else 0
-        used = self.core.dispatch.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
+        used = self.core.dispatcher.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
         need = amounts(job, 1 if job.kind != GANG else job.tasks)[which]
         return used + need <= self.core.guarantees[job.team][which] + 1e-6
 
@@ -600,7 +618,11 @@
         if self.known is not None and now < self.known_until and self.known_types is core.types:
             return self.known
         found = Policy(
-            [*(j for j, _ in core.live.values()), *core.descs.values(), *core.classes.values()],
+            [
+                *(j for j, _ in core.live.values()),
+                *core.ended_descriptions.values(),
+                *core.classes.values(),
+            ],
             core.types,
         )
         if self.known is None or not found.same(self.known):
@@ -616,7 +638,7 @@
 
     def _make_room(
         self,
-        hj: HomeJob,
+        managed: ManagedJob,
         wanted: int,
         spread: Spread,
         look: Look,
@@ -630,9 +652,9 @@
 
         What is being made already, and doesn't show yet, is not made again elsewhere.
         """
-        job, now = hj.job, look.now
-        hj.made = {m: (n, until) for m, (n, until) in hj.made.items() if now < until}
-        coming = sum(n for n, _ in hj.made.values())
+        job, now = managed.job, look.now
+        managed.made = {m: (n, until) for m, (n, until) in managed.made.items() if now < until}
+        coming = sum(n for n, _ in managed.made.values())
         wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
         if wanted <= 0:
             return True
@@ -643,9 +665,9 @@
             spread.copy(),
             look.policy,
             most,
-            self.core.fragile(job, now - hj.since),
+            self.core.fragile(job, now - managed.since),
             patient,
-            {*without, *hj.made} if hj.made else without,
+            {*without, *managed.made} if managed.made else without,
             uncached,
         )
         shows = (
@@ -660,9 +682,9 @@
         if found:
             # Only then: where no lower rank can be stopped, a higher one, or what other
             # teams borrow, is to be asked for in the same pass.
-            hj.preempt_at = now + self.core.ttl_s / 6
+            managed.preempt_at = now + self.core.ttl_s / 6
         for room, count in found:
-            hj.made[room.machine] = (count, shows)
+            managed.made[room.machine] = (count, shows)
             self.core.spawn(self._preempt(room.machine, job, grace_s, (), count))
         return bool(found) or coming > 0
 
@@ -674,7 +696,7 @@
         fleet a tenth were stopped for pipelines that had a minute to spare. (Not even the
         lowest was tried: they then took all free room, and made other work late.)
         """
-        own = self.core.pipes.own_rank(job)
+        own = self.core.dependencies.own_rank(job)
         limit = self.core.wait_limits.get(job.job_class)
         if own < job.rank and patient and (limit is None or age_s < limit / 2):
             return max(own - 1, RANKS["best_effort"])
@@ -768,7 +790,7 @@
             done = bool(
                 (
                     await core.peers[owner].call(
-                        peerwire.PREEMPT,
+                        frames.PREEMPT,
                         (
                             core.epoch.number,
                             machine,
@@ -783,15 +805,15 @@
         except (PeerError, KeyError):
             return False
         if done and grace_s <= 0:
-            core.spawn(core.picture.pull_soon(owner))
+            core.spawn(core.cached_state.pull_soon(owner))
         return done
 
-    def spread(self, hj: HomeJob) -> Spread:
+    def spread(self, managed: ManagedJob) -> Spread:
         zones = []
-        if hj.job.one_zone or hj.job.spread:
-            for _, _, machine in hj.assignments():
+        if managed.job.one_zone or managed.job.spread:
+            for _, _, machine in managed.assignments():
                 zones.append(self.core.zones.get(machine))
-        return Spread(hj.job, zones)
+        return Spread(managed.job, zones)
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
         """Whether a replica would find another place where it starts soon.
@@ -799,29 +821,29 @@
         It is stopped before it starts elsewhere, so its image must be there, or be
         fetched in less time than passes between two reports.
         """
-        hj = self.core.dispatch.homes.get(job)
-        room = self.core.picture.rooms().get(machine)
+        managed = self.core.dispatcher.managed_jobs.get(job)
+        room = self.core.cached_state.rooms().get(machine)
         if (
-            hj is None
-            or hj.pending
+            managed is None
+            or managed.pending
             or room is None
-            or (hj.assignment(number) or (0, ""))[1] != machine
-            or time.monotonic() - hj.moved_at
+            or (managed.assignment(number) or (0, ""))[1] != machine
+            or time.monotonic() - managed.moved_at
             < self.core.settings.cluster.workers.lease_s
-            * (3.0 if drain and not self.policy().dear(hj.job, room) else 0.3)
+            * (3.0 if drain and not self.policy().dear(managed.job, room) else 0.3)
         ):
             return False
-        zones = [self.core.zones.get(m) for n, _, m in hj.assignments() if n != number]
-        policy, index = self.policy(), self.core.picture.index()
-        dear = policy.dear(hj.job, room)
-        soon = self._soon(hj.job, self.core.settings.cluster.workers.report_s)
+        zones = [self.core.zones.get(m) for n, _, m in managed.assignments() if n != number]
+        policy, index = self.policy(), self.core.cached_state.index()
+        dear = policy.dear(managed.job, room)
+        soon = self._soon(managed.job, self.core.settings.cluster.workers.report_s)
         with index.trial():
             found = bool(
                 place(
-                    hj.job,
+                    managed.job,
                     1,
                     index,
-                    Spread(hj.job, zones),
+                    Spread(managed.job, zones),
                     policy,
                     True,
                     without=(machine,),
@@ -832,10 +854,10 @@
             drain
             and not dear
             or not preempt(
-                hj.job,
+                managed.job,
                 1,
                 index,
-                Spread(hj.job, zones),
+                Spread(managed.job, zones),
                 policy,
                 RANKS["best_effort"] if drain else None,
                 False,
@@ -848,7 +870,7 @@
             # elsewhere.
             return False
         # Not again soon: a move costs a moment each time.
-        hj.moved_at = time.monotonic()
+        managed.moved_at = time.monotonic()
         return True
 
     def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
@@ -864,7 +886,7 @@
         some since, and nothing else would ever make us look again.
         """
         limit = self.core.limits.get(job.team, (0.0, 0.0))
-        used, _, at = self.core.dispatch.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))
+        used, _, at = self.core.dispatcher.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))
         if time.monotonic() - at > self.core.settings.cluster.workers.report_s:
             return wanted
         for cap, have, need in zip(limit, used, amounts(job, 1)):
--- /dev/null
+++ b/clayport/scheduling/queueing/__init__.py
@@ -0,0 +1,11 @@
+"""Who is next: the line of waiting jobs, and the share that each class and team is sure of.
+
+Pure: no I/O, no clock. `queue` keeps the jobs that wait in order, at a cost that follows what
+happens to them and not how many they are; `shares` says which class or team has had so
+little that its turn comes before others of higher rank.
+"""
+
+from clayport.scheduling.queueing.queue import Group, JobQueue, SubQueue
+from clayport.scheduling.queueing.shares import Shares
+
+__all__ = ["Group", "JobQueue", "Shares", "SubQueue"]
--- a/clayport/queueing/line.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -2,7 +2,7 @@
 
 A pass of the placer must not cost the more the more jobs wait: on a flooded fleet thousands
 do, and hardly any of them finds room. So nothing here walks all of them. What happens to a job
-is noted (`Line.touch`), and the line catches up with it before the next look. Jobs that can
+is noted (`JobQueue.touch`), and the line catches up with it before the next look. Jobs that can
 use the same room are a group; in it each class and team has a lane, whose jobs stand in
 three bands (can be in time; has missed its start; will be late). The order in a band is
 by instants, which don't change as time passes; the bands change at instants that are known.
@@ -17,12 +17,12 @@
 
 from sortedcontainers import SortedList
 
-from ..model import ARRAY, SERVICE
-from ..provisioning import LINE
-from .shares import Shares, names_of
+from clayport.model import ARRAY, SERVICE
+from clayport.scaling.provisioning import LINE
+from clayport.scheduling.queueing.shares import Shares, names_of
 
 if TYPE_CHECKING:
-    from ..jobs import HomeJob
+    from clayport.jobs.managed_job import ManagedJob
 
 # Bands of a lane, the first to be looked at first; a late job's is LATE and a step more for
 # each further limit that it can't keep.
@@ -30,20 +30,20 @@
 Key = tuple[float, int, str]  # the instant by which it has to start, its record's revision, id
 
 
-class Mark(NamedTuple):
+class QueueEntry(NamedTuple):
     """Where a job stands in the line."""
 
-    hj: HomeJob
+    managed: ManagedJob
     group_key: tuple[Any, ...]
     group: Group
-    lane: Lane
+    subqueue: SubQueue
     band: float
     key: Key
     until: float
     pending: int
 
 
-class Lane:
+class SubQueue:
     """Jobs of a group that belong to one class and team."""
 
     __slots__ = ("bands", "job_class", "team")
@@ -67,28 +67,28 @@
 class Group:
     """Jobs that can use the same room: what one found none for, none does."""
 
-    __slots__ = ("example", "fresh", "lanes", "nap", "size")
+    __slots__ = ("example", "fresh", "nap", "size", "subqueues")
 
-    def __init__(self, example: HomeJob) -> None:
-        self.lanes: dict[tuple[str, str], Lane] = {}
+    def __init__(self, example: ManagedJob) -> None:
+        self.subqueues: dict[tuple[str, str], SubQueue] = {}
         self.nap: Any = None  # why it need not be looked at, as the placer keeps it
         self.fresh = True  # somebody has come, or waits for more, since the last look
         self.example = example
         self.size = 0
 
 
-class Line:
+class JobQueue:
     """Everything that waits here."""
 
     def __init__(
         self,
-        homes: Callable[[], Mapping[str, HomeJob]],
+        managed_jobs: Callable[[], Mapping[str, ManagedJob]],
         finish_limits: Mapping[str, Sequence[float]],
         wait_limits: Mapping[str, float],
         shares: Shares,
         deadline_times: Mapping[str, Sequence[float]] | None = None,
     ) -> None:
-        self.homes = homes
+        self.managed_jobs = managed_jobs
         self.finish_limits, self.wait_limits = finish_limits, wait_limits
         # Of jobs with a deadline of their own, which multiples of it are aimed at.
         self.deadline_times = deadline_times or {}
@@ -98,10 +98,10 @@
     def clear(self, now: float) -> None:
         """A new epoch: other homes, and all of them are told anew."""
         self.groups: dict[tuple[Any, ...], Group] = {}
-        self.marks: dict[str, Mark] = {}
+        self.entries: dict[str, QueueEntry] = {}
         # Being placed, and how many of its tasks wait beside: it comes back with as many
         # where all has gone well, and then nothing is new for its group.
-        self.flying: dict[str, tuple[HomeJob, int]] = {}
+        self.in_flight: dict[str, tuple[ManagedJob, int]] = {}
         self.dirty: dict[str, None] = {}
         self.due: list[tuple[float, str]] = []  # when a job changes its band, or waits again
         self.shares.clear(now)
@@ -112,102 +112,106 @@
 
     def sweep(self) -> None:
         """Look at all of them anew: a safety net, to be used rarely."""
-        self.dirty.update(dict.fromkeys(self.marks))
-        self.dirty.update(dict.fromkeys(self.homes()))
+        self.dirty.update(dict.fromkeys(self.entries))
+        self.dirty.update(dict.fromkeys(self.managed_jobs()))
 
     def catch_up(self, now: float) -> None:
         """Be in order for `now`."""
         while self.due and self.due[0][0] <= now:
             self.dirty[heappop(self.due)[1]] = None
         if self.dirty:
-            homes = self.homes()
+            managed_jobs = self.managed_jobs()
             dirty, self.dirty = self.dirty, {}
             for name in dirty:
-                self._place(name, homes.get(name), now)
+                self._place(name, managed_jobs.get(name), now)
 
-    def _place(self, name: str, hj: HomeJob | None, now: float) -> None:
-        known = self.marks.get(name)
-        if hj is None or hj.ended or hj.blocked:
-            self.flying.pop(name, None)
+    def _place(self, name: str, managed: ManagedJob | None, now: float) -> None:
+        known = self.entries.get(name)
+        if managed is None or managed.ended or managed.blocked:
+            self.in_flight.pop(name, None)
             self._drop(name, known)
             self.shares.forget(name)
             return
-        pending = hj.pending
-        flown = self.flying.pop(name, None)
-        if hj.starts or hj.placing:
-            self.flying[name] = (hj, pending)
-        if hj.job.kind != SERVICE:
-            self.shares.note(name, hj.job, hj.assigned + len(hj.placing), pending, hj.since)
-        if pending <= 0 or hj.starts or hj.placing:
+        pending = managed.pending
+        flown = self.in_flight.pop(name, None)
+        if managed.starts or managed.placing:
+            self.in_flight[name] = (managed, pending)
+        if managed.job.kind != SERVICE:
+            self.shares.note(
+                name, managed.job, managed.assigned + len(managed.placing), pending, managed.since
+            )
+        if pending <= 0 or managed.starts or managed.placing:
             self._drop(name, known)
             return
-        if now < hj.not_before:
+        if now < managed.not_before:
             self._drop(name, known)
-            heappush(self.due, (hj.not_before, name))
+            heappush(self.due, (managed.not_before, name))
             return
-        band, key, until = self.standing(hj, now)
-        group_key = hj.group
+        band, key, until = self.standing(managed, now)
+        group_key = managed.group
         group = self.groups.get(group_key)
         if (
             known is not None
             and group is not None
             and known.group is group
-            and known.hj is hj
+            and known.managed is managed
             and (known.band, known.key) == (band, key)
         ):
             if pending > known.pending:
                 group.fresh = True
             if pending != known.pending:
-                self.marks[name] = known._replace(pending=pending)
+                self.entries[name] = known._replace(pending=pending)
             return
         back = (known is not None and known.group is group and pending <= known.pending) or (
-            known is None and flown is not None and flown[0] is hj and pending <= flown[1]
+            known is None and flown is not None and flown[0] is managed and pending <= flown[1]
         )
         self._drop(name, known, group)
         if group is None:
-            group = self.groups[group_key] = Group(hj)
+            group = self.groups[group_key] = Group(managed)
         elif not back:
             group.fresh = True
-        which = (hj.job.job_class, hj.job.team)
-        lane = group.lanes.get(which)
-        if lane is None:
-            lane = group.lanes[which] = Lane(*which)
-        rows = lane.bands.get(band)
+        which = (managed.job.job_class, managed.job.team)
+        subqueue = group.subqueues.get(which)
+        if subqueue is None:
+            subqueue = group.subqueues[which] = SubQueue(*which)
+        rows = subqueue.bands.get(band)
         if rows is None:
-            rows = lane.bands[band] = SortedList()
+            rows = subqueue.bands[band] = SortedList()
         rows.add(key)
         group.size += 1
-        self.marks[name] = Mark(hj, group_key, group, lane, band, key, until, pending)
+        self.entries[name] = QueueEntry(
+            managed, group_key, group, subqueue, band, key, until, pending
+        )
         if until < math.inf and (known is None or known.until != until):
             heappush(self.due, (until, name))
 
-    def _drop(self, name: str, mark: Mark | None, staying: Group | None = None) -> None:
+    def _drop(self, name: str, mark: QueueEntry | None, staying: Group | None = None) -> None:
         """Take it out of its place; not with its group, where it only gets another there."""
         if mark is None:
             return
-        del self.marks[name]
-        rows = mark.lane.bands[mark.band]
+        del self.entries[name]
+        rows = mark.subqueue.bands[mark.band]
         rows.remove(mark.key)
         if not rows:
-            del mark.lane.bands[mark.band]
-            if not mark.lane.bands:
-                del mark.group.lanes[mark.lane.job_class, mark.lane.team]
+            del mark.subqueue.bands[mark.band]
+            if not mark.subqueue.bands:
+                del mark.group.subqueues[mark.subqueue.job_class, mark.subqueue.team]
         mark.group.size -= 1
         if mark.group.size == 0 and mark.group is not staying:
             del self.groups[mark.group_key]
 
-    def _size_s(self, hj: HomeJob, most_s: float) -> float:
+    def _size_s(self, managed: ManagedJob, most_s: float) -> float:
         """How long what its class runs here takes for what the job still waits for.
 
         A job is no use before its last task is done: where there is too much, a few wide ones
         made many narrow ones late. So a wide one stands as if it had so much more time.
         """
-        job = hj.job
+        job = managed.job
         account = self.shares.accounts.get(names_of(job)[0])
         running = max(job.cpus, account.running if account is not None else 0.0, 1e-3)
-        return min(max(0.0, most_s), hj.pending * job.cpus * job.estimate_s / running)
+        return min(max(0.0, most_s), managed.pending * job.cpus * job.estimate_s / running)
 
-    def standing(self, hj: HomeJob, now: float) -> tuple[float, Key, float]:
+    def standing(self, managed: ManagedJob, now: float) -> tuple[float, Key, float]:
         """The job's band, its place in it, and until when it stays in that band.
 
         What can still be in time comes before what can't, so that not all is late when
@@ -216,10 +220,10 @@
         else a queue once too long makes all that follow miss it too. (An array that has begun
         goes on as if it had not: else all of a flood are begun, and none gets done in time.)
         """
-        job = hj.job
-        if job.filler:
+        job = managed.job
+        if job.backfill:
             # Nobody waits for it, and what runs at its rank can't make way for others.
-            return FILLS, (-math.inf, hj.live_rev, job.id), math.inf
+            return FILLS, (-math.inf, managed.live_rev, job.id), math.inf
         # Estimates are often wrong by half: taken as right, each job of a queue that is too long
         # was served just when it could no longer be in time. A deadline of its own is derived
         # from the estimate, and is as wrong as that.
@@ -229,19 +233,19 @@
             limits = [job.deadline_s * n for n in self.deadline_times.get(job.job_class, (1.0,))]
         start_by, band = math.inf, IN_TIME
         for limit in limits:
-            start_by = hj.since + limit - estimate_s
+            start_by = managed.since + limit - estimate_s
             if now <= start_by:
                 break
             band = LATE if band == IN_TIME else band + STEP
         until = start_by if now <= start_by else math.inf
         wait = self.wait_limits.get(job.job_class)
         if wait is not None and job.kind != SERVICE and band == IN_TIME:
-            if now - hj.since < wait and (not hj.started or job.kind == ARRAY):
-                until = start_by = min(start_by, hj.since + wait)
+            if now - managed.since < wait and (not managed.started or job.kind == ARRAY):
+                until = start_by = min(start_by, managed.since + wait)
             elif start_by < math.inf:
                 band = STARTS_LATE
         if start_by == math.inf:
-            return IN_TIME, (-math.inf, hj.live_rev, job.id), math.inf
-        start_by += self._size_s(hj, start_by - hj.since)
+            return IN_TIME, (-math.inf, managed.live_rev, job.id), math.inf
+        start_by += self._size_s(managed, start_by - managed.since)
         # The instant itself is still in time: what is due then is looked at just after it.
-        return band, (start_by, hj.live_rev, job.id), math.nextafter(until, math.inf)
+        return band, (start_by, managed.live_rev, job.id), math.nextafter(until, math.inf)
--- a/clayport/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -20,7 +20,7 @@
 
 from sortedcontainers import SortedList
 
-from ..model import Job
+from clayport.model import Job
 
 # A class begins to be owed a share when its oldest job has waited for this share of what
 # it can bear, and is owed all of it at the other.
--- a/clayport/refresh.py
+++ b/clayport/scheduling/refresh.py
@@ -1,10 +1,10 @@
-"""ASC: the interval at which the cached picture of free room is refreshed.
+"""ASC: the interval at which the cached cached state of free room is refreshed.
 
 After "Accelerating VM Placement with Adaptive Caching", Fig. 4: above the upper
 threshold of declined starts the interval halves, below the lower one it grows
 1.1 times. Of its weak spots, sparse intervals are covered here: a window with
 too few attempts is carried into the next one instead of being judged on one
-refusal. True shortage never comes here: what fits nowhere in the picture is not
+refusal. True shortage never comes here: what fits nowhere in the cached state is not
 attempted.
 """
 
@@ -17,7 +17,7 @@
 ENOUGH = round(1 / DECLINE_HIGH)
 
 
-class Asc:
+class AdaptiveInterval:
     """The adaptive interval; pure, driven by `placed`, `declined` and `step`."""
 
     def __init__(self, start_s: float = 10.0, least_s: float = 1.0, most_s: float = 60.0) -> None:
--- /dev/null
+++ b/clayport/transport/__init__.py
@@ -0,0 +1,1 @@
+"""Bytes on the wire: HTTP, frames between controllers, and connections."""
--- a/clayport/http.py
+++ b/clayport/transport/http.py
@@ -15,10 +15,10 @@
 import h11
 from curio import socket
 
-from . import http_heads
-from .listen import listener
+from clayport.transport import http_heads
+from clayport.transport.listen import listener
 
-log = logging.getLogger("clayport.http")
+log = logging.getLogger(__name__)
 
 MAX_BODY = 64 * 1024
 Headers = list[tuple[str, str]]
--- a/clayport/listen.py
+++ b/clayport/transport/listen.py
@@ -8,7 +8,7 @@
 
 import curio
 
-log = logging.getLogger("clayport.listen")
+log = logging.getLogger(__name__)
 
 # The first pause before an address in use is tried again, in seconds, and the longest: as
 # long as it takes to end a process, up to what a user would notice.
--- a/clayport/peers.py
+++ b/clayport/transport/peers.py
@@ -11,11 +11,11 @@
 import curio
 from curio import socket
 
-from . import peerwire as wire
-from .limits import Budget, Patience, Retries
-from .listen import listener
+from clayport.limits import Budget, Circuit, Retries
+from clayport.transport import frames as wire
+from clayport.transport.listen import listener
 
-log = logging.getLogger("clayport.peers")
+log = logging.getLogger(__name__)
 
 # Retries that each first request to a peer earns, and how many all who ask it again may make
 # in the time that a request may take.
@@ -66,7 +66,7 @@
         self.state_ok = False
         self.epoch = 0
         self.room_rev = 0
-        self.patience = Patience(
+        self.circuit = Circuit(
             Retries(
                 timeout_s / 4,
                 timeout_s,
@@ -74,7 +74,7 @@
                 uniform,
             )
         )
-        self.begin, self.rest = self.patience.begin, self.patience.rest
+        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
 
     async def call(
         self, kind: int, values: tuple[Any, ...], timeout_s: float | None = None
@@ -102,14 +102,14 @@
             # A connection that swallows requests (held packets) is given up, so
             # that the next request tries a fresh one.
             await self._drop()
-            await self.patience.seen(False)
+            await self.circuit.seen(False)
             raise PeerError(f"{self.label}: {type(exc).__name__} {exc}") from None
         finally:
             self.waiting.pop(number, None)
         if not box:
             raise PeerError(f"{self.label}: connection lost")
         self.heard = time.monotonic()
-        await self.patience.seen(True)
+        await self.circuit.seen(True)
         answer: tuple[Any, ...] = box[0]
         return answer
 
--- a/clayport/api.py
+++ b/clayport/user_api.py
@@ -10,8 +10,7 @@
 
 import msgspec
 
-from . import peerwire
-from .jobs import (
+from clayport.jobs.managed_job import (
     can_be_placed,
     can_ever_run,
     end_key,
@@ -21,10 +20,9 @@
     live_key,
     live_value,
 )
-from .limits import AdmissionControl, Deadline
-from .model import SERVICE, Description, Job, valid_id
-from .peers import PeerError
-from .statestore import (
+from clayport.limits import AdmissionControl, Deadline
+from clayport.model import SERVICE, Description, Job, valid_id
+from clayport.records.store import (
     CANCEL_S,
     URGENT_S,
     ConflictError,
@@ -33,11 +31,13 @@
     Txn,
     UnavailableError,
 )
+from clayport.transport import frames
+from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from .server import Controller
+    from clayport.controller import Controller
 
-log = logging.getLogger("clayport.api")
+log = logging.getLogger(__name__)
 
 Headers = list[tuple[str, str]]
 # The protocol's own figures: users wait this long for a submission and a poll.
@@ -131,7 +131,7 @@
             raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
-        core.mirror.note_end(job, *ended(entry.value), entry.rev)
+        core.record_replica.note_end(job, *ended(entry.value), entry.rev)
         return str(entry.value["s"])
 
     async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
@@ -155,12 +155,12 @@
             known = core.live.get(job)
             done = known[0].tasks if status == "done" and known else 0
             return {**await self._over(job, status, deadline), "done": done, "running": 0}
-        counts = core.dispatch.counts(job)
-        home = core.epoch.place(job)
-        if counts is None and home in core.peers and core.member:
+        counts = core.dispatcher.counts(job)
+        leader = core.epoch.place(job)
+        if counts is None and leader in core.peers and core.member:
             try:
-                ok, done, running = await core.peers[home].call(
-                    peerwire.COUNTS, (core.epoch.number, job), POLL_S / 4
+                ok, done, running = await core.peers[leader].call(
+                    frames.COUNTS, (core.epoch.number, job), POLL_S / 4
                 )
                 counts = (done, running) if ok else None
             except PeerError:
@@ -189,7 +189,7 @@
     async def _submit(self, body: bytes) -> tuple[int, dict[str, Any]]:
         core = self.core
         try:
-            job = core.judged(msgspec.json.decode(body, type=Description))
+            job = core.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return 400, {"error": str(exc)}
         if not core.stalls.check(time.monotonic()):
@@ -239,7 +239,7 @@
             except OutcomeUnknownError:
                 # It may have been applied: the same transaction again either
                 # succeeds or shows the job.
-                if not await core.store.rest(attempt):
+                if not await core.store.back_off(attempt):
                     raise
         log.info(
             "job=%s event=accepted class=%s kind=%s tasks=%d",
@@ -248,7 +248,7 @@
             job.kind,
             job.tasks,
         )
-        core.mirror.note_live(job, rev, core.mirror.since(submitted))
+        core.record_replica.note_live(job, rev, core.record_replica.since(submitted))
         if core.recovery is not None:
             await core.recovery.second(rev, deadline)
         return 201, {"id": job.id, "status": "queued"}
@@ -309,7 +309,7 @@
     async def _over(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
         """The answer to a cancellation."""
         if status == "cancelled":
-            await self.core.mirror.announced(job, deadline)
+            await self.core.record_replica.announced(job, deadline)
         return {"id": job, "status": status}
 
     async def _abort(self, job: str) -> tuple[int, dict[str, Any]]:
@@ -340,10 +340,10 @@
             except ConflictError:
                 continue
             except OutcomeUnknownError:
-                if not await core.store.rest(attempt):
+                if not await core.store.back_off(attempt):
                     break
                 continue
             log.info("job=%s event=cancelled", job)
-            core.mirror.note_end(job, "cancelled", at, rev)
+            core.record_replica.note_end(job, "cancelled", at, rev)
             return 200, await self._over(job, "cancelled", deadline)
         raise UnavailableError("not settled in time")
--- a/run.py
+++ b/run.py
@@ -39,7 +39,7 @@
     import sortedcontainers  # noqa: F401
 
 sys.pycache_prefix = PYCACHE
-import clayport.server  # noqa: E402, F401
+import clayport.controller  # noqa: E402, F401
 from clayport.cli import main  # noqa: E402
 
 gc.freeze()
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from clayport.model import Job
-from clayport.placement import Policy, Room, Spread, capacity
+from clayport.scheduling.placement import Policy, Room, Spread, capacity
 
 Key = tuple[float, ...]
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from clayport import cancellations
-from clayport.cancellations import MISSED_MOST, Horizon, Promises
+from clayport.leases import cancellations
+from clayport.leases.cancellations import MAX_MISSED_CANCELLATIONS, CancellationWatermark, Promises
 
 FOR_S = 10.0
 DRIFT = 1.008  # the teller's clock runs so much faster than the other's: more than any may
@@ -35,7 +35,7 @@
 
     def begin_renewer(self) -> None:
         self.known.clear()
-        self.horizon = Horizon(["teller"], FOR_S)
+        self.watermark = CancellationWatermark(["teller"], FOR_S)
 
     def commit(self) -> None:
         self.jobs += 1
@@ -74,11 +74,11 @@
             self.now += self.rng.choice((0.0, 0.1, 3.0))
             self.tell()
         if promised and self.rng.random() < 0.7:
-            self.horizon.promised("teller", str(incarnation), sent, self.now)
+            self.watermark.promised("teller", str(incarnation), sent, self.now)
 
     def read(self) -> None:
         self.known.update(self.committed)
-        self.horizon.read(self.now)
+        self.watermark.read(self.now)
 
     @property
     def seen(self) -> int:
@@ -111,7 +111,9 @@
     @property
     def holds(self) -> bool:
         """Who counts on knowing all until a moment knows all that was told before it."""
-        return all(job in self.known for job, at in self.told.items() if at < self.horizon.known())
+        return all(
+            job in self.known for job, at in self.told.items() if at < self.watermark.known()
+        )
 
 
 def broken(days: int) -> int:
@@ -153,29 +155,31 @@
 
 
 def another_process_vouches_as_well(patch: pytest.MonkeyPatch) -> None:
-    before = Horizon.promised
+    before = CancellationWatermark.promised
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
         before(self, peer, "any", sent, received)
 
-    patch.setattr(Horizon, "promised", promised)
+    patch.setattr(CancellationWatermark, "promised", promised)
 
 
 def promises_count_without_the_records(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Horizon, "known", lambda self: max(self.state_at, *self.until.values()))
+    patch.setattr(
+        CancellationWatermark, "known", lambda self: max(self.state_at, *self.until.values())
+    )
 
 
 def a_promise_counts_from_its_answer(patch: pytest.MonkeyPatch) -> None:
-    before = Horizon.promised
+    before = CancellationWatermark.promised
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
         before(self, peer, incarnation, received, received)
 
-    patch.setattr(Horizon, "promised", promised)
+    patch.setattr(CancellationWatermark, "promised", promised)
 
 
 def clocks_do_not_drift(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cancellations, "KEPT", 1.0)
+    patch.setattr(cancellations, "PROMISE_CERTAINTY", 1.0)
 
 
 def a_revision_that_is_not_known_is_any(patch: pytest.MonkeyPatch) -> None:
@@ -221,11 +225,11 @@
 
 def test_what_one_that_is_away_has_missed_is_bounded() -> None:
     promises = Promises(["a"], FOR_S, 0.0)
-    for number in range(MISSED_MOST + 5):
+    for number in range(MAX_MISSED_CANCELLATIONS + 5):
         promises.ended(f"j-{number}", number + 1)
         assert promises.tell(f"j-{number}", 50.0)
-    assert len(promises.missed["a"]) == MISSED_MOST
-    for number in range(5, MISSED_MOST + 5):
+    assert len(promises.missed["a"]) == MAX_MISSED_CANCELLATIONS
+    for number in range(5, MAX_MISSED_CANCELLATIONS + 5):
         promises.acknowledge("a", f"j-{number}")
     assert not promises.promise("a", 51.0)
     promises.seen("a", 4)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""A home's placing: who waits, who makes way, and pictures made of changes."""
+"""A home's placing: who waits, who makes way, and cached states made of changes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import msgspec
 import pytest
 
-from clayport.config import parse
-from clayport.jobs import HomeJob
-from clayport.membership import Epoch
-from clayport.model import Job, MachineType, Piece, Report
-from clayport.placer import DEMAND_MOST, GATHER, Look
-from clayport.server import Controller
-from clayport.workers import Owner
+from clayport.controller import Controller
+from clayport.jobs.managed_job import ManagedJob
+from clayport.machines.table import MachineTable
+from clayport.membership.epoch import Epoch
+from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
+from clayport.scheduling.placer import GATHER, MAX_DEMAND_ROWS, Look
+from clayport.settings import parse
 
 from .world import TYPES
 from .world import job as wire_job
@@ -47,28 +47,30 @@
         self.c.owner.begin(self.c.epoch, "c0")
         self.seq = 0
 
-    def wait(self, job: Job) -> HomeJob:
+    def wait(self, job: Job) -> ManagedJob:
         self.c.live[job.id] = (job, 1)
         self.c.placer.learn(job)
-        hj = self.c.dispatch.homes[job.id] = HomeJob(job, 1, 50, self.now)
-        self.c.placer.line.touch(job.id)
-        return hj
+        managed = self.c.dispatcher.managed_jobs[job.id] = ManagedJob(job, 1, 50, self.now)
+        self.c.placer.queue.touch(job.id)
+        return managed
 
     def report(self, name: str, zone: str, kind: str, *tasks: str) -> None:
         self.seq += 1
         token = self.c.owner.machine(name, self.now).token
-        pieces = [Piece(t, 1, "running") for t in tasks]
+        pieces = [ReportedTask(t, 1, "running") for t in tasks]
         self.c.owner.take_report(
-            Report(name, "m:1", kind, zone, False, 1, self.seq, token, pieces), self.now, True
+            WorkerHeartbeat(name, "m:1", kind, zone, False, 1, self.seq, token, pieces),
+            self.now,
+            True,
         )
 
-    def order(self, hj: HomeJob) -> tuple[float, ...]:
+    def order(self, managed: ManagedJob) -> tuple[float, ...]:
         placer = self.c.placer
-        return placer._order(hj, Look(self.now, self.c.index, placer.policy(), {}, None, {}))
+        return placer._order(managed, Look(self.now, self.c.index, placer.policy(), {}, None, {}))
 
     def look(self) -> None:
         """One pass of the placer and what it asks of the owner; nothing is started."""
-        self.c.placer.line.sweep()
+        self.c.placer.queue.sweep()
         self.c.placer._pass(self.now)
         coros, self.c.coros = self.c.coros, []
 
@@ -130,7 +132,7 @@
     """Work without an aim was taken for late, and rented machines at 18 times the price."""
     home = Home(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert home.c.patient(home.c.judged(job), age) == patient
+    assert home.c.patient(home.c.with_objectives(job), age) == patient
 
 
 def test_lower_ranks_give_way_before_a_dear_machine_is_filled(
@@ -207,8 +209,8 @@
             each.take(SMALL)
     if not busy:
         rooms = rooms[2:]  # only the one of the other zone, which is not enough
-    from clayport.placement import Spread
-    from clayport.placer import Placer
+    from clayport.scheduling.placement import Spread
+    from clayport.scheduling.placer import Placer
 
     assert Placer._claimable(PAIR, rooms, Spread(PAIR, ())) == claimed
 
@@ -230,12 +232,12 @@
 ) -> None:
     home = Home(monkeypatch)
     caplog.set_level("INFO")
-    for number in range(DEMAND_MOST + 50):
-        rank = "production" if number >= DEMAND_MOST else "normal"
+    for number in range(MAX_DEMAND_ROWS + 50):
+        rank = "production" if number >= MAX_DEMAND_ROWS else "normal"
         home.wait(msgspec.convert(wire_job(number, rank=rank), Job))
     told = {row[0] for row in home.c.placer.demand()}
-    assert len(told) == DEMAND_MOST
-    assert {f"j-{n:06d}" for n in range(DEMAND_MOST, DEMAND_MOST + 50)} <= told
+    assert len(told) == MAX_DEMAND_ROWS
+    assert {f"j-{n:06d}" for n in range(MAX_DEMAND_ROWS, MAX_DEMAND_ROWS + 50)} <= told
     home.c.placer.demand()
     assert sum("event=demand-bounded" in r.getMessage() for r in caplog.records) == 1
 
@@ -247,13 +249,13 @@
     """Peers pull what changed since their last pull; nothing may be missing from it."""
     rng = random.Random(seed)
     owner_side, home = Home(monkeypatch), Home(monkeypatch)
-    owner, picture = owner_side.c.owner, home.c.picture
+    owner, cached_state = owner_side.c.owner, home.c.cached_state
     home.c.live[LOW.id] = owner_side.c.live[LOW.id] = (LOW, 1)
     home.c.epoch = owner_side.c.epoch = Epoch(1, {"c1": "y"}, 1)
     owner_side.c.serving = True
 
     async def call(_: int, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        return owner_side.c.picture.table(values[1], [n for (n,) in values[2]])
+        return owner_side.c.cached_state.table(values[1], [n for (n,) in values[2]])
 
     home.c.peers["c1"].call = call  # type: ignore[method-assign,assignment]
     for step in range(60):
@@ -280,9 +282,9 @@
         room = home.c.rooms.get(name)
         if room is not None and rng.random() < 0.3:
             room.take(LOW)  # charged here, and declined
-            picture.stale[name] = None
+            cached_state.stale[name] = None
         if rng.random() < 0.5:
-            curio.run(picture.refresh_peers, False)
+            curio.run(cached_state.refresh_peers, False)
             shown = {
                 n: (r.cpus, r.tasks, r.open, r.idle_since, r.used) for n, r in home.c.rooms.items()
             }
@@ -293,7 +295,7 @@
 
 
 def test_a_table_forgets_old_changes_only_as_a_whole() -> None:
-    owner = Owner(lambda _: None, lambda _: False, lambda *_: None, 5.0, 3.0)
+    owner = MachineTable(lambda _: None, lambda _: False, lambda *_: None, 5.0, 3.0)
     for number in range(5000):
         owner.touch(f"m{number}")
     assert len(owner.changes) <= 1000
@@ -307,9 +309,9 @@
     placer = home.c.placer
     seek = placer._seek
 
-    def noted(hj: HomeJob, wanted: int, look: Any) -> Any:
-        found.append(hj.job.id)
-        return seek(hj, wanted, look)
+    def noted(managed: ManagedJob, wanted: int, look: Any) -> Any:
+        found.append(managed.job.id)
+        return seek(managed, wanted, look)
 
     monkeypatch.setattr(placer, "_seek", noted)
     return found
@@ -371,7 +373,7 @@
 def test_a_pass_is_bounded_and_goes_on_where_it_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
     """After all controllers had ended, one pass over everything that waited kept reports
     from being answered."""
-    monkeypatch.setattr("clayport.placer.WORK_MOST", 6)
+    monkeypatch.setattr("clayport.scheduling.placer.WORK_MOST", 6)
     home = Home(monkeypatch)
     for number in range(4):
         home.report(f"m{number}", "north", "plain")
@@ -381,10 +383,15 @@
     raised = []
     monkeypatch.setattr(home.c, "signal", lambda name: raised.append(name))
     home.c.placer._pass(home.now)
-    assert [bool(hj.starts) for hj in jobs] == [True, True, False, False] and "place" in raised
+    assert [bool(managed.starts) for managed in jobs] == [
+        True,
+        True,
+        False,
+        False,
+    ] and "place" in raised
     home.c.placer._pass(home.now)
-    assert all(len(hj.starts) == 4 for hj in jobs)
-    assert len({m for hj in jobs for _, m in hj.starts}) == 4
+    assert all(len(managed.starts) == 4 for managed in jobs)
+    assert len({m for managed in jobs for _, m in managed.starts}) == 4
 
 
 def test_a_room_is_built_anew_with_whatever_changes_it(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -397,7 +404,7 @@
     home.report("m1", "north", "plain")
     m = owner.machines["m1"]
     charged = owner.room(m)
-    charged.take(job)  # a copy: what the picture charges is not the machine's
+    charged.take(job)  # a copy: what the cached state charges is not the machine's
     assert owner.room(m).cpus == 8.0
     assert owner.reserve(job, [("m1", n) for n in range(5)], 1, home.now) == [True] * 4 + [False]
     assert owner.room(m).cpus == 0.0
@@ -432,10 +439,10 @@
     """Each had a commit of its own. But nobody may ever wait for it, and it must not be put
     off again and again."""
     home = Home(monkeypatch)
-    hj = home.wait(msgspec.convert(wire_job(4, **fields), Job))
-    hj.outcomes = {n: (1, done) for n, done in ended}
-    dispatch = home.c.dispatch
-    assert dispatch._gathers(hj, home.now) == waits
+    managed = home.wait(msgspec.convert(wire_job(4, **fields), Job))
+    managed.outcomes = {n: (1, done) for n, done in ended}
+    dispatch = home.c.dispatcher
+    assert dispatch._gathers(managed, home.now) == waits
     later = home.now + home.c.settings.cluster.workers.report_s / 2
-    hj.outcomes[3] = (1, True)
-    assert not dispatch._gathers(hj, later)
+    managed.outcomes[3] = (1, True)
+    assert not dispatch._gathers(managed, later)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,15 +11,12 @@
 import msgspec
 import pytest
 
-from clayport.dispatch import EpochEndedError
-from clayport.jobs import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, HomeJob
+from clayport.jobs.dispatcher import EpochEndedError
+from clayport.jobs.managed_job import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, ManagedJob
 from clayport.limits import Deadline
-from clayport.membership import TOKEN_COUNTER_BITS, Epoch, should_leave
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, should_leave
 from clayport.model import Chunk, Job, MachineType, chunk_size
-from clayport.placement import OPEN
-from clayport.provisioning import Boot, Boots, Need, pressing, shopping
-from clayport.queueing.shares import Owed
-from clayport.statestore import (
+from clayport.records.store import (
     LEASE_S,
     URGENT_S,
     Bucket,
@@ -29,6 +26,15 @@
     Txn,
     UnavailableError,
 )
+from clayport.scaling.provisioning import (
+    BootingMachine,
+    BootTimes,
+    Demand,
+    plan_rentals,
+    urgent_demand,
+)
+from clayport.scheduling.placement import OPEN
+from clayport.scheduling.queueing.shares import Owed
 
 from .test_dispatch import Home
 from .test_workers import JOB, KEY, Bench
@@ -38,17 +44,17 @@
 
 def made(number: int, **fields: Any) -> Job:
     job = msgspec.convert(wire_job(number, **fields), Job)
-    return msgspec.structs.replace(job, aimless=job.job_class == "unnamed")
+    return msgspec.structs.replace(job, without_objective=job.job_class == "unnamed")
 
 
-def started(events: str, tasks: int = 12) -> tuple[HomeJob, list[int], float]:
+def started(events: str, tasks: int = 12) -> tuple[ManagedJob, list[int], float]:
     """A home after events of tasks on machines of their own: e(rror), d(one), r(unning)."""
-    hj = HomeJob(made(1, pieces=tasks), 1, 50, 0.0)
+    managed = ManagedJob(made(1, pieces=tasks), 1, 50, 0.0)
     chunk = Chunk()
     chunk.assigned = {n: (1, f"m{n}") for n in range(tasks)}
-    hj.load({0: chunk})
+    managed.load({0: chunk})
     verdicts = [
-        hj.event(
+        managed.event(
             f"m{n}",
             n,
             1,
@@ -58,7 +64,7 @@
         )
         for n, e in enumerate(events)
     ]
-    return hj, verdicts, hj.not_before
+    return managed, verdicts, managed.not_before
 
 
 @pytest.mark.parametrize(
@@ -75,18 +81,18 @@
 def test_a_job_that_fails_on_several_machines_is_at_fault(
     events: str, at_fault: bool, last: int
 ) -> None:
-    hj, verdicts, _ = started(events)
-    assert (hj.at_fault, verdicts[-1]) == (at_fault, last)
+    managed, verdicts, _ = started(events)
+    assert (managed.at_fault, verdicts[-1]) == (at_fault, last)
 
 
 def test_a_job_at_fault_is_tried_again_ever_more_rarely() -> None:
     """A hundred failures at once are one trial: what failed may pass within seconds."""
-    hj, _, until = started("eeeeeeeeee")
-    assert until == 11.0 and hj.avoided() == {"m9"}
+    managed, _, until = started("eeeeeeeeee")
+    assert until == 11.0 and managed.avoided() == {"m9"}
     for number, pause in ((10, 2.0), (11, 4.0)):
-        hj.event(f"m{number}", number, 1, "exited", "error", until)
-        assert hj.not_before == until + pause
-        until = hj.not_before
+        managed.event(f"m{number}", number, 1, "exited", "error", until)
+        assert managed.not_before == until + pause
+        until = managed.not_before
 
 
 def test_a_job_at_fault_is_tried_on_one_machine_and_wanted_nowhere(
@@ -95,11 +101,11 @@
     home = Home(monkeypatch)
     for name in ("m1", "m2", "m3", "m4"):
         home.report(name, "north", "plain")
-    hj = home.wait(made(1, pieces=16))
-    hj.errors = {"m1": 2, "m2": 1, "m3": 1}
+    managed = home.wait(made(1, pieces=16))
+    managed.errors = {"m1": 2, "m2": 1, "m3": 1}
     assert home.c.placer.demand() == []
     home.look()
-    assert len(hj.starts) == 1 and hj.starts[0][1] != "m3"
+    assert len(managed.starts) == 1 and managed.starts[0][1] != "m3"
 
 
 @pytest.mark.parametrize("state, starts", [("running", 1), ("pulling", 0)])
@@ -108,15 +114,15 @@
 ) -> None:
     home = Home(monkeypatch)
     home.report("m4", "north", "plain")
-    hj = home.wait(made(1, pieces=2, shape="daemon", loaners=False))
+    managed = home.wait(made(1, pieces=2, shape="daemon", loaners=False))
     chunk = Chunk()
     chunk.assigned = {0: (1, "m9")}
-    hj.load({0: chunk})
-    hj.event("m9", 0, 1, state, "", home.now)
-    hj.errors = {"m1": 1, "m2": 1, "m3": 1}
-    assert hj.at_fault
+    managed.load({0: chunk})
+    managed.event("m9", 0, 1, state, "", home.now)
+    managed.errors = {"m1": 1, "m2": 1, "m3": 1}
+    assert managed.at_fault
     home.look()
-    assert len(hj.starts) == starts
+    assert len(managed.starts) == starts
 
 
 ERROR = (KEY, "exited", "error")
@@ -153,7 +159,7 @@
             b.owner.judge("m1", *args)
         else:
             b.owner.ended(*args)
-    assert b.owner.sick(b.machine) == sick
+    assert b.owner.unhealthy(b.machine) == sick
 
 
 @pytest.mark.parametrize(
@@ -376,7 +382,7 @@
 ) -> None:
     """A job of 25,000 tasks counted as early until it was nearly due, then as all too late."""
     job = made(1, pieces=25000, guess_s=4.0, vcpus=0.25, due_s=400.0, rank="best_effort")
-    found = pressing([Need(job, waiting, age)], {}, 1e9, boot_s=40.0)
+    found = urgent_demand([Demand(job, waiting, age)], {}, 1e9, boot_s=40.0)
     assert [n.tasks for n in found] == ([] if wanted is None else [wanted])
 
 
@@ -460,11 +466,11 @@
     took: list[float], booting: list[float], factor: float
 ) -> None:
     kind = msgspec.convert(TYPES[0], MachineType)
-    boots = Boots(200.0)
+    boots = BootTimes(200.0)
     for ratio in took:
         boots.note(kind, ratio * kind.boot_s, 100.0)
     waiting = [
-        Boot(f"m{n}", (kind.name, "north", False), 100.0 - r * kind.boot_s)
+        BootingMachine(f"m{n}", (kind.name, "north", False), 100.0 - r * kind.boot_s)
         for n, r in enumerate(booting)
     ]
     [seen] = boots.observed([kind], waiting, 100.0)
@@ -480,7 +486,7 @@
     job, boots = made(1, loaners=False), {t.name: t.boot_s for t in types}
     for factor, chosen in ((1.0, "plain"), (3.0, "other")):
         late = [msgspec.structs.replace(types[0], boot_s=types[0].boot_s * factor), types[1]]
-        bought = shopping(late, [Need(job, 3)], set(), 0.0, OPEN, {}, boots)
+        bought = plan_rentals(late, [Demand(job, 3)], set(), 0.0, OPEN, {}, boots)
         assert {k[0] for k in bought} == {chosen}
 
 
@@ -496,7 +502,7 @@
     job = made(1)
     c.live[job.id] = (job, 1)
     c.serving = True
-    old = HomeJob(job, 1, 50, home.now, epoch=0)
+    old = ManagedJob(job, 1, 50, home.now, epoch=0)
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
         if prepare == "starts":
@@ -504,11 +510,11 @@
         elif prepare == "outcomes":
             old.chunks[0].assigned[2] = (1, "m1")
             old.event("m1", 2, 1, "exited", "stopped", home.now)
-        step = c.dispatch._adopt if prepare == "adopt" else c.dispatch._step
+        step = c.dispatcher._adopt if prepare == "adopt" else c.dispatcher._step
         with pytest.raises(EpochEndedError):
             curio.run(step, old)
-        assert not c.owner.machines["m1"].want
-    curio.run(c.dispatch._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
+        assert not c.owner.machines["m1"].desired
+    curio.run(c.dispatcher._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
     assert not c.owner.machines["m1"].kills
 
 
@@ -530,27 +536,27 @@
 ) -> None:
     """What waits again, or ended, all over a huge job was one transaction, refused whole."""
     size = chunk_size(value_kb)
-    hj = HomeJob(made(1, pieces=25000), 1, size, 0.0)
-    hj.load({i: Chunk() for i in range(25000 // size + 1)})
-    for index, chunk in hj.chunks.items():
+    managed = ManagedJob(made(1, pieces=25000), 1, size, 0.0)
+    managed.load({i: Chunk() for i in range(25000 // size + 1)})
+    for index, chunk in managed.chunks.items():
         numbers = range(index * size, min(25000, (index + 1) * size))
         chunk.assigned = {n: (4_000_000_000, f"i-{n:010d}") for n in numbers if n % 2}
         chunk.done = {n for n in numbers if n % 4 == 2}
-        hj.again.extend(n for n in numbers if n % 4 == 0)
-    hj.recount()
+        managed.again.extend(n for n in numbers if n % 4 == 0)
+    managed.recount()
     everything = [n for n in range(25000) if n % 4 == 0]
-    hj.again.extend(everything[::-7])
-    taken = hj.take(2000, limit)
+    managed.again.extend(everything[::-7])
+    taken = managed.take(2000, limit)
     assert taken and len({n // size for n in taken}) <= limit
-    txn, _ = hj.start_txn(1, [(n, f"i-{n:010d}") for n in taken], 4_000_000_000)
+    txn, _ = managed.start_txn(1, [(n, f"i-{n:010d}") for n in taken], 4_000_000_000)
     assert len(json.dumps(txn.writes)) < 60 * 1024
-    for chunk in hj.chunks.values():
-        hj.outcomes[next(iter(chunk.assigned))] = (4_000_000_000, True)  # the others run on
-    txn, chunks, covered, _ = hj.outcome_txn(1, limit)
+    for chunk in managed.chunks.values():
+        managed.outcomes[next(iter(chunk.assigned))] = (4_000_000_000, True)  # the others run on
+    txn, chunks, covered, _ = managed.outcome_txn(1, limit)
     assert 0 < len(chunks) <= limit and covered and len(json.dumps(txn.writes)) < 60 * 1024
     found: set[int] = set()
-    hj.placing.clear()
-    while more := hj.take(500, limit):
+    managed.placing.clear()
+    while more := managed.take(500, limit):
         found.update(more)
     assert found == set(everything)  # nothing is lost on the way
 
@@ -614,7 +620,7 @@
     monkeypatch.setattr(type(c.provisioner), "_lost", staticmethod(count))
     home.now += 1000.0
     c.owner.touch_all()
-    needs = [Need(made(1, vcpus=2.0), spare)] if spare else []
+    needs = [Demand(made(1, vcpus=2.0), spare)] if spare else []
     curio.run(c.provisioner._return_idle, {t.name: t for t in c.types}, [], needs, OPEN, home.now)
     assert len(gone) == returned and len(asked) <= looks
     assert asked[0] == ["m0", "m1", "m2", "m3"]
@@ -643,7 +649,7 @@
     assert gang.starts == []  # there is no machine for it yet
     waiting = home.c.placer.all_demand()
     bought = home.c.provisioner._filling(
-        waiting, 64.0, home.c.picture.index(), home.c.placer.policy()
+        waiting, 64.0, home.c.cached_state.index(), home.c.placer.policy()
     )
     assert [kind[0] for kind in bought] == ["accel"] and not bought[0][2]
     # On one that the lowest rank fills it makes room, but not where others are.
@@ -687,7 +693,7 @@
     c.begin(Epoch(4, {"c1": "first"}, 7))
     c.state_known = True
     monkeypatch.setattr(c, "may_renew", lambda now: True)
-    c.horizon.promised("c1", heard, home.now + heard_s, home.now + heard_s)
+    c.watermark.promised("c1", heard, home.now + heard_s, home.now + heard_s)
     c.fleet.forwarded["m1"] = home.now
     sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -8,10 +8,10 @@
 import curio
 import pytest
 
-from clayport.cloud import CloudError
-from clayport.fencing import Fences
-from clayport.fleet import Fleet
-from clayport.peers import PeerError
+from clayport.machines.fencing import MachineFencing
+from clayport.machines.fleet import Fleet
+from clayport.scaling.cloud import CloudError
+from clayport.transport.peers import PeerError
 
 from .world import Clock, simulate
 
@@ -38,7 +38,7 @@
         self.told += names
 
 
-async def fence_all(fences: Fences, names: list[str]) -> list[str]:
+async def fence_all(fences: MachineFencing, names: list[str]) -> list[str]:
     async def one(name: str) -> str:
         try:
             await fences.fence(name)
@@ -63,7 +63,7 @@
 def test_many_fences_go_together(count: int, fails: set[int], requests: list[int]) -> None:
     core = Core()
     core.fails = fails
-    fences = Fences(core)  # type: ignore[arg-type]
+    fences = MachineFencing(core)  # type: ignore[arg-type]
     names = [f"i-{n:06d}" for n in range(count)]
     found = curio.run(fence_all, fences, [*names, names[-1]])  # asked for twice, sent once
     assert [len(s) for s in core.sent] == requests and [
@@ -79,7 +79,7 @@
 def test_what_waits_is_not_returned_in_a_later_epoch() -> None:
     """Its new owner may have heard the machine meanwhile: it works, and is full again."""
     core = Core()
-    fences = Fences(core)  # type: ignore[arg-type]
+    fences = MachineFencing(core)  # type: ignore[arg-type]
 
     async def turn() -> None:
         core.epoch = object()  # type: ignore[assignment]
@@ -96,7 +96,7 @@
         raise ValueError("malformed")
 
     core.return_now = fail  # type: ignore[method-assign]
-    fences = Fences(core)  # type: ignore[arg-type]
+    fences = MachineFencing(core)  # type: ignore[arg-type]
     assert all(curio.run(fence_all, fences, ["i-000001"]))
     assert not fences.waiting and not fences.sending
 
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -9,8 +9,8 @@
 import curio
 import pytest
 
-from clayport import http_heads
-from clayport.http import MAX_BODY, Client, Server
+from clayport.transport import http_heads
+from clayport.transport.http import MAX_BODY, Client, Server
 
 
 class Sock:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -14,11 +14,11 @@
 from clayport.imports import ABSENT, EMPTY, reduced
 with reduced():
     import curio, hashlib, h11, msgspec
-    import clayport.server
+    import clayport.controller
 left_out = (*ABSENT, *EMPTY)
 """
 EXCHANGE = """
-from clayport.http import Client, Server
+from clayport.transport.http import Client, Server
 
 async def handler(method, path, body):
     return 200, body, []
@@ -43,7 +43,7 @@
         ("print([n for n in left_out if n in sys.modules])", "[]"),
         ("import ssl, asyncio, multiprocessing; print(ssl.SSLContext, asyncio.run)", "class"),
         ("import multiprocessing; print(multiprocessing.Process)", "class"),
-        ("from clayport.membership import rendezvous; print(rendezvous('a', ['c0']))", "c0"),
+        ("from clayport.membership.epoch import rendezvous; print(rendezvous('a', ['c0']))", "c0"),
         ("print(curio.run(curio.run_in_thread, int, '7'))", "7"),
         (EXCHANGE, "(200, b'{}')"),
     ],
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from clayport.index import FORGET_LEAST, Index
 from clayport.model import Job, MachineType
-from clayport.placement import Policy, Room, Spread, place, preempt
+from clayport.scheduling.index import FORGET_LEAST, Index
+from clayport.scheduling.placement import Policy, Room, Spread, place, preempt
 
 from . import plain
 from .world import TYPES, ZONES
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -8,49 +8,49 @@
 import msgspec
 import pytest
 
-from clayport.jobs import (
+from clayport.jobs.managed_job import (
     CLEAR,
     KILL,
     LATER,
     OK,
-    HomeJob,
+    ManagedJob,
     can_ever_run,
     chunk_key,
     end_key,
     live_key,
 )
+from clayport.machines.table import GONE
 from clayport.model import MAX_TASKS, Chunk, Job, chunk_size
-from clayport.workers import GONE
 
 from .world import job as wire_job
 
 
-def home(**fields: Any) -> HomeJob:
-    return HomeJob(msgspec.convert(wire_job(1, **fields), Job), 5, 100, 0.0)
+def home(**fields: Any) -> ManagedJob:
+    return ManagedJob(msgspec.convert(wire_job(1, **fields), Job), 5, 100, 0.0)
 
 
-def started(hj: HomeJob, count: int = 3, rev: int = 10) -> HomeJob:
-    numbers = hj.take(count)
-    hj.attempt += 1
-    _, chunks = hj.start_txn(7, [(n, "m1") for n in numbers], hj.attempt)
-    hj.committed(chunks, rev)
+def started(managed: ManagedJob, count: int = 3, rev: int = 10) -> ManagedJob:
+    numbers = managed.take(count)
+    managed.attempt += 1
+    _, chunks = managed.start_txn(7, [(n, "m1") for n in numbers], managed.attempt)
+    managed.committed(chunks, rev)
     for number in numbers:
-        hj.placing.discard(number)
-    return hj
+        managed.placing.discard(number)
+    return managed
 
 
 def test_launch_is_fenced_by_epoch_job_and_chunk() -> None:
     """A cancellation or an eviction between the write-ahead and the commit stops it."""
-    hj = home()
-    txn, _ = hj.start_txn(7, [(0, "m1")], 1)
+    managed = home()
+    txn, _ = managed.start_txn(7, [(0, "m1")], 1)
     assert txn.when == {"c/generation": 7, live_key("j-000001"): 5, chunk_key("j-000001", 0): 0}
 
 
 def test_last_outcome_ends_the_job_in_the_same_transaction() -> None:
-    hj = started(home())
+    managed = started(home())
     for number in range(3):
-        assert hj.event("m1", number, 1, "exited", "done", 1.0) == OK
-    txn, _, covered, over = hj.outcome_txn(7, 9)
+        assert managed.event("m1", number, 1, "exited", "done", 1.0) == OK
+    txn, _, covered, over = managed.outcome_txn(7, 9)
     assert over and covered == [0, 1, 2]
     assert txn.when[live_key("j-000001")] == 5 and txn.when["c/generation"] == 7
     assert {w.get("write") or w.get("remove") for w in txn.writes} == {
@@ -65,22 +65,22 @@
     [("done", 0), ("error", 1), ("stopped", 1), ("", 1), ("no_room", 1), ("mates_gone", 1)],
 )
 def test_what_is_not_done_waits_again(cause: str, again: int) -> None:
-    hj = started(home())
-    hj.event("m1", 1, 1, "exited" if cause else GONE, cause, 1.0)
-    _, chunks, covered, over = hj.outcome_txn(7, 9)
+    managed = started(home())
+    managed.event("m1", 1, 1, "exited" if cause else GONE, cause, 1.0)
+    _, chunks, covered, over = managed.outcome_txn(7, 9)
     assert not over
-    hj.committed(chunks, 11)
-    assert hj.covered(covered) == [(1, 1)]
-    assert hj.pending == again
-    assert hj.take(5) == [1] * again
+    managed.committed(chunks, 11)
+    assert managed.covered(covered) == [(1, 1)]
+    assert managed.pending == again
+    assert managed.take(5) == [1] * again
 
 
 def test_done_of_a_cancelled_job_counts_for_nothing() -> None:
-    hj = started(home(pieces=3))
-    hj.ended = "cancelled"
+    managed = started(home(pieces=3))
+    managed.ended = "cancelled"
     for number in range(3):
-        hj.event("m1", number, 1, "exited", "done", 1.0)
-    txn, chunks, _, over = hj.outcome_txn(7, 9)
+        managed.event("m1", number, 1, "exited", "done", 1.0)
+    txn, chunks, _, over = managed.outcome_txn(7, 9)
     assert not over and not chunks[0].done
     assert [w for w in txn.writes if "remove" in w] == [{"remove": chunk_key("j-000001", 0)}]
 
@@ -97,27 +97,27 @@
     ],
 )
 def test_verdicts(event: tuple[str, int, int, str, str], verdict: int) -> None:
-    hj = started(home(), 2)
-    hj.take(1)
-    assert hj.event(*event, 1.0) == verdict
+    managed = started(home(), 2)
+    managed.take(1)
+    assert managed.event(*event, 1.0) == verdict
 
 
 def test_gang_waits_for_its_last_old_task() -> None:
-    hj = started(home(shape="ensemble"))
+    managed = started(home(shape="ensemble"))
     for number in range(3):
-        hj.event("m1", number, 1, "running", "", 1.0)
-    hj.event("m1", 0, 1, "exited", "mates_gone", 1.0)
-    assert [n for n, _, _ in hj.broken()] == [1, 2]
-    _, chunks, covered, _ = hj.outcome_txn(7, 9)
-    hj.committed(chunks, 11)
-    hj.covered(covered)
-    assert hj.pending == 0
+        managed.event("m1", number, 1, "running", "", 1.0)
+    managed.event("m1", 0, 1, "exited", "mates_gone", 1.0)
+    assert [n for n, _, _ in managed.broken()] == [1, 2]
+    _, chunks, covered, _ = managed.outcome_txn(7, 9)
+    managed.committed(chunks, 11)
+    managed.covered(covered)
+    assert managed.pending == 0
     for number in (1, 2):
-        hj.event("m1", number, 1, GONE, "", 2.0)
-    _, chunks, covered, _ = hj.outcome_txn(7, 9)
-    hj.committed(chunks, 12)
-    hj.covered(covered)
-    assert hj.pending == 3 and hj.broken() == []
+        managed.event("m1", number, 1, GONE, "", 2.0)
+    _, chunks, covered, _ = managed.outcome_txn(7, 9)
+    managed.committed(chunks, 12)
+    managed.covered(covered)
+    assert managed.pending == 3 and managed.broken() == []
 
 
 @pytest.mark.parametrize(
@@ -130,40 +130,40 @@
     ],
 )
 def test_gang_that_has_not_started_is_completed(state: str, cause: str, filled: bool) -> None:
-    hj = started(home(shape="ensemble"))
+    managed = started(home(shape="ensemble"))
     for number in (1, 2):
-        hj.event("m1", number, 1, state, "", 1.0)
-    hj.event("m1", 0, 1, "exited" if cause else GONE, cause, 2.0)
-    _, chunks, covered, _ = hj.outcome_txn(7, 9)
-    hj.committed(chunks, 11)
-    hj.covered(covered)
-    assert (hj.filling, hj.pending) == (filled, 1 if filled else 0)
-    assert bool(hj.broken()) != filled
-    assert hj.left == {"m1"}  # the replacement goes elsewhere
+        managed.event("m1", number, 1, state, "", 1.0)
+    managed.event("m1", 0, 1, "exited" if cause else GONE, cause, 2.0)
+    _, chunks, covered, _ = managed.outcome_txn(7, 9)
+    managed.committed(chunks, 11)
+    managed.covered(covered)
+    assert (managed.filling, managed.pending) == (filled, 1 if filled else 0)
+    assert bool(managed.broken()) != filled
+    assert managed.left == {"m1"}  # the replacement goes elsewhere
 
 
 def test_attempts_never_repeat_over_a_takeover() -> None:
-    hj = started(home())
+    managed = started(home())
     successor = home()
-    successor.load({0: Chunk.parse(json.loads(json.dumps(hj.chunks[0].value())), 10)})
+    successor.load({0: Chunk.parse(json.loads(json.dumps(managed.chunks[0].value())), 10)})
     assert successor.attempt == 1 and successor.assigned == 3 and successor.pending == 0
-    assert successor.assignments() == hj.assignments()
+    assert successor.assignments() == managed.assignments()
 
 
 def test_confirmed_returns_end_what_was_there() -> None:
-    hj = started(home())
-    assert hj.removed({"m1"}) and not hj.removed({"m2"})
-    assert set(hj.outcomes) == {0, 1, 2}
+    managed = started(home())
+    assert managed.removed({"m1"}) and not managed.removed({"m2"})
+    assert set(managed.outcomes) == {0, 1, 2}
 
 
 def test_job_that_fails_everywhere_backs_off() -> None:
-    hj = home(pieces=9)
+    managed = home(pieces=9)
     for index in range(3):
-        hj.take(1)
-        _, chunks = hj.start_txn(7, [(index, f"m{index}")], index + 1)
-        hj.committed(chunks, 10 + index)
-        hj.event(f"m{index}", index, index + 1, "exited", "error", 1.0)
-    assert hj.not_before > 1.0
+        managed.take(1)
+        _, chunks = managed.start_txn(7, [(index, f"m{index}")], index + 1)
+        managed.committed(chunks, 10 + index)
+        managed.event(f"m{index}", index, index + 1, "exited", "error", 1.0)
+    assert managed.not_before > 1.0
 
 
 @pytest.mark.parametrize("value_kb", [8.0, 32.0])
@@ -173,9 +173,9 @@
     chunk.assigned = {MAX_TASKS - 1 - 2 * i: (2**32, "i-0000000000") for i in range(size // 2)}
     chunk.done = {MAX_TASKS - 2 - 2 * i for i in range(size // 2)}
     assert len(json.dumps(chunk.value(), separators=(",", ":"))) < value_kb * 1024
-    hj = HomeJob(msgspec.convert(wire_job(1, pieces=MAX_TASKS), Job), 5, size, 0.0)
-    assert hj.pending == MAX_TASKS
-    assert hj.take(3) == [0, 1, 2] and hj.pending == MAX_TASKS - 3
+    managed = ManagedJob(msgspec.convert(wire_job(1, pieces=MAX_TASKS), Job), 5, size, 0.0)
+    assert managed.pending == MAX_TASKS
+    assert managed.take(3) == [0, 1, 2] and managed.pending == MAX_TASKS - 3
 
 
 @pytest.mark.parametrize(
@@ -193,12 +193,12 @@
 
 
 def test_what_nobody_tells_of_is_asked_for_again() -> None:
-    hj = HomeJob(msgspec.convert(wire_job(1, pieces=3), Job), 1, 50, 0.0)
-    _, chunks = hj.start_txn(1, [(0, "m1"), (1, "m1"), (2, "m2")], 1)
-    hj.committed(chunks, 2)
-    assert hj.unheard(0.0, 10.0) == set()  # just committed
-    hj.event("m1", 1, 1, "running", "", 5.0)
-    assert hj.unheard(5.0, 10.0) == set()  # too soon for a second look
-    assert hj.unheard(11.0, 10.0) == {0, 2}
-    hj.event("m2", 2, 1, "gone", "", 12.0)
-    assert hj.unheard(22.0, 10.0) == {0}
+    managed = ManagedJob(msgspec.convert(wire_job(1, pieces=3), Job), 1, 50, 0.0)
+    _, chunks = managed.start_txn(1, [(0, "m1"), (1, "m1"), (2, "m2")], 1)
+    managed.committed(chunks, 2)
+    assert managed.unheard(0.0, 10.0) == set()  # just committed
+    managed.event("m1", 1, 1, "running", "", 5.0)
+    assert managed.unheard(5.0, 10.0) == set()  # too soon for a second look
+    assert managed.unheard(11.0, 10.0) == {0, 2}
+    managed.event("m2", 2, 1, "gone", "", 12.0)
+    assert managed.unheard(22.0, 10.0) == {0}
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,11 +11,11 @@
 from clayport.limits import (
     AdmissionControl,
     Budget,
+    Circuit,
     Deadline,
     Gate,
     GateClosedError,
     Inflight,
-    Patience,
     Retries,
 )
 from clayport.limits.inflight import CUT
@@ -137,7 +137,7 @@
         async def one(name: str, ahead: float, takes: float) -> None:
             nonlocal most
             async with gate.passing(ahead) as passage:
-                most = max(most, gate.inflight.flying)
+                most = max(most, gate.inflight.in_flight)
                 await curio.sleep(takes)
                 passage.served = True
                 passed.append(name)
@@ -153,7 +153,7 @@
         ]
         for task in tasks:
             await task.join()
-        assert gate.inflight.flying == 0
+        assert gate.inflight.in_flight == 0
 
     simulate(monkeypatch, main)
     assert most == 2 and passed.index("urgent") < passed.index("later")
@@ -186,7 +186,7 @@
         await cancelled.cancel()
         for task in (holder, waiting, last):
             await task.join()
-        assert done == ["hurried"] and not gate.line and gate.inflight.flying == 0
+        assert done == ["hurried"] and not gate.queue and gate.inflight.in_flight == 0
 
     simulate(monkeypatch, main)
 
@@ -195,25 +195,25 @@
     """Not when their own long pauses end: after an outage everybody is needed at once."""
 
     async def main(clock: Clock) -> None:
-        patience = Patience(
+        circuit = Circuit(
             Retries(8.0, 60.0, Budget(0.0, 1.0, 0.01, clock()), random.Random(1).uniform)
         )
         woken: list[float] = []
 
         async def one() -> None:
-            attempt = patience.begin()
-            assert await patience.rest(attempt)
+            attempt = circuit.begin()
+            assert await circuit.back_off(attempt)
             woken.append(clock())
 
-        await patience.seen(False)
+        await circuit.seen(False)
         tasks = [await curio.spawn(one) for _ in range(20)]
         await curio.sleep(2.0)
         assert not woken
-        await patience.seen(True)
+        await circuit.seen(True)
         for task in tasks:
             await task.join()
         assert max(woken) - min(woken) < 0.1
-        await patience.seen(True)  # still there: nothing to wake anybody for
-        assert not patience.back.is_set()
+        await circuit.seen(True)  # still there: nothing to wake anybody for
+        assert not circuit.back.is_set()
 
     simulate(monkeypatch, main)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,7 +9,7 @@
 import curio
 import pytest
 
-from clayport.workers import SENT
+from clayport.machines.table import SENT
 
 from .test_model import JOBS_A_DAY, until_over, work
 from .test_restarts import again
@@ -118,8 +118,8 @@
     while world.clock() < end:
         await curio.sleep(0.05)
         for m in world.controllers[refused].owner.machines.values():
-            for (task, _), want in m.want.items():
-                if world.kinds[task.partition("/")[0]] == "launch" and want.phase == SENT:
+            for (task, _), desired in m.desired.items():
+                if world.kinds[task.partition("/")[0]] == "launch" and desired.phase == SENT:
                     return task.partition("/")[0], refused, asked
     raise AssertionError("nothing was launched there")
 
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from clayport.jobs import chunk_key, end_value, parse_chunk_key
+from clayport.jobs.managed_job import chunk_key, end_value, parse_chunk_key
 from clayport.model import Chunk
 from clayport.rebuild.evidence import Evidence, Task, pack, unpack
 from clayport.rebuild.history import History, anchor_key
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,7 +11,7 @@
 import curio
 import pytest
 
-from clayport import peerwire
+from clayport.transport import frames
 
 from .world import SETTINGS, ZONES, Clock, World, job, simulate
 
@@ -183,7 +183,8 @@
         c.upgraded
         and c.serving
         and not any(
-            h.wide or h.size > c.narrow_size < h.job.tasks for h in c.dispatch.homes.values()
+            h.wide or h.size > c.narrow_size < h.job.tasks
+            for h in c.dispatcher.managed_jobs.values()
         )
         for c in world.controllers.values()
     ):
@@ -409,7 +410,7 @@
         clock, 2, job(1, pieces=1, shape="daemon", loaners=False), job(2, pieces=8, loaners=False)
     )
     world.hold_s = (30.0, 30.0)
-    world.doubled.add(peerwire.LAUNCH)
+    world.doubled.add(frames.LAUNCH)
     key = ("j-000001/0", 1)
 
     def on() -> list[Any]:
--- a/tests/test_peer_requests.py
+++ b/tests/test_peer_requests.py
@@ -9,53 +9,53 @@
 import curio
 import pytest
 
-from clayport import peerwire
-from clayport.config import parse
-from clayport.membership import Epoch
+from clayport.controller import Controller
+from clayport.membership.epoch import Epoch
 from clayport.peer_requests import HANDLERS
-from clayport.server import Controller
+from clayport.settings import parse
+from clayport.transport import frames
 
 from .test_program import GOOD
 
 ANSWERS = {
-    peerwire.PONG,
-    peerwire.BEATEN,
-    peerwire.RESERVED,
-    peerwire.ACK,
-    peerwire.VERDICTS,
-    peerwire.TABLE,
-    peerwire.COUNTED,
-    peerwire.REPORTED,
-    peerwire.HISTORY_TOLD,
-    peerwire.EVIDENCE_TOLD,
+    frames.PONG,
+    frames.BEATEN,
+    frames.RESERVED,
+    frames.ACK,
+    frames.VERDICTS,
+    frames.TABLE,
+    frames.COUNTED,
+    frames.REPORTED,
+    frames.HISTORY_TOLD,
+    frames.EVIDENCE_TOLD,
 }
 # What acts in any epoch, and why that is safe.
 ANY_GENERATION = {
-    peerwire.PING,  # tells, and asks for nothing
-    peerwire.BEAT,
-    peerwire.ENDED,  # final states never change
-    peerwire.HISTORY,
-    peerwire.EVIDENCE,
-    peerwire.INSPECT,  # reads only
-    peerwire.GONE,  # names are not used again
-    peerwire.REPORT,  # checked by its method, after it has been read
+    frames.PING,  # tells, and asks for nothing
+    frames.BEAT,
+    frames.ENDED,  # final states never change
+    frames.HISTORY,
+    frames.EVIDENCE,
+    frames.INSPECT,  # reads only
+    frames.GONE,  # names are not used again
+    frames.REPORT,  # checked by its method, after it has been read
 }
 EXAMPLES: dict[str, Any] = {"s": "m1", "b": b"{}", "?": False, "Q": 7, "I": 1, "d": 1.0}
 
 
-def example(schema: peerwire.Schema) -> tuple[Any, ...]:
+def example(schema: frames.Schema) -> tuple[Any, ...]:
     """Values that a frame of the schema can carry; lists have one record."""
     return tuple([example(c)] if isinstance(c, tuple) else EXAMPLES[c] for c in schema)
 
 
 def test_every_kind_that_asks_has_a_method() -> None:
     # Fails with any row taken out of HANDLERS.
-    assert set(HANDLERS) == set(peerwire.SCHEMAS) - ANSWERS
+    assert set(HANDLERS) == set(frames.SCHEMAS) - ANSWERS
 
 
 @pytest.mark.parametrize("kind", sorted(HANDLERS))
 def test_a_method_takes_the_fields_of_its_frame(kind: int) -> None:
-    inspect.signature(HANDLERS[kind].method).bind(None, *example(peerwire.SCHEMAS[kind]))
+    inspect.signature(HANDLERS[kind].method).bind(None, *example(frames.SCHEMAS[kind]))
 
 
 @pytest.mark.parametrize("kind", sorted(set(HANDLERS) - ANY_GENERATION))
@@ -70,5 +70,5 @@
     monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=never))
     c = Controller(parse(json.dumps(GOOD).encode()))
     c.epoch, c.serving = Epoch(number, {c.label: c.incarnation}, 1), serving
-    reply, answer = curio.run(c.peer_requests.answer, kind, example(peerwire.SCHEMAS[kind]))
-    assert not answer[0] and peerwire.encode(reply, 1, answer)
+    reply, answer = curio.run(c.peer_requests.answer, kind, example(frames.SCHEMAS[kind]))
+    assert not answer[0] and frames.encode(reply, 1, answer)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,11 +8,11 @@
 import curio
 import pytest
 
-from clayport import peers, peerwire
+from clayport.transport import frames, peers
 
 from .world import Clock, simulate
 
-FRAME = peerwire.encode(peerwire.PING, 1, ("c1", 1, True, 1, []))
+FRAME = frames.encode(frames.PING, 1, ("c1", 1, True, 1, []))
 
 
 class Connection:
@@ -73,7 +73,7 @@
         return Listening([sock])
 
     async def handler(kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
-        return peerwire.PONG, ("c0", 1, True, 1)
+        return frames.PONG, ("c0", 1, True, 1)
 
     async def main(clock: Clock) -> None:
         serving = await curio.spawn(peers.serve, "", 0, handler, 4, idle_s)
--- a/tests/test_peerwire.py
+++ b/tests/test_peerwire.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from clayport import peerwire as wire
+from clayport.transport import frames as wire
 
 SAMPLES: dict[str, Any] = {
     "s": "wörd",
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -11,10 +11,9 @@
 import msgspec
 import pytest
 
-from clayport import peerwire
-from clayport.config import ConfigError, parse
-from clayport.jobs import (
-    HomeJob,
+from clayport.controller import Controller
+from clayport.jobs.managed_job import (
+    ManagedJob,
     chunk_key,
     end_key,
     end_value,
@@ -24,10 +23,11 @@
     live_value,
     parse_chunk_key,
 )
-from clayport.membership import Epoch
+from clayport.membership.epoch import Epoch
 from clayport.model import Chunk, Job, chunk_size
-from clayport.pipelines import Pipelines
-from clayport.server import Controller
+from clayport.scheduling.dependencies import DependencyGraph
+from clayport.settings import ConfigError, parse
+from clayport.transport import frames
 
 from .test_dispatch import Home
 from .world import SETTINGS, Clock, World, job, simulate
@@ -70,28 +70,28 @@
     ],
 )
 def test_ready_and_doomed(steps: list[Any], waiting: set[int], doomed: set[int]) -> None:
-    pipes = Pipelines(1.0, 0.0)
+    dependencies = DependencyGraph(1.0, 0.0)
     for step in steps:
         if isinstance(step, str):
-            pipes.end(name(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
+            dependencies.end(name(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
         else:
-            pipes.add(made(*step), 1.0)
-    assert {n for n in pipes.links if pipes.waiting(n)} == {name(n) for n in waiting}
-    assert pipes.doomed == {name(n) for n in doomed}
+            dependencies.add(made(*step), 1.0)
+    assert {n for n in dependencies.nodes if dependencies.waiting(n)} == {name(n) for n in waiting}
+    assert dependencies.doomed == {name(n) for n in doomed}
 
 
 def test_wide_and_deep_graphs_cost_what_they_touch() -> None:
-    pipes = Pipelines(1.0, 0.0)
-    pipes.add(made(0), 0.0)
+    dependencies = DependencyGraph(1.0, 0.0)
+    dependencies.add(made(0), 0.0)
     for n in range(1, 61):
-        pipes.add(made(n, n - 1), 0.0)
+        dependencies.add(made(n, n - 1), 0.0)
     for n in range(100, 600):
-        pipes.add(made(n, 0), 0.0)
-    ready, doomed, _ = pipes.end(name(0), "cancelled", 1.0)
+        dependencies.add(made(n, 0), 0.0)
+    ready, doomed, _ = dependencies.end(name(0), "cancelled", 1.0)
     assert not ready and len(doomed) == 560
     for found in doomed:
-        pipes.end(found, "cancelled", 2.0)
-    assert not pipes.links and not pipes.followers and not pipes.doomed
+        dependencies.end(found, "cancelled", 2.0)
+    assert not dependencies.nodes and not dependencies.dependents and not dependencies.doomed
 
 
 LAST = {"rank": "high", "due_s": 100.0, "guess_s": 8.0, "image_gb": 1.0}
@@ -134,20 +134,20 @@
 def test_urgency_reaches_back(
     jobs: list[Job], ends: dict[int, float], found: dict[int, tuple[int, float | None]]
 ) -> None:
-    pipes = Pipelines(1.0, 0.0)
+    dependencies = DependencyGraph(1.0, 0.0)
     for one in jobs:
-        pipes.add(one, 0.0)
+        dependencies.add(one, 0.0)
     for number, at in ends.items():
-        pipes.end(name(number), "done" if number == 1 else "cancelled", at)
-    views = {n: pipes.view(name(n), {"timed": 50.0}) for n in found}
+        dependencies.end(name(number), "done" if number == 1 else "cancelled", at)
+    views = {n: dependencies.view(name(n), {"timed": 50.0}) for n in found}
     assert {n: (v.rank, v.deadline_s) for n, v in views.items()} == found
 
 
 def test_records_that_name_each_other_end_nothing() -> None:
-    pipes = Pipelines(1.0, 0.0)
-    pipes.add(made(1, 2, due_s=9.0), 0.0)
-    pipes.add(made(2, 1), 0.0)
-    assert math.isfinite(pipes.links[name(2)].due)
+    dependencies = DependencyGraph(1.0, 0.0)
+    dependencies.add(made(1, 2, due_s=9.0), 0.0)
+    dependencies.add(made(2, 1), 0.0)
+    assert math.isfinite(dependencies.nodes[name(2)].due)
 
 
 # -- what users may name -----------------------------------------------------
@@ -223,7 +223,7 @@
                             ],
                         }
                     )
-                for known in (c.live, c.ended, c.pipes.links, c.pipes.ends):
+                for known in (c.live, c.ended, c.dependencies.nodes, c.dependencies.ends):
                     known.clear()
             found.append((await c.api.handle("POST", "/api/jobs", body))[0])
         # A repeated submission is not refused, whatever it says by now.
@@ -310,9 +310,11 @@
         c = controller(world)
         await world.submit(job(1, pieces=1), 5.0)
         await world.submit(job(2, prereqs=[name(1)], pieces=1), 5.0)
-        monkeypatch.setattr(c.mirror, "_apply", lambda change: None)  # the watch tells nothing more
+        monkeypatch.setattr(
+            c.record_replica, "_apply", lambda change: None
+        )  # the watch tells nothing more
         await curio.sleep(1.0)
-        c.dispatch.homes[name(1)].ended = "done"  # another home would have done it
+        c.dispatcher.managed_jobs[name(1)].ended = "done"  # another home would have done it
         world.state.commit(
             {
                 "when": [],
@@ -324,7 +326,7 @@
         )
         world.results[name(1)] = {0}
         before = clock()
-        while c.dispatch.homes[name(2)].blocked:
+        while c.dispatcher.managed_jobs[name(2)].blocked:
             await curio.sleep(0.5)
         return clock() - before
 
@@ -366,9 +368,9 @@
     }
     assert needed <= set(value["j"]) and set(value) == {"j", "t"}
     assert end_value("done", 5.0) == {"s": "done", "t": 5.0}
-    hj = HomeJob(made(1, pieces=200), 1, chunk_size(8.0), 0.0)
-    assert [hj.key(i) for i in (0, 1)] == ["run/j-000001/00000", "run/j-000001/00001"]
-    assert hj.size == 131
+    managed = ManagedJob(made(1, pieces=200), 1, chunk_size(8.0), 0.0)
+    assert [managed.key(i) for i in (0, 1)] == ["run/j-000001/00000", "run/j-000001/00001"]
+    assert managed.size == 131
 
 
 @pytest.mark.parametrize(
@@ -385,12 +387,12 @@
             "00000002"
             "4000000000000000"
             "00000000",
-            peerwire.PING,
+            frames.PING,
             ("c0", 3, True, 7, [("j", 2, 2.0, "")]),
         ),
         (
             "c1a7020200000001000000170000000263300000000000000003010000000000000007",
-            peerwire.PONG,
+            frames.PONG,
             ("c0", 3, True, 7),
         ),
         (
@@ -401,10 +403,10 @@
             "00000001"
             "00000003692d31"
             "00000005",
-            peerwire.RESERVE,
+            frames.RESERVE,
             (3, "j-000001", 2, [("i-1", 5)]),
         ),
-        ("c1a702040000000100000006010000000101", peerwire.RESERVED, (True, [(True,)])),
+        ("c1a702040000000100000006010000000101", frames.RESERVED, (True, [(True,)])),
         (
             "c1a702050000000100000029"
             "0000000000000003"
@@ -412,7 +414,7 @@
             "00000003692d31"
             "0000000a6a2d3030303030312f35"
             "0000000000000002",
-            peerwire.LAUNCH,
+            frames.LAUNCH,
             (3, [("i-1", "j-000001/5", 2)]),
         ),
         (
@@ -424,14 +426,14 @@
             "0000000000000002"
             "3ff8000000000000"
             "00",
-            peerwire.STOP,
+            frames.STOP,
             (3, [("i-1", "j-000001/5", 2, 1.5, False)]),
         ),
-        ("c1a70208000000010000000101", peerwire.ACK, (True,)),
-        ("c1a70209000000010000000c000000000000000300000000", peerwire.STATES, (3, [])),
+        ("c1a70208000000010000000101", frames.ACK, (True,)),
+        ("c1a70209000000010000000c000000000000000300000000", frames.STATES, (3, [])),
         (
             "c1a7020d0000000100000019000000086a2d3030303030310000000963616e63656c6c6564",
-            peerwire.ENDED,
+            frames.ENDED,
             ("j-000001", "cancelled"),
         ),
     ],
@@ -439,11 +441,11 @@
 def test_frames_are_those_of_the_version_before(raw: str, kind: int, values: Any) -> None:
     """It drops a connection that brings another version, kind, or bytes left over."""
     frame = bytes.fromhex(raw)
-    found, number, size = peerwire.decode_header(frame[: peerwire.HEADER.size])
-    body = frame[peerwire.HEADER.size :]
+    found, number, size = frames.decode_header(frame[: frames.HEADER.size])
+    body = frame[frames.HEADER.size :]
     assert (found, size) == (kind, len(body))
-    assert peerwire.decode_body(kind, body) == values
-    assert peerwire.encode(kind, number, values) == frame
+    assert frames.decode_body(kind, body) == values
+    assert frames.encode(kind, number, values) == frame
 
 
 @pytest.mark.parametrize(
@@ -487,17 +489,19 @@
                 self.keys[write["write"]] = (json.loads(json.dumps(write["data"])), self.rev)
         return self.rev
 
-    def home(self, pieces: int, value_kb: float) -> HomeJob:
-        hj = HomeJob(made(1, pieces=pieces), 1, chunk_size(value_kb), 0.0)
-        hj.load_all({parse_chunk_key(k)[1:]: Chunk.parse(v, r) for k, (v, r) in self.keys.items()})
-        return hj
+    def home(self, pieces: int, value_kb: float) -> ManagedJob:
+        managed = ManagedJob(made(1, pieces=pieces), 1, chunk_size(value_kb), 0.0)
+        managed.load_all(
+            {parse_chunk_key(k)[1:]: Chunk.parse(v, r) for k, (v, r) in self.keys.items()}
+        )
+        return managed
 
 
-def tasks_of(hj: HomeJob) -> tuple[dict[int, tuple[int, str]], set[int], int]:
+def tasks_of(managed: ManagedJob) -> tuple[dict[int, tuple[int, str]], set[int], int]:
     return (
-        {n: (a, m) for n, a, m in hj.assignments()},
-        {n for c in hj.chunks.values() for n in c.done},
-        hj.attempt,
+        {n: (a, m) for n, a, m in managed.assignments()},
+        {n for c in managed.chunks.values() for n in c.done},
+        managed.attempt,
     )
 
 
@@ -508,37 +512,37 @@
 ) -> None:
     """Task for task, whatever has been written when its controller ends."""
     pieces, store = 1200, Store()
-    hj = store.home(pieces, value_kb)
-    for index in range(0, pieces // hj.size + 1):
-        chunk = hj.chunks[index] = Chunk()
+    managed = store.home(pieces, value_kb)
+    for index in range(0, pieces // managed.size + 1):
+        chunk = managed.chunks[index] = Chunk()
         chunk.last_attempt = 9 if index == 2 else 3
-        numbers = range(index * hj.size, min(pieces, (index + 1) * hj.size))
+        numbers = range(index * managed.size, min(pieces, (index + 1) * managed.size))
         if index == 2:
             continue  # all of it gone, but for the attempts used
         chunk.assigned = {n: (3, f"i-{n:06d}") for n in numbers if n % 3 == 1}
         chunk.done = {n for n in numbers if n % 5 == 0 and n % 3 != 1}
-        store.keys[hj.key(index)] = (chunk.value(), 10)
-    if 2 in hj.chunks:
-        store.keys[hj.key(2)] = (hj.chunks[2].value(), 10)
+        store.keys[managed.key(index)] = (chunk.value(), 10)
+    if 2 in managed.chunks:
+        store.keys[managed.key(2)] = (managed.chunks[2].value(), 10)
     narrow = chunk_size(least_kb)
     whole = tasks_of(store.home(pieces, value_kb))
     steps = 0
     for _ in range(2):  # the second home finishes what the first began
-        hj = store.home(pieces, value_kb)
-        assert tasks_of(hj) == whole
-        hj.narrow(narrow)
-        assert tasks_of(hj) == whole and hj.size == narrow
+        managed = store.home(pieces, value_kb)
+        assert tasks_of(managed) == whole
+        managed.narrow(narrow)
+        assert tasks_of(managed) == whole and managed.size == narrow
         moved: set[int] = set()
-        while hj.wide and (steps < ends_after or _):
-            txn, chunks, gone = hj.move_txn(1, ops, moved)
-            hj.committed(chunks, store.commit(txn, ops, least_kb))
+        while managed.wide and (steps < ends_after or _):
+            txn, chunks, gone = managed.move_txn(1, ops, moved)
+            managed.committed(chunks, store.commit(txn, ops, least_kb))
             moved.update(chunks)
             for key in gone:
-                del hj.wide[key]
+                del managed.wide[key]
             steps += 1
-    hj = store.home(pieces, value_kb)
-    assert tasks_of(hj) == whole and not hj.wide and hj.layout == narrow
-    assert not hj.narrow(narrow)
+    managed = store.home(pieces, value_kb)
+    assert tasks_of(managed) == whole and not managed.wide and managed.layout == narrow
+    assert not managed.narrow(narrow)
 
 
 def test_attempts_are_never_used_again_after_a_move() -> None:
@@ -547,22 +551,22 @@
     empty = Chunk()
     empty.last_attempt = 9
     store.keys["run/j-000001/00000"] = (empty.value(), 10)
-    hj = store.home(500, 32.0)
+    managed = store.home(500, 32.0)
     moved: set[int] = set()
-    assert hj.narrow(32)
-    while hj.wide:
-        txn, chunks, gone = hj.move_txn(1, 5, moved)
-        hj.committed(chunks, store.commit(txn, 5, 2.0))
+    assert managed.narrow(32)
+    while managed.wide:
+        txn, chunks, gone = managed.move_txn(1, 5, moved)
+        managed.committed(chunks, store.commit(txn, 5, 2.0))
         moved.update(chunks)
         for key in gone:
-            del hj.wide[key]
+            del managed.wide[key]
     assert store.home(500, 32.0).attempt == 9
 
 
 def test_what_fits_anyway_is_not_moved() -> None:
-    hj = HomeJob(made(1, pieces=30), 1, chunk_size(32.0), 0.0)
-    hj.load_all({(0, 0): Chunk()})
-    assert not hj.narrow(chunk_size(2.0)) and hj.key(0) == "run/j-000001/00000"
+    managed = ManagedJob(made(1, pieces=30), 1, chunk_size(32.0), 0.0)
+    managed.load_all({(0, 0): Chunk()})
+    assert not managed.narrow(chunk_size(2.0)) and managed.key(0) == "run/j-000001/00000"
 
 
 def test_a_description_that_no_longer_fits_can_be_cancelled() -> None:
@@ -618,10 +622,10 @@
     home = Home(monkeypatch)
     c = home.c
     for one in (made(1, rank="best_effort"), made(2, 1, rank="high", due_s=100.0)):
-        c.pipes.add(one, home.now)
-    job = c.pipes.view(name(1), {})
+        c.dependencies.add(one, home.now)
+    job = c.dependencies.view(name(1), {})
     assert job.rank == 2 and c.placer._stops(job, age, c.patient(job, age)) == stops
-    last = c.pipes.view(name(2), {})
+    last = c.dependencies.view(name(2), {})
     assert c.placer._stops(last, 0.0, True) == 1
 
 
@@ -643,8 +647,8 @@
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
     c.versions, c.epoch = said, Epoch(9, {"c0": "x"}, rev)
-    c.mirror.count_versions()
+    c.record_replica.count_versions()
     assert c.upgraded == upgraded
     c.versions = {}
-    c.mirror.count_versions()
+    c.record_replica.count_versions()
     assert c.upgraded == upgraded  # once true, it stays
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,10 +7,17 @@
 import msgspec
 import pytest
 
-from clayport.index import Index
 from clayport.model import Job, MachineType, fits
-from clayport.placement import Policy, Room, Spread, place, preempt
-from clayport.provisioning import Arrivals, Need, pressing, shopping, short, spare_room
+from clayport.scaling.provisioning import (
+    Arrivals,
+    Demand,
+    plan_rentals,
+    short,
+    spare_room,
+    urgent_demand,
+)
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Policy, Room, Spread, place, preempt
 
 from .world import TYPES
 from .world import job as wire_job
@@ -189,10 +196,12 @@
 
 def test_short_keeps_zones_of_what_was_placed() -> None:
     job = make(pieces=2, scatter=True)
-    left = short(Index("", [room()]), [Need(job, 2)], Policy([], KINDS))
+    left = short(Index("", [room()]), [Demand(job, 2)], Policy([], KINDS))
     assert [(n.tasks, n.zones) for n in left] == [(1, ("north",))]
     # ... so that the next machine is rented where it can be used.
-    assert shopping(KINDS, left, set(), 0.0, Policy([], KINDS), {}) == [("plain", "south", True)]
+    assert plan_rentals(KINDS, left, set(), 0.0, Policy([], KINDS), {}) == [
+        ("plain", "south", True)
+    ]
 
 
 @pytest.mark.parametrize(
@@ -207,7 +216,7 @@
 )
 def test_shopping(fields: dict[str, Any], refused: set[Any], bought: list[Any]) -> None:
     job = make(**fields)
-    found = shopping(KINDS, [Need(job, 3)], refused, 0.0, Policy([], KINDS), {})
+    found = plan_rentals(KINDS, [Demand(job, 3)], refused, 0.0, Policy([], KINDS), {})
     assert sorted((k, s) for k, _, s in found) == sorted((k, s) for k, _, s in bought)
     if len(found) == 1:
         assert found == bought
@@ -217,19 +226,19 @@
     job = make(site="north")
     refused = {("plain", "north", True), ("plain", "north", False)}
     policy = Policy([], KINDS)
-    assert shopping(KINDS, [Need(job, 1)], refused, 0.0, policy, {job.id: 1.0}) == []
-    assert shopping(KINDS, [Need(job, 1)], refused, 0.0, policy, {job.id: 60.0}) != []
+    assert plan_rentals(KINDS, [Demand(job, 1)], refused, 0.0, policy, {job.id: 1.0}) == []
+    assert plan_rentals(KINDS, [Demand(job, 1)], refused, 0.0, policy, {job.id: 60.0}) != []
 
 
 def test_work_with_time_waits_for_room() -> None:
-    early, late = Need(make(1), 3, 5.0), Need(make(2), 3, 80.0)
-    assert pressing([early, late], {"batch": 90.0}, 64.0) == [late]
-    assert pressing([early], {}, 64.0) == [early]  # nothing is said: at once
-    [there] = pressing([early], {"batch": 90.0}, 0.0)  # nothing is there yet
+    early, late = Demand(make(1), 3, 5.0), Demand(make(2), 3, 80.0)
+    assert urgent_demand([early, late], {"batch": 90.0}, 64.0) == [late]
+    assert urgent_demand([early], {}, 64.0) == [early]  # nothing is said: at once
+    [there] = urgent_demand([early], {"batch": 90.0}, 0.0)  # nothing is there yet
     assert there.job == early.job and there.tasks == 1  # three in a row are in time
-    near = Need(make(3), 3, 70.0)
-    assert pressing([near], {"batch": 90.0}, 64.0) == [near]  # too near for cheap ones
-    assert pressing([near], {"batch": 90.0}, 64.0, 1.0, 1.0) == []  # but not late yet
+    near = Demand(make(3), 3, 70.0)
+    assert urgent_demand([near], {"batch": 90.0}, 64.0) == [near]  # too near for cheap ones
+    assert urgent_demand([near], {"batch": 90.0}, 64.0, 1.0, 1.0) == []  # but not late yet
 
 
 def test_spare_room_is_what_arrives_while_a_machine_boots() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -13,10 +13,11 @@
 import pytest
 from curio import socket
 
-from clayport import __version__, http, peerwire
-from clayport.api import Api
-from clayport.config import ConfigError, parse
-from clayport.server import Controller
+from clayport import __version__
+from clayport.controller import Controller
+from clayport.settings import ConfigError, parse
+from clayport.transport import frames, http
+from clayport.user_api import Api
 
 from .world import SETTINGS, TYPES, ZONES, State, World, job
 
@@ -320,7 +321,7 @@
         assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
         # No user is told before all who may renew a lease have acknowledged it.
         assert sorted(heard) == [
-            (label, peerwire.ENDED, ("j-000001", "cancelled")) for label in sorted(c.peers)
+            (label, frames.ENDED, ("j-000001", "cancelled")) for label in sorted(c.peers)
         ]
         assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
         assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
@@ -351,7 +352,7 @@
 def test_controller_without_the_state_service_lets_its_workers_go() -> None:
     """Peers act under a newer epoch that it can't see: kept workers would be
     silent to their new owners, who would have them returned."""
-    from clayport.membership import Epoch
+    from clayport.membership.epoch import Epoch
 
     handler, c = api()
     c.begin(Epoch(3, {"c0": c.incarnation}, 7))
@@ -368,8 +369,8 @@
     now = time.monotonic()
     assert ask() == 503  # the records have never been read here
     for peer in c.peers.values():
-        c.horizon.promised(peer.label, "a", now - 50, now - 50)
-    c.horizon.read(now)
+        c.watermark.promised(peer.label, "a", now - 50, now - 50)
+    c.watermark.read(now)
     assert ask() == 200
     peer = c.peers["c1"]
     peer.heard, peer.epoch, peer.state_ok = now, 4, True
@@ -387,21 +388,21 @@
         (now - 26, now - 30, 200),
         (now - 60, now, 503),
     ):
-        c.horizon.state_at = read
+        c.watermark.state_at = read
         for label in c.peers:
-            c.horizon.until[label] = -1e9
-            c.horizon.promised(label, "a", promised, promised)
+            c.watermark.until[label] = -1e9
+            c.watermark.promised(label, "a", promised, promised)
         assert ask() == status, (now - read, now - promised)
 
 
 def test_a_late_report_does_not_bring_a_returned_machine_back() -> None:
     """It was open for work again until its silence was noticed."""
-    from clayport.membership import Epoch
+    from clayport.membership.epoch import Epoch
 
     handler, c = api()
     c.begin(Epoch(3, {"c0": c.incarnation}, 7))
     c.serving, c.state_known = True, True
-    c.horizon.read(time.monotonic())
+    c.watermark.read(time.monotonic())
     raw = json.dumps(REPORT).encode()
     assert curio.run(handler.handle, "POST", "/v1/report", raw)[0] == 200
     assert "m1" in c.owner.machines
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -8,12 +8,12 @@
 import msgspec
 import pytest
 
-from clayport.index import Index
-from clayport.jobs import HomeJob
+from clayport.jobs.managed_job import ManagedJob
 from clayport.model import Chunk, Job
-from clayport.placement import Kept, Policy, Room, Spread, place
-from clayport.queueing import Line, Shares
-from clayport.queueing.line import IN_TIME, LATE, STARTS_LATE, STEP
+from clayport.scheduling.index import Index
+from clayport.scheduling.placement import Kept, Policy, Room, Spread, place
+from clayport.scheduling.queueing import JobQueue, Shares
+from clayport.scheduling.queueing.queue import IN_TIME, LATE, STARTS_LATE, STEP
 
 from .test_dispatch import Home
 from .world import job as wire_job
@@ -30,27 +30,27 @@
     """A line with jobs, in time that is set."""
 
     def __init__(self) -> None:
-        self.homes: dict[str, HomeJob] = {}
-        self.line = Line(
-            lambda: self.homes,
+        self.managed_jobs: dict[str, ManagedJob] = {}
+        self.queue = JobQueue(
+            lambda: self.managed_jobs,
             {"batch": (90.0, 150.0), "web": (60.0,)},
             {"web": 20.0},
             Shares({"batch": 45.0, "web": 20.0}, 100.0),
             {"due": (1.0, 2.0)},
         )
 
-    def add(self, job: Job, since: float = 0.0, rev: int = 1) -> HomeJob:
-        hj = self.homes[job.id] = HomeJob(job, rev, 50, since)
-        self.line.touch(job.id)
-        return hj
+    def add(self, job: Job, since: float = 0.0, rev: int = 1) -> ManagedJob:
+        managed = self.managed_jobs[job.id] = ManagedJob(job, rev, 50, since)
+        self.queue.touch(job.id)
+        return managed
 
     def order(self, now: float) -> list[str]:
-        self.line.catch_up(now)
+        self.queue.catch_up(now)
         return [
             name
-            for group in self.line.groups.values()
-            for lane in group.lanes.values()
-            for name in lane
+            for group in self.queue.groups.values()
+            for subqueue in group.subqueues.values()
+            for name in subqueue
         ]
 
 
@@ -80,13 +80,13 @@
 ) -> None:
     """Nothing is looked at for it: what is due is known beforehand."""
     waiting = Waiting()
-    hj = waiting.add(made(1, **fields))
+    managed = waiting.add(made(1, **fields))
     waiting.order(0.0)
-    hj.started = started
+    managed.started = started
     if started:
-        waiting.line.touch(hj.job.id)
+        waiting.queue.touch(managed.job.id)
     waiting.order(now)
-    assert waiting.line.marks[hj.job.id].band == band
+    assert waiting.queue.entries[managed.job.id].band == band
 
 
 def test_in_a_lane_who_can_be_in_time_goes_first_then_who_has_least_left() -> None:
@@ -102,7 +102,7 @@
     waiting = Waiting()
     for number, pieces in enumerate((400, 10, 40, 10)):
         waiting.add(made(number, pieces=pieces), 0.1 * number)
-    waiting.line.shares.note("other", made(9), 20, 0, 0.0)
+    waiting.queue.shares.note("other", made(9), 20, 0, 0.0)
     assert waiting.order(1.0) == ["j-000001", "j-000003", "j-000002", "j-000000"]
     assert waiting.order(70.0)[-1] == "j-000000"  # but it is not there for ever
     waiting.add(made(5, pieces=10), 76.0)
@@ -125,43 +125,45 @@
 def test_what_happens_to_a_job_shows_in_the_line(happens: str, waits: bool, fresh: bool) -> None:
     """A group is looked at again only when somebody has come or waits for more."""
     waiting = Waiting()
-    hj = waiting.add(made(1, pieces=8))
-    hj.load({})
-    hj.done = 2
+    managed = waiting.add(made(1, pieces=8))
+    managed.load({})
+    managed.done = 2
     waiting.order(0.0)
-    group = waiting.line.marks[hj.job.id].group
+    group = waiting.queue.entries[managed.job.id].group
     group.fresh = False
     if happens == "starts":
-        hj.starts = [(0, "m1")]
+        managed.starts = [(0, "m1")]
     elif happens in ("ended", "blocked"):
-        setattr(hj, happens, "done" if happens == "ended" else True)
+        setattr(managed, happens, "done" if happens == "ended" else True)
     elif happens == "rests":
-        hj.not_before = 5.0
+        managed.not_before = 5.0
     elif happens == "gone":
-        del waiting.homes[hj.job.id]
+        del waiting.managed_jobs[managed.job.id]
     elif happens != "nothing":
-        hj.done += 1 if happens == "a task is done" else -1
-    waiting.line.touch(hj.job.id)
-    assert (waiting.order(1.0) == [hj.job.id]) == waits
-    assert group.fresh == fresh and (hj.job.id in waiting.line.flying) == (happens == "starts")
+        managed.done += 1 if happens == "a task is done" else -1
+    waiting.queue.touch(managed.job.id)
+    assert (waiting.order(1.0) == [managed.job.id]) == waits
+    assert group.fresh == fresh and (managed.job.id in waiting.queue.in_flight) == (
+        happens == "starts"
+    )
     if happens == "starts":
         # It comes back: with what was left, or with what found no place after all.
         for pending, fresh in ((6, False), (7, True)):
-            hj.starts, hj.done = [], 8 - pending
-            waiting.line.touch(hj.job.id)
+            managed.starts, managed.done = [], 8 - pending
+            waiting.queue.touch(managed.job.id)
             other = waiting.add(made(2, pieces=8))
             waiting.order(1.0)
-            group = waiting.line.marks[other.job.id].group
+            group = waiting.queue.entries[other.job.id].group
             group.fresh = False
-            hj.starts = [(0, "m1")]
-            waiting.line.touch(hj.job.id)
+            managed.starts = [(0, "m1")]
+            waiting.queue.touch(managed.job.id)
             waiting.order(1.0)
-            hj.starts, hj.done = [], 8 - pending - int(fresh)
-            waiting.line.touch(hj.job.id)
+            managed.starts, managed.done = [], 8 - pending - int(fresh)
+            waiting.queue.touch(managed.job.id)
             waiting.order(1.0)
             assert group.fresh == fresh
     if happens == "rests":
-        assert waiting.order(5.0) == [hj.job.id]
+        assert waiting.order(5.0) == [managed.job.id]
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -171,7 +173,7 @@
     waiting, now = Waiting(), 0.0
     for number in range(400):
         now += rng.uniform(0.0, 2.0)
-        if rng.random() < 0.5 or not waiting.homes:
+        if rng.random() < 0.5 or not waiting.managed_jobs:
             waiting.add(
                 made(
                     number,
@@ -184,36 +186,38 @@
                 number,
             )
         else:
-            hj = waiting.homes[rng.choice(sorted(waiting.homes))]
+            managed = waiting.managed_jobs[rng.choice(sorted(waiting.managed_jobs))]
             what = rng.random()
             if what < 0.3:
-                hj.starts = [] if hj.starts else [(0, "m")]
+                managed.starts = [] if managed.starts else [(0, "m")]
             elif what < 0.5:
-                hj.done = min(hj.job.tasks, hj.done + 1)
+                managed.done = min(managed.job.tasks, managed.done + 1)
             elif what < 0.6:
-                hj.started = True
+                managed.started = True
             elif what < 0.7:
-                hj.not_before = now + 3.0
+                managed.not_before = now + 3.0
             elif what < 0.8:
-                hj.job = msgspec.structs.replace(hj.job, priority="high")
+                managed.job = msgspec.structs.replace(managed.job, priority="high")
             else:
-                del waiting.homes[hj.job.id]
-            waiting.line.touch(hj.job.id)
+                del waiting.managed_jobs[managed.job.id]
+            waiting.queue.touch(managed.job.id)
         found = waiting.order(now)
         true = {
             n
-            for n, hj in waiting.homes.items()
-            if hj.pending > 0 and not hj.starts and hj.not_before <= now
+            for n, managed in waiting.managed_jobs.items()
+            if managed.pending > 0 and not managed.starts and managed.not_before <= now
         }
         assert len(found) == len(set(found)) and set(found) == true
-        for name, mark in waiting.line.marks.items():
-            assert mark.band == waiting.line.standing(waiting.homes[name], now)[0]
-            assert mark.group is waiting.line.groups[waiting.homes[name].group]
+        for name, mark in waiting.queue.entries.items():
+            assert mark.band == waiting.queue.standing(waiting.managed_jobs[name], now)[0]
+            assert mark.group is waiting.queue.groups[waiting.managed_jobs[name].group]
         running = sum(
-            a.waiting for (kind, _, _), a in waiting.line.shares.accounts.items() if kind == "class"
+            a.waiting
+            for (kind, _, _), a in waiting.queue.shares.accounts.items()
+            if kind == "class"
         )
         assert running == pytest.approx(
-            sum(hj.pending * hj.job.cpus for hj in waiting.homes.values())
+            sum(managed.pending * managed.job.cpus for managed in waiting.managed_jobs.values())
         )
 
 
@@ -230,13 +234,13 @@
         home.wait(made(number, vcpus=8.0, due_s=1000.0))
     home.look()
     looked = []
-    place_ = home.c.placer.line._place
+    place_ = home.c.placer.queue._place
     monkeypatch.setattr(
-        home.c.placer.line, "_place", lambda *args: looked.append(args[0]) or place_(*args)
+        home.c.placer.queue, "_place", lambda *args: looked.append(args[0]) or place_(*args)
     )
-    standing = home.c.placer.line.standing
+    standing = home.c.placer.queue.standing
     monkeypatch.setattr(
-        home.c.placer.line, "standing", lambda *args: looked.append("") or standing(*args)
+        home.c.placer.queue, "standing", lambda *args: looked.append("") or standing(*args)
     )
     home.report("m1", "north", "plain", f"{busy.id}/0", f"{busy.id}/1")
     home.c.placer._pass(home.now)
@@ -305,11 +309,11 @@
     assert 0 < shares.owed(50.0)["class", False, "low"].floor <= most + 1e-6
 
 
-def flooded(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, HomeJob]:
+def flooded(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, ManagedJob]:
     """A fleet that runs nothing but a flood of a higher rank, and more of it waits."""
     home = Home(monkeypatch)
     home.c.finish_limits["low"] = 60.0
-    home.c.placer.line.shares.bears = {"low": 30.0}
+    home.c.placer.queue.shares.bears = {"low": 30.0}
     home.c.aimed.add("low")
     flood = home.wait(made(1, pieces=400, due_s=1000.0, guess_s=50.0))
     flood.load({})
@@ -359,7 +363,7 @@
     low.since -= 25.0
     home.look()
     assert not home.c.owner.machines["m0"].kills
-    home.c.placer.line.shares.bears = {"low": 1e9}  # nobody is owed anything
+    home.c.placer.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
     home.now += home.c.ttl_s
     home.look()
     assert home.c.owner.machines["m0"].kills
--- a/tests/test_quota_portions.py
+++ b/tests/test_quota_portions.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from clayport import quota_portions
-from clayport.quota_portions import (
+from clayport.scheduling import quota_portions
+from clayport.scheduling.quota_portions import (
     Amount,
     Grant,
     Ledger,
@@ -57,7 +57,7 @@
     grants: tuple[Pair, ...]
     portions: tuple[Pair, ...]
     seen: tuple[Seen, ...]
-    flying: frozenset[Transaction] = frozenset()
+    in_flight: frozenset[Transaction] = frozenset()
 
     def ledger(self) -> Ledger:
         """The ledger's record."""
@@ -92,7 +92,7 @@
     def sends(self, state: State) -> Iterator[State]:
         """A process sends what it would by what it has seen, where that can still be applied."""
         for process, holder in enumerate(self.processes):
-            if sum(t.process == process for t in state.flying) >= FLYING_MOST:
+            if sum(t.process == process for t in state.in_flight) >= FLYING_MOST:
                 continue
             seen = state.seen[process]
             portion = Portion(Amount(seen.portion[0]), seen.portion[1])
@@ -106,7 +106,7 @@
                         rows = [ledger.grant(str(h)) for h in range(len(state.grants))]
                         value = tuple((row.amount.cpus, row.sequence) for row in rows)
                         sent = Transaction(process, LEDGER, value)
-                        yield state._replace(flying=state.flying | {sent})
+                        yield state._replace(in_flight=state.in_flight | {sent})
             if seen.portion_current:
                 grant = Grant(Amount(seen.grant[0]), seen.grant[1])
                 lower = [
@@ -116,15 +116,15 @@
                 for after in (raised(portion, grant), *lower):
                     if after is not None:
                         sent = Transaction(process, holder, ((after.amount.cpus, after.sequence),))
-                        yield state._replace(flying=state.flying | {sent})
+                        yield state._replace(in_flight=state.in_flight | {sent})
 
     def applies(self, state: State) -> Iterator[State]:
         """One of those on their way is carried out; all others for its record are void."""
-        for sent in state.flying:
-            flying = frozenset(t for t in state.flying if t.record != sent.record)
+        for sent in state.in_flight:
+            in_flight = frozenset(t for t in state.in_flight if t.record != sent.record)
             if sent.record == LEDGER:
                 seen = tuple(s._replace(ledger_current=False) for s in state.seen)
-                yield state._replace(grants=sent.value, seen=seen, flying=flying)
+                yield state._replace(grants=sent.value, seen=seen, in_flight=in_flight)
             else:
                 portions = list(state.portions)
                 (portions[sent.record],) = sent.value
@@ -132,16 +132,16 @@
                     s._replace(portion_current=s.portion_current and holder != sent.record)
                     for s, holder in zip(state.seen, self.processes)
                 )
-                yield state._replace(portions=tuple(portions), seen=seen, flying=flying)
+                yield state._replace(portions=tuple(portions), seen=seen, in_flight=in_flight)
 
     def limit_changes(self, state: State) -> Iterator[State]:
         """The limit is changed, which voids all others that write the ledger."""
         for limit in self.limits:
             changed = limit_changed(state.ledger(), Limit(limit))
             if changed is not None:
-                flying = frozenset(t for t in state.flying if t.record != LEDGER)
+                in_flight = frozenset(t for t in state.in_flight if t.record != LEDGER)
                 seen = tuple(s._replace(ledger_current=False) for s in state.seen)
-                yield state._replace(limit=limit, seen=seen, flying=flying)
+                yield state._replace(limit=limit, seen=seen, in_flight=in_flight)
 
     def steps(self, state: State) -> Iterator[State]:
         """All states that follow within the bound."""
@@ -207,7 +207,7 @@
 
     def applies(self, state: State) -> Iterator[State]:
         for after in super().applies(state):
-            yield after._replace(flying=state.flying)
+            yield after._replace(in_flight=state.in_flight)
 
 
 def raised_always(portion: Portion, grant: Grant) -> Portion | None:
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -23,7 +23,7 @@
 import curio
 import pytest
 
-from clayport import http as ours
+from clayport.transport import http as ours
 
 from .test_program import GOOD
 from .world import State, World
@@ -157,7 +157,7 @@
 @LOOPBACK
 def test_an_address_that_is_still_held_is_waited_for() -> None:
     """It ended at once, and its users saw one end more."""
-    from clayport.listen import listener
+    from clayport.transport.listen import listener
 
     async def main() -> tuple[bool, bool]:
         held = socket.socket()
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from clayport.refresh import Asc
+from clayport.scheduling.refresh import AdaptiveInterval
 
 
 @pytest.mark.parametrize(
@@ -19,13 +19,13 @@
     ],
 )
 def test_step(placed: int, declined: int, expected: float) -> None:
-    asc = Asc(10.0, 1.0, 60.0)
+    asc = AdaptiveInterval(10.0, 1.0, 60.0)
     asc.count(placed, declined)
     assert asc.step() == pytest.approx(expected)
 
 
 def test_bounds() -> None:
-    asc = Asc(10.0, 1.0, 60.0)
+    asc = AdaptiveInterval(10.0, 1.0, 60.0)
     for _ in range(10):
         asc.count(0, 100)
         asc.step()
@@ -36,7 +36,7 @@
 
 
 def test_sparse_window_is_carried_over() -> None:
-    asc = Asc(10.0, 1.0, 60.0)
+    asc = AdaptiveInterval(10.0, 1.0, 60.0)
     for _ in range(4):
         asc.count(4, 1)
         asc.step()
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from clayport import jobs
-from clayport.jobs import live_key
+from clayport.jobs import managed_job
+from clayport.jobs.managed_job import live_key
 from clayport.model import Job
 
 from .test_program import api
@@ -123,7 +123,7 @@
         key = live_key(value["id"])
         txn = {"when": [], "writes": [{"write": key, "data": {"j": stored, "t": 1.0}}]}
         await c.store.client.request("POST", "/commit", json.dumps(txn).encode(), 1.0)
-        c.mirror._put(key, {"j": stored, "t": 1.0}, 2)
+        c.record_replica._put(key, {"j": stored, "t": 1.0}, 2)
         assert value["id"] in c.live
         return int((await handler.handle("POST", "/api/jobs", json.dumps(value).encode()))[0])
 
@@ -194,7 +194,7 @@
 ) -> None:
     handler, c = api()
     c.types = msgspec.convert(types, list[type(c.types[0])])  # type: ignore[misc]
-    assert jobs.can_be_placed(msgspec.convert(job(1, **fields), Job), c.types) == ok
+    assert managed_job.can_be_placed(msgspec.convert(job(1, **fields), Job), c.types) == ok
     assert submit(handler, json.dumps(job(1, **fields)).encode()) == (201 if ok else 422)
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from clayport import peerwire
-from clayport.membership import Epoch
+from clayport.membership.epoch import Epoch
 from clayport.model import Job
-from clayport.provisioning import Arrivals
+from clayport.scaling.provisioning import Arrivals
+from clayport.transport import frames
 
 from .test_dispatch import Home
 from .world import job as wire_job
@@ -34,23 +34,23 @@
             *(f"{busy.id}/{4 * n + k}" for k in range(4)),
         )
     home.c.serving = True
-    whole = home.c.picture.table(0, [])
+    whole = home.c.cached_state.table(0, [])
     assert whole[2] and len(whole[4]) == MACHINES
-    assert len(peerwire.encode(peerwire.TABLE, 1, whole)) < peerwire.MAX_BODY
+    assert len(frames.encode(frames.TABLE, 1, whole)) < frames.MAX_BODY
     before = owner.room_rev
     for n in range(0, MACHINES, 2):
         home.report(f"m{n}", "north", "plain", f"{busy.id}/{4 * n}")
     changed = owner.changed(before)
     assert changed is not None and len(changed) == (MACHINES + 1) // 2
-    assert len(home.c.picture.table(before, [])[4]) == (MACHINES + 1) // 2
+    assert len(home.c.cached_state.table(before, [])[4]) == (MACHINES + 1) // 2
     for n in range(MACHINES):
         home.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
     home.look()
-    assert len(home.c.placer.line.marks) == MACHINES
+    assert len(home.c.placer.queue.entries) == MACHINES
     rows = home.c.placer.demand()
     assert {row[0] for row in rows} == {f"j-{10 + n:06d}" for n in range(len(rows))}
     frame = (home.c.label, 1, True, owner.room_rev, rows)
-    assert len(peerwire.encode(peerwire.PING, 1, frame)) < peerwire.MAX_BODY
+    assert len(frames.encode(frames.PING, 1, frame)) < frames.MAX_BODY
 
 
 def test_places_of_more_than_are_remembered_are_the_same() -> None:
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -13,7 +13,7 @@
 from clayport.cli import main
 from clayport.rebuild import commands, files
 from clayport.rebuild.files import Header, Log, Row, SnapshotError, newest, read_base, write_base
-from clayport.statestore import StateStore
+from clayport.records.store import StateStore
 
 from .test_model import JOBS
 from .world import Clock, World, job, simulate
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
-from clayport.membership import TOKEN_COUNTER_BITS, Epoch, rendezvous, should_leave, successor
-from clayport.model import Job, MachineType, Piece, Report
-from clayport.workers import Owner
+from clayport.machines.table import MachineTable
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, rendezvous, should_leave, successor
+from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
 
 from .world import TYPES
 from .world import job as wire_job
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
         self.over: set[str] = set()  # jobs that are known to be cancelled
-        self.owner = Owner(
+        self.owner = MachineTable(
             lambda j: JOB if j == JOB.id else None,
             self.over.__contains__,
             lambda j, e: self.events.append(e),
@@ -45,7 +45,7 @@
     ) -> bool:
         self.seq += 1
         known = self.owner.machines.get("m1")
-        report = Report(
+        report = WorkerHeartbeat(
             "m1",
             "m1:1",
             "plain",
@@ -54,7 +54,7 @@
             session,
             self.seq if seq is None else seq,
             (known.token if known else 0) if token is None else token,
-            [Piece(k[0], k[1], s, w) for k, s, w in tasks],
+            [ReportedTask(k[0], k[1], s, w) for k, s, w in tasks],
             notice,
         )
         return self.owner.take_report(report, float(self.seq), True) is not None
@@ -202,7 +202,7 @@
     b.report()
     b.launch()
     token = b.machine.token + raised_by
-    report = Report("m1", "m1:1", "plain", "north", False, 1, 99, token, [])
+    report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, 1, 99, token, [])
     assert b.owner.entitled(report) == entitled
     if entitled:
         b.owner.take_report(report, 1.0, True)
@@ -230,7 +230,7 @@
 ) -> None:
     b = Bench()
     for seq, (session, reported) in enumerate(reports, 1):
-        report = Report("m1", "m1:1", "plain", "north", False, session, seq, 1, [])
+        report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, session, seq, 1, [])
         b.owner.take_report(report, float(seq), reported)
     assert b.owner.open(b.machine) == open_ == b.owner.room(b.machine).open
 
@@ -241,7 +241,7 @@
     b.report(RUN)
     token = b.machine.token
     b.owner.begin(Epoch(4, {"c0": "x"}, 9), "c0")
-    assert b.machine.token > token and not b.machine.fenced and not b.machine.want
+    assert b.machine.token > token and not b.machine.fenced and not b.machine.desired
     b.owner.begin(Epoch(5, {"c1": "y"}, 10), "c0")
     assert b.owner.machines == {}
 
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -7,10 +7,10 @@
 
 import curio
 
-from clayport import http, peers, peerwire
-from clayport.config import parse
-from clayport.server import Controller
-from clayport.workers import GONE
+from clayport.controller import Controller
+from clayport.machines.table import GONE
+from clayport.settings import parse
+from clayport.transport import frames, http, peers
 
 from .settings import SETTINGS, ZONES
 
@@ -63,28 +63,28 @@
 
         c.owner.emit = checked
         if label in self.old:
-            c.mirror.count_versions = lambda: None  # type: ignore[method-assign]
+            c.record_replica.count_versions = lambda: None  # type: ignore[method-assign]
         self.controllers[label] = c
         self.routines[label] = await curio.spawn(self._run(c), daemon=True)
 
     def _link(self, label: str, peer: peers.Peer) -> None:
         async def call(kind: int, values: tuple[Any, ...], timeout_s: float | None = None) -> Any:
-            frame = peerwire.encode(kind, 1, values)
-            kind, _, _ = peerwire.decode_header(frame[: peerwire.HEADER.size])
-            body = peerwire.decode_body(kind, frame[peerwire.HEADER.size :])
+            frame = frames.encode(kind, 1, values)
+            kind, _, _ = frames.decode_header(frame[: frames.HEADER.size])
+            body = frames.decode_body(kind, frame[frames.HEADER.size :])
 
             async def serve() -> Any:
                 other = self.controllers.get(peer.label)
                 if other is None:
                     raise http.NotSentError("refused")
                 reply, answer = await other.peer_requests.answer(kind, body)
-                raw = peerwire.encode(reply, 1, answer)
-                return peerwire.decode_body(reply, raw[peerwire.HEADER.size :])
+                raw = frames.encode(reply, 1, answer)
+                return frames.decode_body(reply, raw[frames.HEADER.size :])
 
             try:
                 async with curio.timeout_after(timeout_s or 1.0):
                     answer = await self._exchange(label, peer.label, serve, timeout_s or 1.0, True)
-                if peerwire.decode_header(frame[: peerwire.HEADER.size])[0] in self.doubled:
+                if frames.decode_header(frame[: frames.HEADER.size])[0] in self.doubled:
                     # Sent twice, since the first was long without an answer.
                     await curio.spawn(self._later(serve), daemon=True)
             except (http.NoAnswerError, curio.TaskTimeout) as exc:
--- a/tests/world/deployment.py
+++ b/tests/world/deployment.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from clayport.server import Controller
+from clayport.controller import Controller
 
 from .cloud import Cloud
 from .controllers import Controllers
--- a/tests/world/machine.py
+++ b/tests/world/machine.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from clayport import http
+from clayport.transport import http
 
 from .settings import TYPES
 
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -8,7 +8,7 @@
 
 import curio
 
-from clayport import http
+from clayport.transport import http
 
 from .machine import Worker
 from .settings import SETTINGS
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -11,7 +11,7 @@
 import curio
 import msgspec
 
-from clayport import http
+from clayport.transport import http
 
 FINAL = ("done", "cancelled")
 # Once troubles are over, so long may all questions about a job fail.
