--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,353 @@
+"""What the versions before have stored and sent is read, and is written the same.
+
+`data/` holds what the version before wrote in a simulated day with a rebuild, a cancelled
+pipeline and limits that are to be lowered, and by hand where no day comes to it:
+
+- `records.json`: all records of one moment, each with its revision;
+- `records_without_times.json`: the form that the first versions gave to live and final records;
+- `end_cut_down.json`: a final record, and the same where values may be no longer than 0.3 KiB;
+- `lineages.json`: heads of histories, while they are rebuilt, when whole, and restored by hand;
+- `snapshot/`, `snapshot_header.json`, `snapshot_changes.json`: a base of `records.json` with a
+  log, the base's header, and what was appended to the log, block by block;
+- `evidence.bin`, `evidence.json`: a controller's evidence, packed and plain;
+- `frames.txt`: one frame of each kind between controllers, its kind and its bytes in hex.
+
+None of it is ever changed to suit the code: other controllers and disks hold the same.
+"""
+
+from __future__ import annotations
+
+import json
+import zlib
+from pathlib import Path
+from typing import Any
+
+import curio
+import msgspec
+import pytest
+
+from clayport import jobs, peerwire
+from clayport.membership import Generation
+from clayport.model import Chunk, Description, Job
+from clayport.rebuild import evidence, files, history
+from clayport.rebuild.merge import merge
+from clayport.rebuild.recorder import remembered
+
+from .world import Clock, World, simulate
+
+DATA = Path(__file__).parent / "data"
+
+
+def load(name: str) -> Any:
+    return json.loads((DATA / name).read_text())
+
+
+RECORDS: dict[str, tuple[Any, int]] = {k: (v, rev) for k, (v, rev) in load("records.json").items()}
+LINEAGE = RECORDS["c/lineage"][0]
+WITHOUT_TIMES: dict[str, Any] = load("records_without_times.json")
+FRAMES = {
+    int(kind): bytes.fromhex(raw)
+    for kind, raw in map(str.split, (DATA / "frames.txt").read_text().splitlines())
+}
+
+
+def values(prefix: str) -> dict[str, Any]:
+    """The records under a prefix without its anchor, by the rest of their keys."""
+    found = {
+        key[len(prefix) :]: value
+        for key, (value, _) in RECORDS.items()
+        if key.startswith(prefix) and "/~" not in key
+    }
+    assert found
+    return found
+
+
+def same_text(written: Any, stored: Any) -> None:
+    """Equal as JSON, with the types of the numbers and the order of the fields."""
+    assert msgspec.json.encode(written) == msgspec.json.encode(stored)
+
+
+# -- records -----------------------------------------------------------------------
+
+
+def test_the_data_hold_a_record_of_every_kind() -> None:
+    kinds = {key.rpartition("/")[0].removesuffix("/").split("/j-")[0] for key in RECORDS}
+    assert kinds == {"c", "c/node", "c/version", "c/class", "c/live", "run", "end", "quota"}
+    assert {"c/generation", "c/lineage"} <= set(RECORDS)
+    assert {tuple(sorted(end)) for end in values("end/").values()} == {("s", "t"), ("j", "s", "t")}
+    assert {"." in key for key in values("run/")} == {False, True}
+    assert any(chunk["a"] for chunk in values("run/").values())
+    assert any(chunk["d"] for chunk in values("run/").values())
+
+
+def test_a_generation_is_read_and_written_the_same() -> None:
+    value, rev = RECORDS[jobs.GENERATION_KEY]
+    generation = Generation.parse(value, rev)
+    assert generation.number == value["number"] and generation.rev == rev
+    assert generation.members == value["members"]
+    same_text(generation.value(), value)
+
+
+def test_live_records_are_read_and_written_the_same() -> None:
+    for name, value in values("c/live/").items():
+        job = msgspec.convert(value["j"], Job)
+        assert job.id == name and jobs.live_key(job.id) == f"c/live/{name}"
+        same_text(jobs.live_value(job, value["t"]), value)
+
+
+def test_a_description_s_fields_have_their_meaning() -> None:
+    job = msgspec.convert(values("c/live/")["j-000024"]["j"], Description)
+    assert (job.job_class, job.team, job.kind, job.priority) == ("train", "tight", "sweep", "high")
+    assert (job.tasks, job.cpus, job.gpus, job.memory_gb) == (2, 4.0, 2.0, 4.0)
+    assert (job.image, job.image_gb, job.types, job.zone) == ("img-1", 1.0, ["accel"], None)
+    assert (job.one_zone, job.spread, job.spot) == (False, False, True)
+    assert (job.estimate_s, job.checkpoint_s, job.save_s) == (8.0, 20.0, 4.0)
+    later = msgspec.convert(values("c/live/")["j-000021"]["j"], Description)
+    assert (later.deadline_s, later.prereqs) == (300.0, ["j-000000"])
+
+
+def test_classes_are_read_and_written_the_same() -> None:
+    for name, value in values("c/class/").items():
+        job = msgspec.convert(value["j"], Job)
+        assert job.job_class == name
+        same_text({"j": msgspec.to_builtins(job)}, value)
+
+
+def test_chunks_are_read_and_written_the_same() -> None:
+    for rest, value in values("run/").items():
+        key = f"run/{rest}"
+        job, size, index = jobs.parse_chunk_key(key)
+        assert jobs.chunk_key(job, index, size) == key
+        chunk = Chunk.parse(value, 7)
+        assert chunk.rev == 7 and chunk.last_attempt == value["n"]
+        assert chunk.assigned == {n: (attempt, machine) for n, attempt, machine in value["a"]}
+        assert chunk.done == {n for first, last in value["d"] for n in range(first, last + 1)}
+        same_text(chunk.value(), value)
+
+
+def test_final_records_are_read_and_written_the_same() -> None:
+    for name, value in values("end/").items():
+        assert jobs.end_key(name) == f"end/{name}"
+        status, at = jobs.ended(value)
+        assert (status, at) == (value["s"], value["t"]) and at is not None
+        same_text(jobs.end_value(status, at, value.get("j")), value)
+
+
+def test_a_final_record_is_cut_down_the_same() -> None:
+    ends = load("end_cut_down.json")
+    assert jobs.fitted(ends["whole"], 0.3) == ends["cut_down"] != ends["whole"]
+    assert jobs.ended(ends["cut_down"]) == ("cancelled", ends["whole"]["t"])
+
+
+def test_quotas_are_read_and_written_the_same() -> None:
+    for team, value in values("quota/").items():
+        assert jobs.quota_key(team) == f"quota/{team}"
+        assert jobs.quota_of(value) == (value["c"], value["g"])
+    others = {k: v for k, v in RECORDS.items() if k.startswith(("c/live/", "end/", "run/"))}
+    limits = {team: (1000.0, 1000.0) for team in values("quota/")}
+    said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
+    written = merge(others, {"c0": said}, (), limits, 1000).changes
+    for team, value in values("quota/").items():
+        same_text(written[jobs.quota_key(team)], value)
+
+
+def test_anchors_are_written_the_same() -> None:
+    anchors = {key: value for key, (value, _) in RECORDS.items() if history.is_anchor(key)}
+    name = LINEAGE["id"]
+    assert set(anchors) == {history.anchor_key(prefix, name) for prefix in history.PREFIXES}
+    for value in anchors.values():
+        same_text(history.anchor_value(name), value)
+
+
+def test_what_is_restored_from_the_records_is_the_same() -> None:
+    """Read as evidence and merged into nothing; who holds what is left to the machines."""
+    said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
+    assert said.generation == RECORDS[jobs.GENERATION_KEY][0]["number"]
+    assert said.members == RECORDS[jobs.GENERATION_KEY][0]["members"]
+    assert said.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
+    written = merge({}, {"c0": said}, (), {}, 1000).changes
+    for prefix in ("c/live/", "c/version/", "c/class/"):
+        for rest, value in values(prefix).items():
+            same_text(written[prefix + rest], value)
+    for name, value in values("end/").items():
+        assert said.ended[name] == (value["s"], value["t"], value.get("j"))
+        same_text(written[f"end/{name}"], {"s": value["s"], "t": value["t"]})
+
+
+def test_records_of_the_first_versions_are_read() -> None:
+    live, end = sorted(WITHOUT_TIMES)
+    assert "t" not in WITHOUT_TIMES[live] and "t" not in WITHOUT_TIMES[end]
+    assert jobs.ended(WITHOUT_TIMES[end]) == ("done", None)
+    found = files.Found(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
+    said = remembered(found, "c0")
+    assert said.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
+    written = merge({}, {"c0": said}, (), {}, 1000).changes
+    same_text(written[end], WITHOUT_TIMES[end])
+
+
+# -- controllers that find the records ---------------------------------------------
+
+
+# Controllers serve once they have asked all machines, or given them up.
+PATIENCE_S = 120.0
+
+
+async def begun_with(clock: Clock, records: dict[str, tuple[Any, int]], label: str = "") -> World:
+    """Controllers (one alone, if it is named) begin with records that are there already."""
+    world = World(clock, 3, rebuild=True)
+    world.state.keys = {key: (value, rev, None) for key, (value, rev) in records.items()}
+    world.state.rev = max(rev for _, rev in records.values())
+    for each in [label] if label else world.labels:
+        await world.start(each)
+    end = clock() + PATIENCE_S
+    while clock() < end and not all(c.serving and c.nodes for c in world.controllers.values()):
+        await curio.sleep(0.5)
+    return world
+
+
+def test_controllers_take_up_the_records(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = simulate(monkeypatch, lambda clock: begun_with(clock, RECORDS))
+    stored = {key: value for key, (value, _, _) in world.state.keys.items()}
+    for key, (value, rev) in RECORDS.items():
+        if key.startswith(("c/version/", "c/class/", "c/live/", "end/")) and "/~" not in key:
+            assert world.state.keys[key] == (value, rev, None)
+    assert stored["c/generation"]["number"] > RECORDS["c/generation"][0]["number"]
+    assert set(stored["c/generation"]) == set(RECORDS["c/generation"][0])
+    assert stored["c/lineage"]["n"] == LINEAGE["n"] + 1
+    assert set(stored["c/lineage"]) == set(LINEAGE) and stored["c/lineage"]["state"] == "whole"
+    assert len([key for key in stored if history.is_anchor(key)]) == len(history.PREFIXES)
+    for label, controller in world.controllers.items():
+        assert stored[f"c/node/{label}"] == {"inc": controller.incarnation}
+        assert set(controller.live) == set(values("c/live/"))
+        assert set(controller.classes) == set(values("c/class/"))
+        for other, value in values("c/version/").items():
+            assert controller.versions[other][0] == value["format"]
+    homes = {n: hj for c in world.controllers.values() for n, hj in c.dispatch.homes.items()}
+    for rest, value in values("run/").items():
+        name, size, index = jobs.parse_chunk_key(f"run/{rest}")
+        if name in homes:
+            assert homes[name].layout == size
+            chunk = homes[name].chunks[index]
+            assert chunk.done >= Chunk.parse(value, 1).done and chunk.last_attempt >= value["n"]
+    assert set(homes) >= set(values("c/live/"))
+
+
+def test_controllers_write_versions_and_classes_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
+    left = {k: row for k, row in RECORDS.items() if not k.startswith(("c/version/", "c/class/"))}
+    world = simulate(monkeypatch, lambda clock: begun_with(clock, left))
+    stored = {key: value for key, (value, _, _) in world.state.keys.items()}
+    for label, value in values("c/version/").items():
+        same_text(stored[f"c/version/{label}"], value)
+    described = [value["j"] for value in values("c/live/").values()]
+    for name, value in values("c/class/").items():
+        assert set(stored[f"c/class/{name}"]) == set(value) == {"j"}
+        assert stored[f"c/class/{name}"]["j"]["jobclass"] == name
+        assert stored[f"c/class/{name}"]["j"] in described
+
+
+def test_a_controller_alone_reads_who_else_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = simulate(monkeypatch, lambda clock: begun_with(clock, RECORDS, "c0"))
+    controller = world.controllers["c0"]
+    for label in ("c1", "c2"):
+        assert controller.nodes[label] == values("c/node/")[label]["inc"]
+
+
+@pytest.mark.parametrize("lineage", load("lineages.json"), ids=lambda value: value["state"])
+def test_a_history_s_head_is_read(monkeypatch: pytest.MonkeyPatch, lineage: Any) -> None:
+    """Whoever finds it with nobody there rebuilds, and the next number is written."""
+    rev = RECORDS["c/lineage"][1]
+    records = {key: row for key, row in RECORDS.items() if not key.startswith("c/~")}
+    records["c/lineage"] = (lineage, rev)
+    records[f"c/~{lineage['id']}"] = (history.anchor_value(lineage["id"]), rev)
+    world = simulate(monkeypatch, lambda clock: begun_with(clock, records))
+    head = world.state.keys["c/lineage"][0]
+    assert list(head) == ["id", "n", "state", "by"] == list(lineage)
+    assert head["n"] == lineage["n"] + 1 and head["state"] == "whole"
+    assert head["by"] in world.labels and head["id"] != lineage["id"]
+
+
+# -- frames ------------------------------------------------------------------------
+
+
+def test_the_data_hold_a_frame_of_every_kind() -> None:
+    assert set(FRAMES) == set(peerwire.SCHEMAS)
+
+
+@pytest.mark.parametrize("kind", FRAMES)
+def test_a_frame_is_read_and_written_the_same(kind: int) -> None:
+    raw = FRAMES[kind]
+    head, body = raw[: peerwire.HEADER.size], raw[peerwire.HEADER.size :]
+    found, number, size = peerwire.decode_header(head)
+    assert (found, size) == (kind, len(body))
+    fields = peerwire.decode_body(kind, body)
+    assert len(fields) == len(peerwire.SCHEMAS[kind])
+    assert peerwire.encode(kind, number, fields) == raw
+
+
+def test_frames_hold_what_was_sent() -> None:
+    sent = {
+        peerwire.PING: (
+            "c0",
+            2,
+            True,
+            41,
+            [("j-000005", 3, 1.25, "north"), ("j-000022", 4, 0.5, "")],
+        ),
+        peerwire.FENCE: (4, "i-000010", "i-000010:9000"),
+        peerwire.INSPECT: ("i-000010", "i-000010:9000"),
+        peerwire.MOVE: (4, "j-000001", 1, "i-000003", True),
+        peerwire.EVACUATE: (4, "i-000010", True),
+        peerwire.PREEMPT: (2, "i-000008", "j-000005", 3, 4.5, [("tight",), ("free",)]),
+        peerwire.ENDED: ("j-000022", "cancelled"),
+    }
+    for kind, fields in sent.items():
+        assert peerwire.decode_body(kind, FRAMES[kind][peerwire.HEADER.size :]) == fields
+
+
+# -- snapshots and evidence --------------------------------------------------------
+
+
+def header(kind: str = "base") -> files.Header:
+    return msgspec.convert({**load("snapshot_header.json"), "kind": kind}, files.Header)
+
+
+def changes() -> list[list[files.Row]]:
+    return [[files.Row(*row) for row in block] for block in load("snapshot_changes.json")]
+
+
+def test_a_base_is_read_and_written_the_same(tmp_path: Path) -> None:
+    path = DATA / "snapshot" / files.name_of(header())
+    assert files.read_base(path) == (header(), RECORDS)
+    written = files.write_base(tmp_path, header(), files.rows_of(RECORDS))
+    assert written.name == path.name and written.read_bytes() == path.read_bytes()
+
+
+def test_a_log_is_read() -> None:
+    expected = dict(RECORDS)
+    for row in (row for block in changes() for row in block):
+        if row.value is None:
+            del expected[row.key]
+        else:
+            expected[row.key] = (row.value, row.rev)
+    found = files.newest(DATA / "snapshot", header().labels)
+    assert found.refused == [] and found.header == header()
+    assert found.records == expected != RECORDS
+    assert found.rev == max(row.rev for block in changes() for row in block)
+
+
+def test_a_log_is_written_the_same(tmp_path: Path) -> None:
+    log = files.Log(tmp_path, header("log"))
+    for block in changes():
+        log.append(block)
+    log.close()
+    stored = DATA / "snapshot" / log.path.name
+    assert log.path.read_bytes() == stored.read_bytes()
+
+
+def test_evidence_is_unpacked_and_packed_the_same() -> None:
+    """Compared unpacked: how well zlib compresses differs between its versions."""
+    raw = (DATA / "evidence.bin").read_bytes()
+    found = evidence.unpack([raw])
+    assert json.loads(msgspec.json.encode(found)) == load("evidence.json")
+    assert found.remembered is not None and found.chunks and found.machines and found.ended
+    assert zlib.decompress(b"".join(evidence.pack(found))) == zlib.decompress(raw)
