--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -18,8 +18,8 @@
 import pytest
 
 from bench.rebuild_day import STATE, furnish
-from clayport.jobs.managed_job import chunk_key, live_key
-from clayport.model import Chunk
+from clayport.records.chunk import Chunk
+from clayport.records.keys import chunk_key, live_key
 from clayport.scaling.renting import Provisioner
 from tests import world as simulated
 from tests.world import Clock, job, simulate
--- a/bench/rebuild.py
+++ b/bench/rebuild.py
@@ -19,13 +19,14 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import chunk_key, live_key
 from clayport.membership.epoch import rendezvous
-from clayport.model import Chunk, Job
+from clayport.model import Job
 from clayport.rebuild import files
 from clayport.rebuild.evidence import Evidence, only_news, pack, unpack
 from clayport.rebuild.merge import merge
 from clayport.rebuild.plan import transactions
+from clayport.records.chunk import Chunk
+from clayport.records.keys import chunk_key, live_key
 
 
 def description(number: int) -> dict[str, Any]:
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -22,8 +22,8 @@
 import curio
 import pytest
 
-from clayport.jobs.managed_job import chunk_key, live_key, quota_key
-from clayport.model import Chunk
+from clayport.records.chunk import Chunk
+from clayport.records.keys import chunk_key, live_key, quota_key
 from tests.world import SETTINGS, Clock, World, job, simulate
 
 STATE = {"rps": 700.0, "write_rps": 300.0, "value_kb": 32.0, "txn_ops": 32}
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -23,9 +23,11 @@
 from clayport.membership.heartbeats import Heartbeats
 from clayport.membership.registration import MembershipDuties
 from clayport.membership.stalls import StallDetector
-from clayport.model import SERVICE, Description, Job, MachineType, chunk_size
+from clayport.model import SERVICE, Description, Job, MachineType
 from clayport.peer_requests import PeerRequests
-from clayport.records.replica import PROMISES, RecordReplica
+from clayport.records.chunk import chunk_size
+from clayport.records.formats import PROMISES_FORMAT
+from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.routines import Routines
 from clayport.scaling.cloud import Cloud, CloudError
@@ -76,7 +78,7 @@
         # Where the records may be rebuilt (the operator's file, or the records, say so).
         self.recovery: Recovery | None = None
         if rebuild:
-            self.rebuilds(snapshots, second_copy)
+            self.enable_rebuild(snapshots, second_copy)
 
     def _set_clients(self) -> None:
         """The state service, the cloud and the peers; no connection is opened yet."""
@@ -176,7 +178,7 @@
         self.failover = Failover(self)
         self.peer_requests = PeerRequests(self)
 
-    def rebuilds(self, snapshots: str = "", second_copy: bool = False) -> None:
+    def enable_rebuild(self, snapshots: str = "", second_copy: bool = False) -> None:
         """Take part in histories of the records from now on, and keep snapshots of them in
         a directory, if one is given. With a `second_copy`, nobody is told 201 before a
         disk, or another controller's memory, has the record as well."""
@@ -190,7 +192,7 @@
             # Not switched on here; but whoever changes records without naming their history
             # may change what is not there any more.
             log.info("event=rebuilds cause='the records have a history'")
-            self.rebuilds()
+            self.enable_rebuild()
             assert self.recovery is not None
             self.spawn(self.duty(self.recovery.run))
         else:
@@ -207,7 +209,7 @@
     @property
     def format(self) -> int:
         """What this controller understands, as its version's record says it."""
-        return PROMISES if self.recovery is None else PROMISES + 1
+        return PROMISES_FORMAT if self.recovery is None else PROMISES_FORMAT + 1
 
     @property
     def in_doubt(self) -> bool:
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -10,26 +10,11 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import (
-    CLEAR,
-    EPOCH_KEY,
-    KILL,
-    LATER,
-    OK,
-    ManagedJob,
-    amounts,
-    counts,
-    end_key,
-    end_value,
-    ended,
-    fitted,
-    live_key,
-    parse_chunk_key,
-    quota_key,
-    quota_of,
-)
+from clayport.jobs.managed_job import CLEAR, KILL, LATER, OK, ManagedJob, amounts, counts
 from clayport.machines.table import GONE
-from clayport.model import ARRAY, GANG, SERVICE, Chunk, Job, split_task
+from clayport.model import ARRAY, GANG, SERVICE, Job, split_task
+from clayport.records.chunk import Chunk
+from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key, quota_key
 from clayport.records.store import (
     CANCEL_S,
     URGENT_S,
@@ -39,6 +24,7 @@
     Txn,
     UnavailableError,
 )
+from clayport.records.values import end_value, parse_end, parse_quota, truncate_end
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
@@ -238,7 +224,9 @@
         txn = Txn().require(live_key(job), entry.rev).delete(live_key(job))
         txn.put(
             end_key(job),
-            fitted(end_value("cancelled", time.time(), entry.value["j"]), core.bounds.value_kb),
+            truncate_end(
+                end_value("cancelled", time.time(), entry.value["j"]), core.bounds.value_kb
+            ),
         )
         try:
             rev = await self._settle(txn, self._fence(managed), CANCEL_S)
@@ -376,7 +364,7 @@
             return {}
         key = quota_key(job.team)
         entry = await self.core.store.get(key)
-        used = quota_of(entry.value if entry else None)
+        used = parse_quota(entry.value if entry else None)
         rev = entry.rev if entry else 0
         self.quotas[job.team] = (used, rev, time.monotonic())
         after = (round(used[0] + cpus, 6), round(used[1] + gpus, 6))
@@ -386,7 +374,7 @@
 
     def _charged(self, quota: dict[str, tuple[dict[str, float], int]], rev: int) -> None:
         for key, (value, _) in quota.items():
-            self.quotas[key.partition("/")[2]] = (quota_of(value), rev, time.monotonic())
+            self.quotas[key.partition("/")[2]] = (parse_quota(value), rev, time.monotonic())
 
     async def _launch(
         self, managed: ManagedJob, items: list[tuple[str, str, int]], fence: int
@@ -557,7 +545,7 @@
         """The live record is gone: find out how the job ended."""
         entry = await self.core.store.get(end_key(job))
         if entry is not None:
-            self.core.record_replica.note_end(job, *ended(entry.value), entry.rev)
+            self.core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
 
     async def _tidy(self, managed: ManagedJob) -> None:
         """Remove what is left of an ended job's records."""
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -9,21 +9,12 @@
 from collections.abc import Collection, Container, Iterable
 from typing import Any
 
-import msgspec
-
 from clayport.machines.table import GONE
-from clayport.model import (
-    ARRAY,
-    ASSIGNED_BYTES,
-    GANG,
-    SERVICE,
-    TXN_BYTES,
-    Chunk,
-    Job,
-    MachineType,
-    fits,
-)
+from clayport.model import ARRAY, GANG, SERVICE, Job, MachineType, fits
+from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
+from clayport.records.keys import EPOCH_KEY, chunk_key, end_key, live_key
 from clayport.records.store import Txn
+from clayport.records.values import end_value
 from clayport.scheduling.placement import shape
 
 # Verdicts on what an owner tells; the last two judge an error.
@@ -31,33 +22,6 @@
 # Machines on which a job has to have failed before it is taken to be at fault itself.
 FAULT_MACHINES = 3
 
-EPOCH_KEY = "c/generation"
-
-
-def live_key(job: str) -> str:
-    return f"c/live/{job}"
-
-
-def end_key(job: str) -> str:
-    return f"end/{job}"
-
-
-def chunk_key(job: str, index: int, size: int = 0) -> str:
-    """The key of a chunk; `size` where it is not the one that the first versions derive
-    from `value_kb` (they write and expect the short form)."""
-    return f"run/{job}/{size}.{index:05d}" if size else f"run/{job}/{index:05d}"
-
-
-def parse_chunk_key(key: str) -> tuple[str, int, int]:
-    """(job, size or 0, index) of a chunk's key; ValueError for anything else."""
-    _, job, name = key.split("/")
-    size, _, index = name.rpartition(".")
-    return job, int(size or 0), int(index)
-
-
-def quota_key(team: str) -> str:
-    return f"quota/{team}"
-
 
 class ManagedJob:
     """A job at its home."""
@@ -505,37 +469,6 @@
         return cleared
 
 
-def live_value(job: Job, at: float) -> dict[str, Any]:
-    """A live record: the description, and the time of day of its submission."""
-    return {"j": msgspec.to_builtins(job), "t": round(at, 3)}
-
-
-def end_value(status: str, at: float, desc: Any = None) -> dict[str, Any]:
-    """A final record: how the job ended and when, and its description where tasks of it
-    may still be on machines."""
-    value: dict[str, Any] = {"s": status, "t": round(at, 3)}
-    if desc is not None:
-        value["j"] = desc
-    return value
-
-
-def ended(value: Any) -> tuple[str, float | None]:
-    """How a job ended, and when (the first versions did not say)."""
-    status = value["s"]
-    if status not in ("done", "cancelled"):
-        raise ValueError(f"status {status!r}")
-    return status, float(value["t"]) if "t" in value else None
-
-
-def fitted(value: dict[str, Any], value_kb: float) -> dict[str, Any]:
-    """A final record that fits: a description accepted under a larger limit is cut down
-    to what the rest of its tasks need. (A job too large to be cancelled would run on.)"""
-    if len(msgspec.json.encode(value)) <= value_kb * 1024 or "j" not in value:
-        return value
-    desc = {k: v for k, v in value["j"].items() if k not in ("prereqs", "flavors")}
-    return {**value, "j": {**desc, "bundle": desc["bundle"][:20]}}
-
-
 def amounts(job: Job, count: int) -> tuple[float, float]:
     """What `count` tasks take of their team's limit."""
     return job.cpus * count, job.gpus * count
@@ -546,10 +479,6 @@
     return bool(limit[0] > 0 and cpus or limit[1] > 0 and gpus)
 
 
-def quota_of(value: Any) -> tuple[float, float]:
-    return (float(value["c"]), float(value["g"])) if value else (0.0, 0.0)
-
-
 def can_be_placed(job: Job, types: Iterable[MachineType]) -> bool:
     """Whether there can be machines for the job: a type that a task fits, in a zone that the
     job allows; for a gang, which needs them all at once, in as many zones as it has to be
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -8,11 +8,13 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import ManagedJob, end_key, ended, parse_chunk_key
+from clayport.jobs.managed_job import ManagedJob
 from clayport.membership.epoch import Epoch
-from clayport.model import Chunk, Job, chunk_size
-from clayport.records.keys import is_anchor
+from clayport.model import Job
+from clayport.records.chunk import Chunk, chunk_size
+from clayport.records.keys import end_key, is_anchor, parse_chunk_key
 from clayport.records.store import Entry, OutcomeUnknownError, UnavailableError
+from clayport.records.values import parse_end
 
 if TYPE_CHECKING:
     from clayport.controller import Controller
@@ -110,7 +112,7 @@
             entry = await core.store.get(end_key(job))
             if entry is None:
                 continue
-            core.record_replica.note_end(job, *ended(entry.value), entry.rev)
+            core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
                 desc = core.with_objectives(msgspec.convert(entry.value["j"], Job))
                 orphans[job] = (desc, entry.value["s"])
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -8,9 +8,8 @@
 
 import curio
 
-from clayport.jobs.managed_job import EPOCH_KEY
 from clayport.membership.epoch import Epoch, FlapDamping, may_propose, successor
-from clayport.records.replica import NODE_PREFIX, VERSION_PREFIX
+from clayport.records.keys import EPOCH_KEY, NODE_PREFIX, VERSION_PREFIX
 from clayport.records.store import (
     LEASE_S,
     ConflictError,
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -16,7 +16,6 @@
 
 import curio
 
-from clayport.model import chunk_size
 from clayport.rebuild import files, plan
 from clayport.rebuild.files import Found, Header, SnapshotError
 from clayport.rebuild.history import (
@@ -29,6 +28,7 @@
 )
 from clayport.rebuild.merge import Merged, merge
 from clayport.rebuild.recorder import remembered
+from clayport.records.chunk import chunk_size
 from clayport.records.store import (
     ConflictError,
     OutcomeUnknownError,
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -6,10 +6,11 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from clayport.jobs.managed_job import end_key, end_value, live_key
 from clayport.rebuild.evidence import Evidence
 from clayport.rebuild.history import History
+from clayport.records.keys import end_key, live_key
 from clayport.records.store import ConflictError, OutcomeUnknownError, Txn, UnavailableError
+from clayport.records.values import end_value
 
 if TYPE_CHECKING:
     from clayport.controller import Controller
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -25,22 +25,14 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import (
-    ManagedJob,
-    amounts,
-    chunk_key,
-    counts,
-    end_key,
-    end_value,
-    live_key,
-    parse_chunk_key,
-    quota_key,
-    quota_of,
-)
+from clayport.jobs.managed_job import ManagedJob, amounts, counts
 from clayport.membership.epoch import rendezvous
-from clayport.model import Chunk, Job
+from clayport.model import Job
 from clayport.rebuild.evidence import Evidence, Task, split
 from clayport.rebuild.history import is_anchor
+from clayport.records.chunk import Chunk
+from clayport.records.keys import chunk_key, end_key, live_key, parse_chunk_key, quota_key
+from clayport.records.values import end_value, parse_quota
 
 Values = Mapping[str, tuple[Any, int]]  # key: value, revision
 
@@ -290,7 +282,7 @@
             continue
         cpus, gpus = used.get(team, [0.0, 0.0])
         stored = records.get(quota_key(team))
-        have = quota_of(stored[0] if stored else None)
+        have = parse_quota(stored[0] if stored else None)
         if abs(have[0] - cpus) > 1e-6 or abs(have[1] - gpus) > 1e-6:
             changes[quota_key(team)] = {"c": round(cpus, 6), "g": round(gpus, 6)}
 
--- a/clayport/rebuild/plan.py
+++ b/clayport/rebuild/plan.py
@@ -7,8 +7,9 @@
 
 import msgspec
 
-from clayport.model import RANKS, SERVICE, TXN_BYTES
+from clayport.model import RANKS, SERVICE
 from clayport.rebuild.merge import Values
+from clayport.records.chunk import TXN_BYTES
 from clayport.records.store import Txn
 
 # What a write and a condition take beside key and value.
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -13,9 +13,7 @@
 
 import curio
 
-from clayport.jobs.managed_job import EPOCH_KEY
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
-from clayport.model import chunk_size
 from clayport.rebuild import evidence, plan
 from clayport.rebuild.evidence import Evidence, Task
 from clayport.rebuild.history import (
@@ -30,6 +28,8 @@
 )
 from clayport.rebuild.inventory import Inventory
 from clayport.rebuild.merge import merge
+from clayport.records.chunk import chunk_size
+from clayport.records.keys import EPOCH_KEY
 from clayport.records.store import (
     LEASE_S,
     ConflictError,
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -10,11 +10,11 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import EPOCH_KEY
 from clayport.rebuild import files
 from clayport.rebuild.evidence import Evidence
 from clayport.rebuild.files import Header, Log, Row, SnapshotError
 from clayport.rebuild.history import PREFIXES, is_anchor
+from clayport.records.keys import EPOCH_KEY
 from clayport.records.store import Change, CompactedError, OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -13,7 +13,6 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import EPOCH_KEY
 from clayport.limits import Deadline
 from clayport.membership.epoch import Epoch
 from clayport.rebuild import evidence
@@ -27,7 +26,8 @@
 )
 from clayport.rebuild.late_evidence import LateEvidence
 from clayport.rebuild.rebuilder import ConcurrentChangeError, Rebuilder, read_anchors
-from clayport.records.replica import rebuilds
+from clayport.records.formats import understands_histories
+from clayport.records.keys import EPOCH_KEY
 from clayport.records.store import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
@@ -149,7 +149,7 @@
         raise UnavailableError("no second copy in time")
 
     def _understands(self, label: str) -> bool:
-        return rebuilds(self.core.versions.get(label, (0, 0))[0])
+        return understands_histories(self.core.versions.get(label, (0, 0))[0])
 
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """What peers ask."""
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -11,11 +11,20 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import EPOCH_KEY, end_key, ended, live_key
 from clayport.limits import Deadline
 from clayport.membership.epoch import Epoch
 from clayport.model import Job
-from clayport.records.keys import HEAD_KEY
+from clayport.records.formats import FORMAT, PROMISES_FORMAT
+from clayport.records.keys import (
+    CLASS_PREFIX,
+    EPOCH_KEY,
+    HEAD_KEY,
+    LIVE_PREFIX,
+    NODE_PREFIX,
+    VERSION_PREFIX,
+    end_key,
+    live_key,
+)
 from clayport.records.store import (
     Change,
     CompactedError,
@@ -24,6 +33,7 @@
     Txn,
     UnavailableError,
 )
+from clayport.records.values import parse_end
 from clayport.transport import frames, peers
 
 if TYPE_CHECKING:
@@ -31,21 +41,6 @@
 
 log = logging.getLogger(__name__)
 
-NODE_PREFIX, LIVE_PREFIX, CLASS_PREFIX = "c/node/", "c/live/", "c/class/"
-# What a controller understands, by its label; kept for good, since one that has been
-# upgraded never comes back old. The first versions ignore the keys and write none.
-VERSION_PREFIX = "c/version/"
-# 2: prereqs, times in records, sizes in the keys of chunks.
-FORMAT = 2
-# 3: histories of the records, where rebuilding is switched on.
-# 4: promises on cancellations; 5: both.
-PROMISES = 4
-
-
-def rebuilds(number: int) -> bool:
-    """Whether a controller of that format understands histories of the records."""
-    return number in (3, 5)
-
 
 # Ended jobs kept in memory so that polls for them need no read.
 MAX_ENDED_JOBS = 20_000
@@ -77,7 +72,7 @@
         found = [core.versions.get(label, (0, 0)) for label in core.settings.labels]
         if core.epoch.rev <= max(rev for _, rev in found):
             return
-        core.promising = core.promising or all(number >= PROMISES for number, _ in found)
+        core.promising = core.promising or all(number >= PROMISES_FORMAT for number, _ in found)
         if core.upgraded or any(number < FORMAT for number, _ in found):
             return
         core.upgraded = True
@@ -377,7 +372,7 @@
     def _note_end(self, job: str, record: Any, rev: int) -> None:
         """A final record was read."""
         try:
-            self.note_end(job, *ended(record), rev)
+            self.note_end(job, *parse_end(record), rev)
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
             log.error("key=%s event=malformed-value cause=%r", end_key(job), exc)
 
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -13,10 +13,11 @@
 
 import curio
 
-from clayport.jobs.managed_job import ManagedJob, amounts, quota_of
+from clayport.jobs.managed_job import ManagedJob, amounts
 from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
 from clayport.records.keys import is_anchor
 from clayport.records.store import OutcomeUnknownError, UnavailableError
+from clayport.records.values import parse_quota
 from clayport.scaling.provisioning import Demand
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import (
@@ -754,7 +755,9 @@
             entries, _ = await core.store.scan("quota/")
         except (UnavailableError, OutcomeUnknownError):
             return
-        used = {e.key.partition("/")[2]: quota_of(e.value) for e in entries if not is_anchor(e.key)}
+        used = {
+            e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
+        }
         own, have = core.guarantees[job.team], used.get(job.team, (0.0, 0.0))
         need = amounts(job, 1 if job.kind != GANG else job.tasks)
         which = 1 if job.gpus > 0 else 0
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -10,18 +10,10 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import (
-    can_be_placed,
-    can_ever_run,
-    end_key,
-    end_value,
-    ended,
-    fitted,
-    live_key,
-    live_value,
-)
+from clayport.jobs.managed_job import can_be_placed, can_ever_run
 from clayport.limits import AdmissionControl, Deadline
 from clayport.model import SERVICE, Description, Job, valid_id
+from clayport.records.keys import end_key, live_key
 from clayport.records.store import (
     CANCEL_S,
     URGENT_S,
@@ -31,6 +23,7 @@
     Txn,
     UnavailableError,
 )
+from clayport.records.values import end_value, live_value, parse_end, truncate_end
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
@@ -131,7 +124,7 @@
             raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
-        core.record_replica.note_end(job, *ended(entry.value), entry.rev)
+        core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
         return str(entry.value["s"])
 
     async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
@@ -333,7 +326,7 @@
             at = time.time()
             txn.put(
                 end_key(job),
-                fitted(end_value("cancelled", at, entry.value["j"]), core.bounds.value_kb),
+                truncate_end(end_value("cancelled", at, entry.value["j"]), core.bounds.value_kb),
             )
             try:
                 rev = await core.store.commit(txn, deadline, CANCEL_S)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,8 @@
 from clayport.jobs.managed_job import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, ManagedJob
 from clayport.limits import Deadline
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, should_leave
-from clayport.model import Chunk, Job, MachineType, chunk_size
+from clayport.model import Job, MachineType
+from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.store import (
     LEASE_S,
     URGENT_S,
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -8,19 +8,11 @@
 import msgspec
 import pytest
 
-from clayport.jobs.managed_job import (
-    CLEAR,
-    KILL,
-    LATER,
-    OK,
-    ManagedJob,
-    can_ever_run,
-    chunk_key,
-    end_key,
-    live_key,
-)
+from clayport.jobs.managed_job import CLEAR, KILL, LATER, OK, ManagedJob, can_ever_run
 from clayport.machines.table import GONE
-from clayport.model import MAX_TASKS, Chunk, Job, chunk_size
+from clayport.model import MAX_TASKS, Job
+from clayport.records.chunk import Chunk, chunk_size
+from clayport.records.keys import chunk_key, end_key, live_key
 
 from .world import job as wire_job
 
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -8,12 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from clayport.jobs.managed_job import chunk_key, end_value, parse_chunk_key
-from clayport.model import Chunk
 from clayport.rebuild.evidence import Evidence, Task, pack, unpack
 from clayport.rebuild.history import History, anchor_key
 from clayport.rebuild.merge import merge
 from clayport.rebuild.plan import in_order, transactions
+from clayport.records.chunk import Chunk
+from clayport.records.keys import chunk_key, parse_chunk_key
+from clayport.records.values import end_value
 
 from .world import job as wire_job
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -12,19 +12,12 @@
 import pytest
 
 from clayport.controller import Controller
-from clayport.jobs.managed_job import (
-    ManagedJob,
-    chunk_key,
-    end_key,
-    end_value,
-    ended,
-    fitted,
-    live_key,
-    live_value,
-    parse_chunk_key,
-)
+from clayport.jobs.managed_job import ManagedJob
 from clayport.membership.epoch import Epoch
-from clayport.model import Chunk, Job, chunk_size
+from clayport.model import Job
+from clayport.records.chunk import Chunk, chunk_size
+from clayport.records.keys import chunk_key, end_key, live_key, parse_chunk_key
+from clayport.records.values import end_value, live_value, parse_end, truncate_end
 from clayport.scheduling.dependencies import DependencyGraph
 from clayport.settings import ConfigError, parse
 from clayport.transport import frames
@@ -354,7 +347,7 @@
     chunk = Chunk.parse(json.loads(BEFORE["chunk"]), 7)
     assert chunk.assigned == {131: (4, "i-000001"), 199: (5, "i-000002")}
     assert json.dumps(chunk.value(), separators=(",", ":")) == BEFORE["chunk"]
-    assert [ended(json.loads(BEFORE[k])) for k in ("done", "cancelled")] == [
+    assert [parse_end(json.loads(BEFORE[k])) for k in ("done", "cancelled")] == [
         ("done", None),
         ("cancelled", None),
     ]
@@ -573,8 +566,8 @@
     """Accepted while the state service took more; else its tasks would run on."""
     desc = live_value(made(1, flavors=[f"type-{n:020d}" for n in range(64)]), 0.0)["j"]
     value = end_value("cancelled", 5.0, desc)
-    assert len(json.dumps(value)) > 2048 and fitted(value, 8.0) == value
-    small = fitted(value, 2.0)
+    assert len(json.dumps(value)) > 2048 and truncate_end(value, 8.0) == value
+    small = truncate_end(value, 2.0)
     assert len(json.dumps(small)) < 2048
     kept = msgspec.convert(small["j"], Job)
     assert (kept.team, kept.cpus, kept.tasks) == ("free", 2.0, 3)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -9,7 +9,8 @@
 import pytest
 
 from clayport.jobs.managed_job import ManagedJob
-from clayport.model import Chunk, Job
+from clayport.model import Job
+from clayport.records.chunk import Chunk
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import Kept, Policy, Room, Spread, place
 from clayport.scheduling.queueing import JobQueue, Shares
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -179,7 +179,7 @@
     """Seconds of a start that go into imports alone."""
     begun = time.monotonic()
     subprocess.run(
-        [sys.executable, "-c", "import clayport.cli, clayport.server"], cwd=ROOT, check=True
+        [sys.executable, "-c", "import clayport.cli, clayport.controller"], cwd=ROOT, check=True
     )
     return time.monotonic() - begun
 
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -10,8 +10,8 @@
 import pytest
 
 from clayport.jobs import managed_job
-from clayport.jobs.managed_job import live_key
 from clayport.model import Job
+from clayport.records.keys import live_key
 
 from .test_program import api
 from .world import TYPES, job
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,12 +26,15 @@
 import msgspec
 import pytest
 
-from clayport import jobs, peerwire
-from clayport.membership import Generation
-from clayport.model import Chunk, Description, Job
+from clayport.membership.epoch import Epoch
+from clayport.model import Description, Job
 from clayport.rebuild import evidence, files, history
 from clayport.rebuild.merge import merge
 from clayport.rebuild.recorder import remembered
+from clayport.records import keys
+from clayport.records import values as record_values
+from clayport.records.chunk import Chunk
+from clayport.transport import frames
 
 from .world import Clock, World, simulate
 
@@ -81,18 +84,18 @@
 
 
 def test_a_generation_is_read_and_written_the_same() -> None:
-    value, rev = RECORDS[jobs.GENERATION_KEY]
-    generation = Generation.parse(value, rev)
-    assert generation.number == value["number"] and generation.rev == rev
-    assert generation.members == value["members"]
-    same_text(generation.value(), value)
+    value, rev = RECORDS[keys.EPOCH_KEY]
+    epoch = Epoch.parse(value, rev)
+    assert epoch.number == value["number"] and epoch.rev == rev
+    assert epoch.members == value["members"]
+    same_text(epoch.value(), value)
 
 
 def test_live_records_are_read_and_written_the_same() -> None:
     for name, value in values("c/live/").items():
         job = msgspec.convert(value["j"], Job)
-        assert job.id == name and jobs.live_key(job.id) == f"c/live/{name}"
-        same_text(jobs.live_value(job, value["t"]), value)
+        assert job.id == name and keys.live_key(job.id) == f"c/live/{name}"
+        same_text(record_values.live_value(job, value["t"]), value)
 
 
 def test_a_description_s_fields_have_their_meaning() -> None:
@@ -116,8 +119,8 @@
 def test_chunks_are_read_and_written_the_same() -> None:
     for rest, value in values("run/").items():
         key = f"run/{rest}"
-        job, size, index = jobs.parse_chunk_key(key)
-        assert jobs.chunk_key(job, index, size) == key
+        job, size, index = keys.parse_chunk_key(key)
+        assert keys.chunk_key(job, index, size) == key
         chunk = Chunk.parse(value, 7)
         assert chunk.rev == 7 and chunk.last_attempt == value["n"]
         assert chunk.assigned == {n: (attempt, machine) for n, attempt, machine in value["a"]}
@@ -127,28 +130,28 @@
 
 def test_final_records_are_read_and_written_the_same() -> None:
     for name, value in values("end/").items():
-        assert jobs.end_key(name) == f"end/{name}"
-        status, at = jobs.ended(value)
+        assert keys.end_key(name) == f"end/{name}"
+        status, at = record_values.parse_end(value)
         assert (status, at) == (value["s"], value["t"]) and at is not None
-        same_text(jobs.end_value(status, at, value.get("j")), value)
+        same_text(record_values.end_value(status, at, value.get("j")), value)
 
 
 def test_a_final_record_is_cut_down_the_same() -> None:
     ends = load("end_cut_down.json")
-    assert jobs.fitted(ends["whole"], 0.3) == ends["cut_down"] != ends["whole"]
-    assert jobs.ended(ends["cut_down"]) == ("cancelled", ends["whole"]["t"])
+    assert record_values.truncate_end(ends["whole"], 0.3) == ends["cut_down"] != ends["whole"]
+    assert record_values.parse_end(ends["cut_down"]) == ("cancelled", ends["whole"]["t"])
 
 
 def test_quotas_are_read_and_written_the_same() -> None:
     for team, value in values("quota/").items():
-        assert jobs.quota_key(team) == f"quota/{team}"
-        assert jobs.quota_of(value) == (value["c"], value["g"])
+        assert keys.quota_key(team) == f"quota/{team}"
+        assert record_values.parse_quota(value) == (value["c"], value["g"])
     others = {k: v for k, v in RECORDS.items() if k.startswith(("c/live/", "end/", "run/"))}
     limits = {team: (1000.0, 1000.0) for team in values("quota/")}
     said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
     written = merge(others, {"c0": said}, (), limits, 1000).changes
     for team, value in values("quota/").items():
-        same_text(written[jobs.quota_key(team)], value)
+        same_text(written[keys.quota_key(team)], value)
 
 
 def test_anchors_are_written_the_same() -> None:
@@ -162,8 +165,8 @@
 def test_what_is_restored_from_the_records_is_the_same() -> None:
     """Read as evidence and merged into nothing; who holds what is left to the machines."""
     said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
-    assert said.generation == RECORDS[jobs.GENERATION_KEY][0]["number"]
-    assert said.members == RECORDS[jobs.GENERATION_KEY][0]["members"]
+    assert said.epoch == RECORDS[keys.EPOCH_KEY][0]["number"]
+    assert said.members == RECORDS[keys.EPOCH_KEY][0]["members"]
     assert said.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
     written = merge({}, {"c0": said}, (), {}, 1000).changes
     for prefix in ("c/live/", "c/version/", "c/class/"):
@@ -177,7 +180,7 @@
 def test_records_of_the_first_versions_are_read() -> None:
     live, end = sorted(WITHOUT_TIMES)
     assert "t" not in WITHOUT_TIMES[live] and "t" not in WITHOUT_TIMES[end]
-    assert jobs.ended(WITHOUT_TIMES[end]) == ("done", None)
+    assert record_values.parse_end(WITHOUT_TIMES[end]) == ("done", None)
     found = files.Found(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
     said = remembered(found, "c0")
     assert said.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
@@ -222,14 +225,18 @@
         assert set(controller.classes) == set(values("c/class/"))
         for other, value in values("c/version/").items():
             assert controller.versions[other][0] == value["format"]
-    homes = {n: hj for c in world.controllers.values() for n, hj in c.dispatch.homes.items()}
+    managed_jobs = {
+        n: managed
+        for c in world.controllers.values()
+        for n, managed in c.dispatcher.managed_jobs.items()
+    }
     for rest, value in values("run/").items():
-        name, size, index = jobs.parse_chunk_key(f"run/{rest}")
-        if name in homes:
-            assert homes[name].layout == size
-            chunk = homes[name].chunks[index]
+        name, size, index = keys.parse_chunk_key(f"run/{rest}")
+        if name in managed_jobs:
+            assert managed_jobs[name].layout == size
+            chunk = managed_jobs[name].chunks[index]
             assert chunk.done >= Chunk.parse(value, 1).done and chunk.last_attempt >= value["n"]
-    assert set(homes) >= set(values("c/live/"))
+    assert set(managed_jobs) >= set(values("c/live/"))
 
 
 def test_controllers_write_versions_and_classes_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -270,38 +277,38 @@
 
 
 def test_the_data_hold_a_frame_of_every_kind() -> None:
-    assert set(FRAMES) == set(peerwire.SCHEMAS)
+    assert set(FRAMES) == set(frames.SCHEMAS)
 
 
 @pytest.mark.parametrize("kind", FRAMES)
 def test_a_frame_is_read_and_written_the_same(kind: int) -> None:
     raw = FRAMES[kind]
-    head, body = raw[: peerwire.HEADER.size], raw[peerwire.HEADER.size :]
-    found, number, size = peerwire.decode_header(head)
+    head, body = raw[: frames.HEADER.size], raw[frames.HEADER.size :]
+    found, number, size = frames.decode_header(head)
     assert (found, size) == (kind, len(body))
-    fields = peerwire.decode_body(kind, body)
-    assert len(fields) == len(peerwire.SCHEMAS[kind])
-    assert peerwire.encode(kind, number, fields) == raw
+    fields = frames.decode_body(kind, body)
+    assert len(fields) == len(frames.SCHEMAS[kind])
+    assert frames.encode(kind, number, fields) == raw
 
 
 def test_frames_hold_what_was_sent() -> None:
     sent = {
-        peerwire.PING: (
+        frames.PING: (
             "c0",
             2,
             True,
             41,
             [("j-000005", 3, 1.25, "north"), ("j-000022", 4, 0.5, "")],
         ),
-        peerwire.FENCE: (4, "i-000010", "i-000010:9000"),
-        peerwire.INSPECT: ("i-000010", "i-000010:9000"),
-        peerwire.MOVE: (4, "j-000001", 1, "i-000003", True),
-        peerwire.EVACUATE: (4, "i-000010", True),
-        peerwire.PREEMPT: (2, "i-000008", "j-000005", 3, 4.5, [("tight",), ("free",)]),
-        peerwire.ENDED: ("j-000022", "cancelled"),
+        frames.FENCE: (4, "i-000010", "i-000010:9000"),
+        frames.INSPECT: ("i-000010", "i-000010:9000"),
+        frames.MOVE: (4, "j-000001", 1, "i-000003", True),
+        frames.EVACUATE: (4, "i-000010", True),
+        frames.PREEMPT: (2, "i-000008", "j-000005", 3, 4.5, [("tight",), ("free",)]),
+        frames.ENDED: ("j-000022", "cancelled"),
     }
     for kind, fields in sent.items():
-        assert peerwire.decode_body(kind, FRAMES[kind][peerwire.HEADER.size :]) == fields
+        assert frames.decode_body(kind, FRAMES[kind][frames.HEADER.size :]) == fields
 
 
 # -- snapshots and evidence --------------------------------------------------------
