--- a/bench/capacity/fixtures.py
+++ b/bench/capacity/fixtures.py
@@ -17,7 +17,7 @@
 def controller() -> Controller:
     """One that serves alone and may renew leases: its records are always just read."""
     core = passes.controller()
-    core.serving = core.state_known = True
+    core.membership.serving = core.membership.records_loaded = True
     core.watermark.known = time.monotonic  # type: ignore[method-assign]
     return core
 
@@ -35,7 +35,7 @@
         self.machine = f"i-{number:06d}"
         self.type = fleets.TYPES[number % len(fleets.TYPES)].name
         self.counter = 0
-        self.token = core.owner.machine(self.machine, time.monotonic()).token
+        self.token = core.machines.machine(self.machine, time.monotonic()).token
         self.pieces: list[dict[str, Any]] = [
             {"piece": f"j-000001/{number * 100 + task}", "try": 1, "status": "running"}
             for task in range(tasks)
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -55,8 +55,8 @@
 
     def __init__(self, tasks: int) -> None:
         core = fixtures.controller()
-        core.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
-        self.server = sockets.Server(core.api.handle)
+        core.jobs.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
+        self.server = sockets.Server(core.user_api.handle)
         self.workers = [fixtures.Reporter(core, number, tasks) for number in range(10)]
 
     def request(self, number: int, changing: bool) -> bytes:
@@ -99,13 +99,13 @@
 def passed_on() -> Figures:
     """What the owner computes for a report of eight tasks that a peer passes on to it."""
     core = fixtures.controller()
-    core.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
+    core.jobs.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
     worker = fixtures.Reporter(core, 1, 8)
     size = frames.HEADER.size
 
     async def answer(bodies: list[bytes]) -> None:
         for body in bodies:
-            frame = frames.encode(frames.REPORT, 1, (core.epoch.number, body))
+            frame = frames.encode(frames.REPORT, 1, (core.membership.epoch.number, body))
             values = frames.decode_body(frames.REPORT, frame[size:])
             kind, told = await core.peer_requests.answer(frames.REPORT, values)
             frames.encode(kind, 1, told)
@@ -135,12 +135,12 @@
     cores = []
     for label in ("host-0", "host-1"):
         core = fixtures.controller()
-        core.label = label
+        core.membership.label = label
         other = "host-1" if label == "host-0" else "host-0"
         core.peers[other] = Peer(other, "127.0.0.1", 1, 1.0)
         core.promises = Promises(core.peers, core.settings.cluster.workers.lease_s, 0.0)
-        core.epoch = Epoch(1, {"host-0": "x", "host-1": "y"}, 1)
-        core.owner.begin(core.epoch, label)
+        core.membership.epoch = Epoch(1, {"host-0": "x", "host-1": "y"}, 1)
+        core.machines.begin(core.membership.epoch, label)
         core.cached_state.begin()
         cores.append(core)
     return cores[0], cores[1]
@@ -211,7 +211,7 @@
     for fleet in REFRESH_FLEETS:
         asking, owner = pair()
         for core in (asking, owner):
-            core.live["j-000001"] = (fixtures.described(1, pieces=100_000, vcpus=0.1), 1)
+            core.jobs.live["j-000001"] = (fixtures.described(1, pieces=100_000, vcpus=0.1), 1)
         workers = owned_reporters(owner, fleet)
 
         curio.run(show, owner, workers)
@@ -286,9 +286,9 @@
     """Bytes that a controller keeps for each of many units made one after the other, where
     `home` is the controller that all jobs belong to."""
     core = fixtures.controller()
-    core.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
-    core.epoch = Epoch(1, {home: "x"}, 1)
-    core.owner.begin(core.epoch, "host-0")
+    core.jobs.live["j-000001"] = (fixtures.described(1, pieces=100_000), 1)
+    core.membership.epoch = Epoch(1, {home: "x"}, 1)
+    core.machines.begin(core.membership.epoch, "host-0")
     make(core, 0)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -296,7 +296,7 @@
         make(core, number)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    for routine in core.coros:
+    for routine in core.routines.coros:
         routine.close()
     return held / units
 
@@ -313,13 +313,13 @@
     def machine(tasks: int) -> Callable[[Controller, int], None]:
         def make(core: Controller, number: int) -> None:
             body = fixtures.Reporter(core, number, tasks).body()
-            curio.run(core.api.handle, "POST", "/v1/report", body)
+            curio.run(core.user_api.handle, "POST", "/v1/report", body)
             core.cached_state.rooms()
 
         return make
 
     def room(core: Controller, number: int) -> None:
-        core.index.add(rooms[number].copy())
+        core.view.index.add(rooms[number].copy())
 
     rooms = passes.fleets.rooms(MEMORY_UNITS + 1, random.Random(1))
     one, nine = kept(machine(1), 500), kept(machine(9), 500)
--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -135,7 +135,7 @@
 def serving(world: CountedWorld) -> bool:
     """Whether every controller serves."""
     return len(world.controllers) == len(world.labels) and all(
-        core.serving for core in world.controllers.values()
+        core.membership.serving for core in world.controllers.values()
     )
 
 
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -64,19 +64,19 @@
             ).encode()
         )
     )
-    core.types = fleets.TYPES
-    core.owner.types = {t.name: t for t in fleets.TYPES}
-    core.epoch = Epoch(1, {"host-0": "x"}, 1)
-    core.owner.begin(core.epoch, "host-0")
+    core.catalogue.types = fleets.TYPES
+    core.machines.types = {t.name: t for t in fleets.TYPES}
+    core.membership.epoch = Epoch(1, {"host-0": "x"}, 1)
+    core.machines.begin(core.membership.epoch, "host-0")
     return core
 
 
-def show(core: Controller, room: fleets.Room) -> None:
+def show(core: Controller, room: Room) -> None:
     """As a refresh would."""
     if hasattr(core, "index"):
-        core.index.add(room)
+        core.view.index.add(room)
     else:
-        core.rooms[room.machine] = room
+        core.view.rooms[room.machine] = room
 
 
 def one_pass(core: Controller, clock: Callable[[], float] = time.perf_counter) -> float:
@@ -84,33 +84,33 @@
     start = clock()
     core.placer._pass(time.monotonic())
     took = clock() - start
-    for managed in core.dispatcher.managed_jobs.values():
+    for managed in core.jobs.managed.values():
         if managed.starts and hasattr(core.placer, "line"):
-            core.placer.queue.touch(managed.job.id)
+            core.queue.touch(managed.job.id)
         managed.starts.clear()
         managed.placing.clear()
         managed.again.clear()
         managed.cursor = 0
     core.cached_state.inflight.clear()
-    for coro in core.coros:
+    for coro in core.routines.coros:
         coro.close()
-    core.coros.clear()
-    core.signalled.clear()
+    core.routines.coros.clear()
+    core.routines.signalled.clear()
     return took
 
 
-def busy(jobs: int, machines: int, rng: random.Random) -> tuple[Controller, list[fleets.Room]]:
+def busy(jobs: int, machines: int, rng: random.Random) -> tuple[Controller, list[Room]]:
     """A controller to which so many jobs wait at home, and the rooms of a busy fleet."""
     core = controller()
     there = fleets.rooms(machines, rng)
     for room in there:
         show(core, room)
     for job in fleets.jobs(jobs, rng):
-        job = core.with_objectives(job)
-        core.live[job.id] = (job, 1)
-        core.dispatcher.managed_jobs[job.id] = ManagedJob(job, 1, 500, time.monotonic())
+        job = core.objectives.with_objectives(job)
+        core.jobs.live[job.id] = (job, 1)
+        core.jobs.managed[job.id] = ManagedJob(job, 1, 500, time.monotonic())
         if hasattr(core.placer, "line"):
-            core.placer.queue.touch(job.id)
+            core.queue.touch(job.id)
     return core, there
 
 
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -132,14 +132,14 @@
 
     def serves() -> bool:
         return len(world.controllers) == chosen.controllers and all(
-            c.serving for c in world.controllers.values()
+            c.membership.serving for c in world.controllers.values()
         )
 
     print(f"start: serving after {await until(clock, serves, 600.0):.1f} s")
     await curio.sleep(10.0)
     records, launches = len(world.state.keys), world.launches
     print(f"lost now: {records} records")
-    number = max(c.epoch.number for c in world.controllers.values())
+    number = max(c.membership.epoch.number for c in world.controllers.values())
     began, used = clock(), time.process_time()
     world.state.outage(began, 3.0)
     world.state.lose(1e9)
@@ -166,7 +166,7 @@
     await until(
         clock,
         lambda: world.state.keys.get("c/lineage", ({"state": ""},))[0]["state"] == "whole"
-        and any(c.epoch.number > number for c in world.controllers.values()),
+        and any(c.membership.epoch.number > number for c in world.controllers.values()),
         3000.0,
     )
     whole = clock() - began
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -46,20 +46,17 @@
 
     def __init__(self, core: Controller) -> None:
         self.core = core
-        self.managed_jobs: dict[str, ManagedJob] = {}
-        # A team's use as last read: (cpus, gpus), revision, when.
-        self.quotas: dict[str, tuple[tuple[float, float], int, float]] = {}
 
     @property
     def start_chunks(self) -> int:
         """Chunks that a transaction of starts may change, beside the quota."""
-        ops = self.core.bounds.txn_ops
+        ops = self.core.upgrade.limits.txn_ops
         return max(ops - 4, min(3, ops - 1))
 
     @property
     def outcome_chunks(self) -> int:
         """The same for outcomes: also the quota, the live and the final record."""
-        ops = self.core.bounds.txn_ops
+        ops = self.core.upgrade.limits.txn_ops
         return max(ops - 4, min(2, ops - 3))
 
     # -- one job ---------------------------------------------------------
@@ -71,14 +68,14 @@
         # end later, and must neither take our signals nor remove what we wait for
         # (a cancelled job's kill was once never sent because of that).
         name = managed.name
-        epoch = core.epoch
+        epoch = core.membership.epoch
         attempt = core.store.begin()
         try:
             await self._adopt(managed)
-            while core.epoch is epoch:
+            while core.membership.epoch is epoch:
                 try:
-                    while core.epoch is epoch and await self._step(managed):
-                        await core.flush()
+                    while core.membership.epoch is epoch and await self._step(managed):
+                        await core.routines.flush()
                     attempt.served()
                 except (UnavailableError, OutcomeUnknownError) as exc:
                     log.debug("job=%s event=waiting cause=%s", managed.job.id, exc)
@@ -88,19 +85,23 @@
                     # A malformed value of the state service: the job waits, and tries
                     # again, instead of losing its routine for this epoch.
                     log.error("job=%s event=malformed cause=%r", managed.job.id, exc)
-                    await curio.sleep(core.jitter(core.ttl_s))
+                    await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s))
                     continue
                 if managed.closed:
-                    self.managed_jobs.pop(managed.job.id, None)
-                    core.placer.queue.touch(managed.job.id)
-                    core.ended_descriptions.pop(managed.job.id, None)
+                    self.core.jobs.managed.pop(managed.job.id, None)
+                    core.queue.touch(managed.job.id)
+                    core.jobs.ended_descriptions.pop(managed.job.id, None)
                     return
-                await core.flush()
-                patience_s = core.ttl_s if managed.ended or managed.breaking else 4 * core.ttl_s
+                await core.routines.flush()
+                patience_s = (
+                    core.membership.lease_ttl_s
+                    if managed.ended or managed.breaking
+                    else 4 * core.membership.lease_ttl_s
+                )
                 if managed.gather_until and managed.outcomes:
                     patience_s = max(0.001, managed.gather_until - time.monotonic())
-                await core.wait(name, patience_s)
-                unheard = managed.unheard(time.monotonic(), 4 * core.ttl_s)
+                await core.routines.wait(name, patience_s)
+                unheard = managed.unheard(time.monotonic(), 4 * core.membership.lease_ttl_s)
                 if unheard:
                     # Of what nobody says anything, the owner may have lost track.
                     log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unheard))
@@ -108,7 +109,7 @@
         except EpochEndedError:
             pass
         finally:
-            core.events.pop(name, None)
+            core.routines.events.pop(name, None)
 
     async def _step(self, managed: ManagedJob) -> bool:
         """One thing that is due; False when nothing is. The line of what waits catches up
@@ -116,15 +117,15 @@
         try:
             return await self._due(managed)
         finally:
-            if self.managed_jobs.get(managed.job.id) is managed:
-                self.core.placer.queue.touch(managed.job.id)
+            if self.core.jobs.managed.get(managed.job.id) is managed:
+                self.core.queue.touch(managed.job.id)
 
     async def _due(self, managed: ManagedJob) -> bool:
         core = self.core
-        if core.upgraded and managed.narrow(core.narrow_size) or managed.wide:
+        if core.upgrade.complete and managed.narrow(core.upgrade.chunk_size) or managed.wide:
             await self._move(managed)
             return True
-        if not managed.ended and managed.job.id in core.dependencies.doomed:
+        if not managed.ended and managed.job.id in core.jobs.dependencies.doomed:
             await self._cancel(managed)
             return True
         if managed.starts:
@@ -136,7 +137,7 @@
                     self.core.cached_state.inflight.pop((managed.job.id, number), None)
                 managed.give_back([n for n, _ in starts if n in managed.placing])
                 self.core.cached_state.stale.update(dict.fromkeys(machine for _, machine in starts))
-            self.core.signal("place")
+            self.core.routines.signal("place")
             return True
         now = time.monotonic()
         if managed.outcomes and not self._gathers(managed, now):
@@ -151,7 +152,7 @@
                     managed.job.save_s if managed.job.checkpoint_s else 0.0,
                 )
             if left:
-                managed.kill_at = now + self.core.ttl_s
+                managed.kill_at = now + self.core.membership.lease_ttl_s
                 await self._stop(
                     managed, [(m, f"{managed.job.id}/{n}", a, grace, False) for n, a, m in left]
                 )
@@ -171,7 +172,7 @@
         if (
             managed.ended
             or job.kind != ARRAY
-            or any(self.core.limits.get(job.team, (0.0, 0.0)))
+            or any(self.core.quotas.limits.get(job.team, (0.0, 0.0)))
             or managed.done + len(managed.outcomes) >= job.tasks
             or not all(done for _, done in managed.outcomes.values())
         ):
@@ -197,7 +198,7 @@
             managed.size,
         )
         while managed.wide:
-            txn, chunks, gone = managed.move_txn(fence, self.core.bounds.txn_ops, moved)
+            txn, chunks, gone = managed.move_txn(fence, self.core.upgrade.limits.txn_ops, moved)
             try:
                 rev = await self._settle(txn, fence)
             except ConflictError as exc:
@@ -225,7 +226,7 @@
         txn.put(
             end_key(job),
             truncate_end(
-                end_value("cancelled", time.time(), entry.value["j"]), core.bounds.value_kb
+                end_value("cancelled", time.time(), entry.value["j"]), core.upgrade.limits.value_kb
             ),
         )
         try:
@@ -242,9 +243,9 @@
         that had crashed, once went on under the next one beside its successor; both used
         the same attempt number, and tasks ran twice.
         """
-        if not self.core.serving or self.core.epoch.number != managed.epoch:
+        if not self.core.membership.serving or self.core.membership.epoch.number != managed.epoch:
             raise EpochEndedError
-        return self.core.epoch.rev
+        return self.core.membership.epoch.rev
 
     async def _settle(self, txn: Txn, fence: int, ahead_s: float = 0.0) -> int:
         """Commit until the outcome is certain; ConflictError, or UnavailableError if never sent.
@@ -256,7 +257,7 @@
         unsure = False
         attempt = self.core.store.begin()
         while True:
-            if self.core.epoch.rev != fence:
+            if self.core.membership.epoch.rev != fence:
                 raise EpochEndedError
             try:
                 return await self.core.store.commit(txn, ahead_s=ahead_s)
@@ -274,24 +275,24 @@
     async def _start(self, managed: ManagedJob, starts: list[tuple[int, str]]) -> None:
         core, job = self.core, managed.job
         fence = self._fence(managed)
-        epoch = core.epoch
+        epoch = core.membership.epoch
         if await self._charge(job, 1 if job.kind != GANG else len(starts)) is None:
             return
         if not managed.filling:
             managed.attempt += 1
         attempt = managed.attempt
         granted = await self._reserve(managed, starts, attempt)
-        if core.epoch is not epoch:
+        if core.membership.epoch is not epoch:
             raise EpochEndedError
         declined = [s for s in starts if s not in granted]
         self.core.cached_state.adaptive_interval.count(len(granted), len(declined))
         for _, machine in declined:
             # Not tried again before the cached state of it is renewed.
-            room = core.rooms.get(machine)
-            if room is not None and room.owner != core.label:
+            room = core.view.rooms.get(machine)
+            if room is not None and room.owner != core.membership.label:
                 room.close()
         if declined:
-            core.signal("starved")
+            core.routines.signal("starved")
             self.core.cached_state.starved = True
         release = [(m, f"{job.id}/{n}", attempt, 0.0, False) for n, m in granted]
         if not granted or managed.ended or (job.kind == GANG and declined):
@@ -331,14 +332,14 @@
         granted: list[tuple[int, str]] = []
         task = managed.job.id
         for owner, items in self._by_owner((m, n) for n, m in starts).items():
-            if core.epoch.number != managed.epoch:
+            if core.membership.epoch.number != managed.epoch:
                 raise EpochEndedError
-            if owner == core.label:
-                flags = core.owner.reserve(managed.job, items, attempt, time.monotonic())
+            if owner == core.membership.label:
+                flags = core.machines.reserve(managed.job, items, attempt, time.monotonic())
             else:
                 try:
                     ok, rows = await core.peers[owner].call(
-                        frames.RESERVE, (core.epoch.number, task, attempt, items)
+                        frames.RESERVE, (core.membership.epoch.number, task, attempt, items)
                     )
                     flags = [f for (f,) in rows] if ok else [False] * len(items)
                 except (PeerError, KeyError):
@@ -349,7 +350,7 @@
     def _by_owner(self, items: Iterable[tuple[Any, ...]]) -> dict[str, list[tuple[Any, ...]]]:
         found: dict[str, list[tuple[Any, ...]]] = {}
         for item in items:
-            found.setdefault(self.core.epoch.place(item[0]), []).append(item)
+            found.setdefault(self.core.membership.epoch.place(item[0]), []).append(item)
         return found
 
     async def _charge(self, job: Job, count: int) -> dict[str, tuple[dict[str, float], int]] | None:
@@ -358,7 +359,7 @@
         The quota is changed by the very transaction that assigns or ends the
         tasks, so it can't drift from what they take.
         """
-        limit = self.core.limits.get(job.team, (0.0, 0.0))
+        limit = self.core.quotas.limits.get(job.team, (0.0, 0.0))
         cpus, gpus = amounts(job, count)
         if not counts(limit, cpus, gpus):
             return {}
@@ -366,7 +367,7 @@
         entry = await self.core.store.get(key)
         used = parse_quota(entry.value if entry else None)
         rev = entry.rev if entry else 0
-        self.quotas[job.team] = (used, rev, time.monotonic())
+        self.core.jobs.quota_usage[job.team] = (used, rev, time.monotonic())
         after = (round(used[0] + cpus, 6), round(used[1] + gpus, 6))
         if count > 0 and ((0 < limit[0] < after[0] - 1e-6) or (0 < limit[1] < after[1] - 1e-6)):
             return None
@@ -374,7 +375,11 @@
 
     def _charged(self, quota: dict[str, tuple[dict[str, float], int]], rev: int) -> None:
         for key, (value, _) in quota.items():
-            self.quotas[key.partition("/")[2]] = (parse_quota(value), rev, time.monotonic())
+            self.core.jobs.quota_usage[key.partition("/")[2]] = (
+                parse_quota(value),
+                rev,
+                time.monotonic(),
+            )
 
     async def _launch(
         self, managed: ManagedJob, items: list[tuple[str, str, int]], fence: int
@@ -384,35 +389,35 @@
         log.info(
             "job=%s generation=%d event=launch tasks=%d attempt=%d",
             managed.job.id,
-            core.epoch.number,
+            core.membership.epoch.number,
             len(items),
             items[0][2],
         )
         for owner, part in self._by_owner(items).items():
             waiting = part
-            attempt = core.asks(owner)
+            attempt = core.routing.start_attempt(owner)
             while waiting:
-                if core.epoch.rev != fence:
+                if core.membership.epoch.rev != fence:
                     raise EpochEndedError
                 if managed.ended:
                     # Cancelled between the commit and here: judged by reports,
                     # and never launched.
                     await self._adopt(managed)
                     return
-                if owner == core.label:
-                    answers = core.owner.launch(waiting)
+                if owner == core.membership.label:
+                    answers = core.machines.launch(waiting)
                     for machine in dict.fromkeys(i[0] for i in waiting):
                         core.fleet.poke(machine)
                 else:
                     try:
                         ok, rows = await core.peers[owner].call(
-                            frames.LAUNCH, (core.epoch.number, waiting)
+                            frames.LAUNCH, (core.membership.epoch.number, waiting)
                         )
                         if not ok:
                             raise PeerError("not the owner")
                         answers = [v for (v,) in rows]
                     except (PeerError, KeyError):
-                        await core.ask_again(owner, attempt)
+                        await core.routing.back_off(owner, attempt)
                         waiting = [i for i in waiting if self._unsettled(managed, i)]
                         continue
                 for (machine, task, attempt), answer in zip(waiting, answers):
@@ -437,22 +442,22 @@
         """Kill or clear through the owners. What gets lost is asked again, or expires."""
         core = self.core
         for owner, part in self._by_owner(items).items():
-            if core.epoch.number != managed.epoch:
+            if core.membership.epoch.number != managed.epoch:
                 return  # its successor may mean something else by the same attempt
-            if owner == core.label:
-                core.owner.stop(part)
+            if owner == core.membership.label:
+                core.machines.stop(part)
                 for machine in dict.fromkeys(i[0] for i in part):
                     core.fleet.poke(machine)
                 continue
             try:
-                await core.peers[owner].call(frames.STOP, (core.epoch.number, part))
+                await core.peers[owner].call(frames.STOP, (core.membership.epoch.number, part))
             except (PeerError, KeyError):
                 pass
 
     async def _adopt(self, managed: ManagedJob, only: Container[int] | None = None) -> None:
         """Have committed assignments judged by their owners' reports."""
         core = self.core
-        epoch = core.epoch
+        epoch = core.membership.epoch
         if epoch.number != managed.epoch:
             raise EpochEndedError
         for owner, part in self._by_owner(
@@ -460,20 +465,20 @@
             for n, a, m in managed.assignments()
             if only is None or n in only
         ).items():
-            attempt = core.asks(owner)
+            attempt = core.routing.start_attempt(owner)
             while True:
-                if core.epoch is not epoch:
+                if core.membership.epoch is not epoch:
                     raise EpochEndedError
-                if owner == core.label:
-                    core.owner.adopt(part, time.monotonic())
+                if owner == core.membership.label:
+                    core.machines.adopt(part, time.monotonic())
                     break
                 try:
                     if (await core.peers[owner].call(frames.ADOPT, (epoch.number, part)))[0]:
                         break
                 except (PeerError, KeyError):
                     pass
-                await core.ask_again(owner, attempt)
-        await core.flush()
+                await core.routing.back_off(owner, attempt)
+        await core.routines.flush()
 
     async def _commit_outcomes(self, managed: ManagedJob) -> None:
         core = self.core
@@ -501,34 +506,36 @@
         if over:
             managed.ended = "done"
             core.record_replica.note_end(managed.job.id, "done", at)
-            log.info("job=%s generation=%d event=done", managed.job.id, core.epoch.number)
+            log.info(
+                "job=%s generation=%d event=done", managed.job.id, core.membership.epoch.number
+            )
         await self._stop(
             managed,
             [(where[n], f"{managed.job.id}/{n}", a, 0.0, True) for n, a in cleared if where[n]],
         )
-        core.signal("place")
+        core.routines.signal("place")
 
     async def _conflict(self, managed: ManagedJob, exc: ConflictError, fence: int) -> None:
         """Somebody else changed something: read what holds now."""
         core = self.core
         log.info("job=%s event=conflict keys=%s", managed.job.id, exc.failed)
         if EPOCH_KEY in exc.failed:
-            core.suspect_stale()
-            await curio.sleep(core.jitter(core.ttl_s / 12))
+            core.membership.request_rescan()
+            await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 12))
             return
         if live_key(managed.job.id) in exc.failed and not managed.ended:
             await self.learn_end(managed.job.id)
         ours = [k for k in exc.failed if k.startswith(f"run/{managed.job.id}/")]
         if ours:
             entries, _ = await core.store.scan(f"run/{managed.job.id}/")
-            if core.epoch.rev != fence:
+            if core.membership.epoch.rev != fence:
                 raise EpochEndedError
             revs = {e.key: e.rev for e in entries}
             # Nobody but this routine writes them, or removes them while the job is live.
             if (
                 not managed.ended
                 and any(revs.get(managed.key(i), 0) < c.rev for i, c in managed.chunks.items())
-                and core.suspect(f"records of {managed.job.id} have gone back")
+                and core.rebuild.suspect(f"records of {managed.job.id} have gone back")
             ):
                 return
             managed.load_all(
@@ -551,14 +558,14 @@
         """Remove what is left of an ended job's records."""
         left = sorted(managed.chunks.items())
         left = [(i, c) for i, c in left if c.rev]
-        most = max(1, self.core.bounds.txn_ops - 2)
+        most = max(1, self.core.upgrade.limits.txn_ops - 2)
         while left:
             part, left = left[:most], left[most:]
             txn = Txn().require(EPOCH_KEY, self._fence(managed))
             for index, _ in part:
                 txn.delete(managed.key(index))
             try:
-                await self._settle(txn, self.core.epoch.rev)
+                await self._settle(txn, self.core.membership.epoch.rev)
             except ConflictError:
                 return
 
@@ -575,9 +582,9 @@
             except ValueError:
                 verdicts.append(CLEAR if state == "exited" else KILL)
                 continue
-            managed = self.managed_jobs.get(job)
+            managed = self.core.jobs.managed.get(job)
             if managed is None:
-                if job in core.live:
+                if job in core.jobs.live:
                     verdict = LATER  # its routine is just being started
                 else:
                     verdict = OK if state == GONE else CLEAR if state == "exited" else KILL
@@ -585,15 +592,15 @@
                 started = managed.started
                 verdict = managed.event(machine, number, attempt, state, cause, now)
                 if managed.started != started:
-                    core.placer.queue.touch(job)
+                    core.queue.touch(job)
                 if number in managed.outcomes:
                     managed.where[number] = machine if state == "exited" else ""
-                    core.signal(managed.name)
+                    core.routines.signal(managed.name)
             verdicts.append(verdict)
         return verdicts
 
     def counts(self, job: str) -> tuple[int, int] | None:
-        managed = self.managed_jobs.get(job)
+        managed = self.core.jobs.managed.get(job)
         if managed is None:
             return None
         return (0 if managed.job.kind == SERVICE else managed.done), managed.running
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -55,15 +55,15 @@
             raise CloudError(wait.error)
 
     async def _send(self) -> None:
-        epoch = self.core.epoch
+        epoch = self.core.membership.epoch
         try:
             while self.waiting:
                 await self.core.cloud.turn()
-                if self.core.epoch is not epoch:
+                if self.core.membership.epoch is not epoch:
                     # Machines have new owners, who may have heard them meanwhile.
                     waits, self.waiting = self.waiting, {}
                     await self._told(waits, "the epoch has moved on")
-                    epoch = self.core.epoch
+                    epoch = self.core.membership.epoch
                     continue
                 await self._return(list(self.waiting)[:RETURN_MOST])
         finally:
@@ -73,7 +73,7 @@
         waits, error = {n: self.waiting.pop(n) for n in names}, ""
         try:
             await self.core.cloud.return_now(names)
-            await self.core.announce_gone(names)
+            await self.core.removal.announce(names)
         except CloudError as exc:
             error = str(exc)
         except Exception as exc:  # whatever it is, those who wait are to be told
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -51,6 +51,9 @@
         self.core = core
         self.clients: OrderedDict[str, http.Client] = OrderedDict()
         self.fencing = MachineFencing(core)
+        # A quarter of the sockets is for the workers' own addresses, the rest but a reserve
+        # (peers, state, cloud) for those who connect to us.
+        self.max_clients = core.settings.cluster.machine_limits.max_sockets // 4
         self.forwarded: dict[str, float] = {}
         self.outboxes: dict[str, OrderedDict[tuple[str, str, int], Told]] = {}
         w = core.settings.cluster.workers
@@ -91,57 +94,61 @@
         live nor known to have ended is, where all that was launched there was launched under
         epochs before ours: we have read what was live since."""
         core = self.core
-        return core.over(job) or (
-            core.recovery is None and self._stranger(job) and self._before_us(report)
+        return core.jobs.is_cancelled(job) or (
+            core.rebuild.recovery is None and self._stranger(job) and self._before_us(report)
         )
 
     def _stranger(self, job: str) -> bool:
-        return self.core.state_known and job not in self.core.live and job not in self.core.ended
+        return (
+            self.core.membership.records_loaded
+            and job not in self.core.jobs.live
+            and job not in self.core.jobs.ended
+        )
 
     def _before_us(self, report: WorkerHeartbeat) -> bool:
-        epoch, number = self.core.epoch, report.token >> TOKEN_COUNTER_BITS
+        epoch, number = self.core.membership.epoch, report.token >> TOKEN_COUNTER_BITS
         return number < epoch.number or (
-            number == epoch.number and epoch.place(report.machine) == self.core.label
+            number == epoch.number and epoch.place(report.machine) == self.core.membership.label
         )
 
     async def _report(self, report: WorkerHeartbeat, body: bytes) -> tuple[int, dict[str, Any]]:
         core = self.core
         now = time.monotonic()
-        epoch = core.epoch
+        epoch = core.membership.epoch
         owner = epoch.place(report.machine)
-        if core.superseded(now) and core.state_lost(now):
+        if core.renewal.superseded(now) and core.renewal.state_lost(now):
             return 421, {}
-        if not core.may_renew(now):
+        if not core.renewal.may_renew(now):
             # Users may have been told of cancellations that we don't know of: a cancelled
             # task must not live on here past its deadline.
             return 503, {}
-        if owner == core.label and core.serving:
+        if owner == core.membership.label and core.membership.serving:
             return self.own_report(report, now)
-        if owner and owner != core.label and core.state_known:
+        if owner and owner != core.membership.label and core.membership.records_loaded:
             peer = core.peers.get(owner)
             last = self.forwarded.get(report.machine, -1e9)
             self.forwarded[report.machine] = now
             if len(self.forwarded) > 5000:
                 self.forwarded.clear()
-            reachable = peer is not None and now - peer.heard < core.ttl_s
+            reachable = peer is not None and now - peer.heard < core.membership.lease_ttl_s
             if reachable and now - last > self.silent_s:
                 return 421, {"upstream": owner}
             # Back again although it was sent to its owner: the worker can't
             # reach it, so its report is passed on.
-            if peer is not None and core.member:
+            if peer is not None and core.membership.is_member:
                 try:
                     status, raw = await peer.call(frames.REPORT, (epoch.number, body))
                     if status == 200:
                         return 200, msgspec.json.decode(raw)
                 except (PeerError, msgspec.DecodeError):
                     pass
-        if core.may_renew(time.monotonic()) and not self._unsure(report):
+        if core.renewal.may_renew(time.monotonic()) and not self._unsure(report):
             # No orders but kills: this starts nothing and takes nothing from whoever is
             # entitled. What an owner that has ended left on its way is void.
             ended = self._owner_ended(epoch, owner)
             token = void_token(epoch, report.token) if ended else report.token
             return 200, {"epoch": token, "orders": []}
-        if owner and owner != core.label:
+        if owner and owner != core.membership.label:
             return 421, {"upstream": owner}
         return 503, {}
 
@@ -152,9 +159,9 @@
         watermark, named = self.core.watermark, epoch.members.get(owner)
         heard = watermark.incarnations.get(owner)
         return (
-            epoch is self.core.epoch
+            epoch is self.core.membership.epoch
             and bool(named and heard and named != heard)
-            and watermark.asked_at[owner] > self.core.epoch_started_at
+            and watermark.asked_at[owner] > self.core.membership.epoch_started_at
         )
 
     def _unsure(self, report: WorkerHeartbeat) -> bool:
@@ -166,25 +173,25 @@
 
     def own_report(self, report: WorkerHeartbeat, now: float) -> tuple[int, dict[str, Any]]:
         core = self.core
-        if report.machine in core.owner.gone:
+        if report.machine in core.machines.gone:
             # Held on its way: a machine that had been returned was open for work again, until
             # its silence was noticed.
             return 503, {}
-        if not core.owner.entitled(report):
-            core.suspect_stale()
+        if not core.machines.entitled(report):
+            core.membership.request_rescan()
             return 503, {}
-        new = report.machine not in core.owner.machines
-        m = core.owner.take_report(report, now, True)
+        new = report.machine not in core.machines.machines
+        m = core.machines.take_report(report, now, True)
         if m is None:
-            return 200, {"epoch": core.owner.machine(report.machine, now).token, "orders": []}
+            return 200, {"epoch": core.machines.machine(report.machine, now).token, "orders": []}
         if new:
-            room = core.rooms.get(report.machine)
+            room = core.view.rooms.get(report.machine)
             if room is not None:
                 m.images.update({image: 0.0 for image in room.images})
             log.info(
                 "machine=%s generation=%d event=owned type=%s zone=%s spot=%s",
                 m.name,
-                core.epoch.number,
+                core.membership.epoch.number,
                 m.type,
                 m.zone,
                 m.spot,
@@ -194,10 +201,10 @@
             # Exited tasks take no room: that they are cleared can wait for a report's answer,
             # which costs nothing, and is repeated until they are no longer listed.
             if now < m.bad_until or not m.urgent:
-                answer["orders"], m.by_response = core.owner.orders(m)
+                answer["orders"], m.by_response = core.machines.orders(m)
             else:
-                core.spawn(self.pump(m))
-        core.room_changed()
+                core.routines.spawn(self.pump(m))
+        core.cached_state.note_own_room()
         return 200, answer
 
     # -- commands --------------------------------------------------------
@@ -212,15 +219,15 @@
                 log.error("machine address dropped: %s", exc)
                 return None
             found = self.clients[address] = http.Client(host, port, keep=1)
-            if len(self.clients) > self.core.worker_sockets:
+            if len(self.clients) > self.max_clients:
                 _, old = self.clients.popitem(last=False)
-                self.core.spawn(old.close())
+                self.core.routines.spawn(old.close())
         self.clients.move_to_end(address)
         return found
 
     def poke(self, machine: str) -> None:
         """Send what is queued for the machine, unless that is under way."""
-        m = self.core.owner.machines.get(machine)
+        m = self.core.machines.machines.get(machine)
         if (
             m is not None
             and m.urgent
@@ -229,7 +236,7 @@
             and time.monotonic() >= m.bad_until
         ):
             m.busy = True
-            self.core.spawn(self.pump(m, True))
+            self.core.routines.spawn(self.pump(m, True))
 
     async def pump(self, m: Machine, marked: bool = False) -> None:
         """One request at a time to a machine, until nothing is queued for it."""
@@ -237,35 +244,35 @@
         if m.busy and not marked:
             return
         m.busy = True
-        fence = core.epoch.number
+        fence = core.membership.epoch.number
         try:
             while (
                 m.orders
-                and core.epoch.number == fence
-                and core.serving
-                and core.may_renew(time.monotonic())
+                and core.membership.epoch.number == fence
+                and core.membership.serving
+                and core.renewal.may_renew(time.monotonic())
             ):
                 client = self.client(m.address)
                 if client is None:
                     return
-                orders, launches = core.owner.orders(m)
+                orders, launches = core.machines.orders(m)
                 token = m.token
                 body = msgspec.json.encode({"epoch": token, "tenure": m.session, "orders": orders})
                 try:
                     status, raw = await client.request("POST", "/do", body, self.command_s)
                 except http.NoAnswerError as exc:
                     log.info("machine=%s event=unanswered %s", m.name, exc)
-                    if core.epoch.number == fence:
-                        core.owner.unanswered(
+                    if core.membership.epoch.number == fence:
+                        core.machines.unanswered(
                             m, launches, not isinstance(exc, http.NotSentError), time.monotonic()
                         )
                     return
-                if core.epoch.number != fence:
+                if core.membership.epoch.number != fence:
                     return
                 if status == 200:
-                    core.owner.answered(m, orders, launches)
+                    core.machines.answered(m, orders, launches)
                 else:
-                    core.owner.unanswered(m, launches, False, time.monotonic())
+                    core.machines.unanswered(m, launches, False, time.monotonic())
                 if status in (200, 409):
                     self._body(m, raw)
                 if status != 200:
@@ -273,7 +280,7 @@
                     return
         finally:
             m.busy = False
-        core.room_changed()
+        core.cached_state.note_own_room()
 
     def _body(self, m: Machine, raw: bytes) -> None:
         """The report in a command's answer."""
@@ -284,33 +291,33 @@
             return
         if report.machine != m.name:
             return
-        if self.core.owner.entitled(report):
+        if self.core.machines.entitled(report):
             heard = m.heard
-            self.core.owner.take_report(report, time.monotonic(), False)
+            self.core.machines.take_report(report, time.monotonic(), False)
             m.heard = max(heard, m.heard)
         else:
-            self.core.suspect_stale()
+            self.core.membership.request_rescan()
 
     # -- telling homes ---------------------------------------------------
 
     def emit(self, job: str, event: Told) -> None:
-        leader = self.core.epoch.place(job)
+        leader = self.core.membership.epoch.place(job)
         box = self.outboxes.setdefault(leader, OrderedDict())
         box[event[:3]] = event
-        self.core.signal(f"outbox {leader}")
+        self.core.routines.signal(f"outbox {leader}")
 
     async def tell(self, leader: str) -> None:
         """Deliver events to one home until it has taken them."""
         core = self.core
         while True:
-            await core.wait(f"outbox {leader}")
+            await core.routines.wait(f"outbox {leader}")
             box = self.outboxes.setdefault(leader, OrderedDict())
-            attempt = core.asks(leader)
-            while box and core.serving:
-                epoch = core.epoch
+            attempt = core.routing.start_attempt(leader)
+            while box and core.membership.serving:
+                epoch = core.membership.epoch
                 batch = [box.popitem(last=False)[1] for _ in range(min(len(box), 500))]
                 try:
-                    if leader == core.label:
+                    if leader == core.membership.label:
                         ok, verdicts = True, core.dispatcher.told(batch)
                     else:
                         ok, packed = await core.peers[leader].call(
@@ -319,12 +326,12 @@
                         verdicts = [v for (v,) in packed]
                 except (PeerError, KeyError):
                     ok, verdicts = False, []
-                if core.epoch is not epoch:
+                if core.membership.epoch is not epoch:
                     break
                 if not ok or len(verdicts) != len(batch):
                     for event in batch:
                         box.setdefault(event[:3], event)
-                    await core.ask_again(leader, attempt)
+                    await core.routing.back_off(leader, attempt)
                     continue
                 touched: dict[str, None] = {}
                 for event, verdict in zip(batch, verdicts):
@@ -332,12 +339,12 @@
                     touched[event[0]] = None
                 for machine in touched:
                     self.poke(machine)
-                core.room_changed()
+                core.cached_state.note_own_room()
 
     def _verdict(self, event: Told, verdict: int) -> None:
         machine, task, attempt, state = event[:4]
         key: Key = (task, attempt)
-        owner = self.core.owner
+        owner = self.core.machines
         if verdict == LATER:
             owner.retell(machine, key)
         elif verdict in (JOB_AT_FAULT, MACHINE_AT_FAULT):
@@ -353,50 +360,52 @@
         """Begin to move a machine's replicas off: to drain it, all of them; otherwise as
         many as the guest of its GPUs needs to fit again."""
         core = self.core
-        m = core.owner.machines.get(name)
+        m = core.machines.machines.get(name)
         now = time.monotonic()
         if (
             m is None
             or m.evacuating
-            or not core.owner.replicas(m)
+            or not core.machines.replicas(m)
             or now - m.evacuated_at < core.settings.cluster.workers.lease_s / 2
-            or not (core.owner.open(m) or core.owner.unhealthy(m))
+            or not (core.machines.open(m) or core.machines.unhealthy(m))
         ):
             return False
         log.info(
             "machine=%s event=evacuate replicas=%d drain=%s",
             name,
-            len(core.owner.replicas(m)),
+            len(core.machines.replicas(m)),
             drain,
         )
         m.evacuating, m.evacuated_at = True, now
         m.draining = drain
-        core.owner.touch(name)
-        core.spawn(self._evacuate(m, drain))
+        core.machines.touch(name)
+        core.routines.spawn(self._evacuate(m, drain))
         return True
 
     async def _evacuate(self, m: Machine, drain: bool) -> None:
         """One replica at a time, each only while its home has another place for it."""
         core = self.core
-        epoch = core.epoch
+        epoch = core.membership.epoch
         try:
-            while core.epoch is epoch and core.serving and m.notice_at is None:
-                replicas = [r for r in core.owner.replicas(m) if r[0] not in m.kills]
-                kind = core.owner.types.get(m.type)
+            while (
+                core.membership.epoch is epoch and core.membership.serving and m.notice_at is None
+            ):
+                replicas = [r for r in core.machines.replicas(m) if r[0] not in m.kills]
+                kind = core.machines.types.get(m.type)
                 if kind is None or not replicas:
                     return
-                room = core.owner.room(m)
+                room = core.machines.room(m)
                 if not drain and core.placer.policy().blocked(room, kind) <= 0:
                     return
                 for key, job in replicas:
                     if await self._movable(m, key, job, drain):
                         m.kills.setdefault(key, 0.0)
                         self.poke(m.name)
-                        await core.flush()
+                        await core.routines.flush()
                         break
                 else:
                     m.draining = False
-                    core.owner.touch(m.name)
+                    core.machines.touch(m.name)
                     return
                 await curio.sleep(core.settings.cluster.workers.report_s / 2)
         finally:
@@ -405,14 +414,14 @@
     async def _movable(self, m: Machine, key: Key, job: Job, drain: bool) -> bool:
         core = self.core
         number = split_task(key[0])[1]
-        leader = core.epoch.place(job.id)
-        if leader == core.label:
+        leader = core.membership.epoch.place(job.id)
+        if leader == core.membership.label:
             return core.placer.movable(job.id, number, m.name, drain)
         try:
             return bool(
                 (
                     await core.peers[leader].call(
-                        frames.MOVE, (core.epoch.number, job.id, number, m.name, drain)
+                        frames.MOVE, (core.membership.epoch.number, job.id, number, m.name, drain)
                     )
                 )[0]
             )
@@ -427,15 +436,15 @@
         while True:
             await curio.sleep(core.settings.cluster.workers.report_s)
             now = time.monotonic()
-            if not core.stalls.check(now) or not core.serving:
+            if not core.stalls.check(now) or not core.membership.serving:
                 continue
-            core.owner.expire(now)
-            if core.away or core.state_lost(now):
+            core.machines.expire(now)
+            if core.membership.away or core.renewal.state_lost(now):
                 continue  # possibly evicted: see Provisioner.run
-            mine = list(core.owner.machines.values())
+            mine = list(core.machines.machines.values())
             for m in mine:
                 # Not at once: the job that failed there may yet prove to be at fault.
-                m.unhealthy_checks = m.unhealthy_checks + 1 if core.owner.unhealthy(m) else 0
+                m.unhealthy_checks = m.unhealthy_checks + 1 if core.machines.unhealthy(m) else 0
                 if m.unhealthy_checks >= 3 and m.known:
                     self.evacuate(m.name, True)
             silent = [
@@ -450,18 +459,18 @@
                 circuit = core.settings.cluster.workers.cancel_s / 2
                 if not cut or now - m.heard > circuit:
                     m.fencing = True
-                    core.owner.touch(m.name)
-                    core.spawn(self._fence(m))
+                    core.machines.touch(m.name)
+                    core.routines.spawn(self._fence(m))
 
     async def _fence(self, m: Machine) -> None:
         core = self.core
-        epoch = core.epoch
+        epoch = core.membership.epoch
         try:
             # An owner that has not heard the machine yet knows its address from the
             # cached state or the list; with none, silence alone is no ground to return a
             # machine that may well work (fifteen were, when one controller lost the
             # state service).
-            room, listed = core.rooms.get(m.name), core.provisioner.listed.get(m.name)
+            room, listed = core.view.rooms.get(m.name), core.provisioner.listed.get(m.name)
             address = (
                 m.address or (room.address if room else "") or (listed.address if listed else "")
             )
@@ -471,7 +480,7 @@
             ):
                 return
             answers = bool(address) and await self._answers(m.name, address, epoch.members)
-            if core.epoch is not epoch or not core.serving:
+            if core.membership.epoch is not epoch or not core.membership.serving:
                 return
             if not self._useless(m) and (answers or time.monotonic() - m.heard < self.silent_s):
                 return
@@ -481,7 +490,7 @@
                 epoch.number,
                 len(m.desired),
             )
-            if epoch.provisioner == core.label:
+            if epoch.provisioner == core.membership.label:
                 await self.fencing.fence(m.name)
             else:
                 await core.peers[epoch.provisioner].call(
@@ -491,8 +500,8 @@
             log.info("machine=%s event=not-fenced cause=%s", m.name, exc)
         finally:
             m.fencing = False
-            if m.name in core.owner.machines:
-                core.owner.touch(m.name)
+            if m.name in core.machines.machines:
+                core.machines.touch(m.name)
 
     def _useless(self, m: Machine) -> bool:
         """Whether a machine answers commands, but has let its lease run out for long."""
@@ -532,7 +541,7 @@
             status, raw = await client.request("GET", "/inspect", None, self.command_s)
         except http.NoAnswerError:
             return False
-        m = self.core.owner.machines.get(name)
+        m = self.core.machines.machines.get(name)
         if status == 200 and m is not None:
             self._body(m, raw)
         return status == 200
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -45,7 +45,7 @@
         """
         core = self.core
         attempt = core.store.begin()
-        while core.epoch is epoch:
+        while core.membership.epoch is epoch:
             try:
                 await self._load_once(epoch)
                 return
@@ -64,27 +64,25 @@
         """
         core = self.core
         entries, _ = await core.store.scan("run/")
-        if core.recovery is not None and not core.recovery.history.complete(
+        if core.rebuild.recovery is not None and not core.rebuild.recovery.history.complete(
             "run/", [e.key for e in entries]
         ):
             return  # records are gone: the rebuild sees to it
         share = self._share(entries, epoch)
         orphans = await self._orphans(share.chunks)
-        if core.epoch is not epoch or core.in_doubt:
+        if core.membership.epoch is not epoch or core.rebuild.in_doubt:
             return
-        for job, (desc, rev) in core.live.items():
-            if rev and epoch.place(job) == core.label and job not in share.unreadable:
+        for job, (desc, rev) in core.jobs.live.items():
+            if rev and epoch.place(job) == core.membership.label and job not in share.unreadable:
                 self.lead(desc, rev, share.chunks.get(job, {}), "")
         for job, (desc, status) in orphans.items():
-            core.ended_descriptions[job] = desc
+            core.jobs.ended_descriptions[job] = desc
             self.lead(desc, 0, share.chunks[job], status)
-        core.serving = True
-        log.info(
-            "generation=%d event=serving jobs=%d", epoch.number, len(core.dispatcher.managed_jobs)
-        )
+        core.membership.serving = True
+        log.info("generation=%d event=serving jobs=%d", epoch.number, len(core.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
-            core.signal(name)
-        await core.flush()
+            core.routines.signal(name)
+        await core.routines.flush()
 
     def _share(self, entries: list[Entry], epoch: Epoch) -> Share:
         """The chunks of the jobs that the epoch gives us."""
@@ -94,7 +92,7 @@
                 continue
             try:
                 job, size, index = parse_chunk_key(entry.key)
-                if epoch.place(job) == self.core.label:
+                if epoch.place(job) == self.core.membership.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
                     share.chunks.setdefault(job, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
@@ -108,13 +106,13 @@
         """Jobs that have ended and still have chunks: their descriptions and final states."""
         core = self.core
         orphans: dict[str, tuple[Job, str]] = {}
-        for job in [j for j in chunks if j not in core.live]:
+        for job in [j for j in chunks if j not in core.jobs.live]:
             entry = await core.store.get(end_key(job))
             if entry is None:
                 continue
             core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
-                desc = core.with_objectives(msgspec.convert(entry.value["j"], Job))
+                desc = core.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
                 orphans[job] = (desc, entry.value["s"])
         return orphans
 
@@ -135,16 +133,16 @@
             chunk_size(cluster.state.value_kb),
             time.monotonic(),
             ended,
-            core.epoch.number,
+            core.membership.epoch.number,
             cluster.workers.report_s,
             6 * cluster.workers.lease_s,
         )
-        managed.suspected = job.id in core.owner.failing_jobs
+        managed.suspected = job.id in core.machines.failing_jobs
         managed.load_all(chunks)
-        node = core.dependencies.nodes.get(job.id)
+        node = core.jobs.dependencies.nodes.get(job.id)
         if node is not None:
             managed.blocked = bool(node.needs)
             managed.since = node.ready
-        core.dispatcher.managed_jobs[job.id] = managed
-        core.placer.queue.touch(job.id)
-        core.spawn(core.dispatcher.drive(managed))
+        core.jobs.managed[job.id] = managed
+        core.queue.touch(job.id)
+        core.routines.spawn(core.dispatcher.drive(managed))
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -34,8 +34,8 @@
             except PeerError as exc:
                 log.debug("peer=%s event=out-of-reach cause=%s", peer.label, exc)
             self._step_aside_or_back(time.monotonic())
-            await core.flush()
-            await curio.sleep(core.ttl_s / 4)
+            await core.routines.flush()
+            await curio.sleep(core.membership.lease_ttl_s / 4)
 
     async def _exchange(self, peer: Peer) -> None:
         """Send one heartbeat and take in its answer.
@@ -45,11 +45,11 @@
         """
         core, sent = self.core, time.monotonic()
         fields = (*self.status_fields(sent), self._demand_for(peer.label))
-        if not core.promising:
+        if not core.upgrade.promises_enabled:
             label, number, state_ok, room_rev = await peer.call(frames.PING, fields)
         else:
             label, number, state_ok, room_rev, incarnation, promised = await peer.call(
-                frames.BEAT, (*fields, core.incarnation, core.record_replica.known_rev)
+                frames.BEAT, (*fields, core.membership.incarnation, core.record_replica.known_rev)
             )
             if promised and label == peer.label:
                 core.watermark.promised(label, incarnation, sent, time.monotonic())
@@ -60,21 +60,21 @@
         """Leave the members while no peer is reached, and come back after that."""
         core = self.core
         away = (
-            core.state_known
+            core.membership.records_loaded
             and core.stalls.check(now)
             and should_leave(
                 now,
-                core.label,
+                core.membership.label,
                 {p.label: p.heard for p in core.peers.values()},
-                core.nodes,
-                1.5 * core.ttl_s,
+                core.membership.present,
+                1.5 * core.membership.lease_ttl_s,
             )
-            and now - core.started > 2 * core.ttl_s
+            and now - core.membership.started_at > 2 * core.membership.lease_ttl_s
         )
-        if away != core.away:
+        if away != core.membership.away:
             log.info("event=%s cause=peers", "away" if away else "back")
-            core.away = away
-            core.signal("lease")
+            core.membership.away = away
+            core.routines.signal("lease")
 
     def received(
         self, label: str, number: int, state_ok: bool, room_rev: int, demand: list[Any]
@@ -88,7 +88,7 @@
         before = core.placer.demands.get(label)
         core.placer.demands[label] = demand
         if demand and not before:
-            core.signal("demand")
+            core.routines.signal("demand")
         return True
 
     def _heard(self, peer: Peer, number: int, state_ok: bool, room_rev: int) -> None:
@@ -98,9 +98,9 @@
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
             if core.cached_state.starved:
-                core.signal("starved")
-        if number > core.epoch.number and core.store.ok:
-            core.rescan = True
+                core.routines.signal("starved")
+        if number > core.membership.epoch.number and core.store.ok:
+            core.membership.rescan = True
 
     def status_fields(self, now: float) -> tuple[str, int, bool, int]:
         """What a heartbeat and its answer begin with.
@@ -109,12 +109,21 @@
         the revision of our machines' room.
         """
         core = self.core
-        return core.label, core.epoch.number, not core.state_lost(now), core.owner.room_rev
+        return (
+            core.membership.label,
+            core.membership.epoch.number,
+            not core.renewal.state_lost(now),
+            core.machines.room_rev,
+        )
 
     def _demand_for(self, label: str) -> list[tuple[str, int, float, str]]:
         """What waits here, for the one member that rents by it; nobody else asks."""
         core = self.core
-        return core.placer.demand() if core.serving and label == core.epoch.provisioner else []
+        return (
+            core.placer.demand()
+            if core.membership.serving and label == core.membership.epoch.provisioner
+            else []
+        )
 
     def promise(self, label: str, known_rev: int, now: float) -> bool:
         """Promise a peer to tell users of no cancellation unknown to it.
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -37,32 +37,35 @@
         """Hold our key in the state service while we can serve."""
         core = self.core
         while True:
-            pause = core.ttl_s / 3
+            pause = core.membership.lease_ttl_s / 3
             try:
-                if core.away:
+                if core.membership.away:
                     await self._step_aside()
-                elif core.lease is None:
-                    lease = await core.store.lease(core.ttl_s)
+                elif core.membership.lease is None:
+                    lease = await core.store.lease(core.membership.lease_ttl_s)
                     await self._enter(lease)
-                    core.lease = lease
-                elif not await core.store.renew(core.lease):
-                    core.lease = None
+                    core.membership.lease = lease
+                elif not await core.store.renew(core.membership.lease):
+                    core.membership.lease = None
                     pause = 0.0
             except (UnavailableError, OutcomeUnknownError, NoLeaseError, ConflictError) as exc:
                 log.debug("event=lease-trouble cause=%s", exc)
-                pause = core.jitter(core.ttl_s / 8)
-            await core.wait("lease", max(pause, 0.001))
+                pause = core.routines.jitter(core.membership.lease_ttl_s / 8)
+            await core.routines.wait("lease", max(pause, 0.001))
 
     async def _step_aside(self) -> None:
         """Remove our key, if it is there."""
         core = self.core
-        if core.lease is None or not core.nodes.get(core.label):
+        if core.membership.lease is None or not core.membership.present.get(core.membership.label):
             return
-        lease, core.lease = core.lease, None
-        key = NODE_PREFIX + core.label
+        lease, core.membership.lease = core.membership.lease, None
+        key = NODE_PREFIX + core.membership.label
         # (Carried out late, it must not take away a later one of ours.)
         await core.store.commit(
-            Txn().require(key, core.node_revs.get(core.label, 0)).delete(key), ahead_s=LEASE_S
+            Txn()
+            .require(key, core.membership.present_revs.get(core.membership.label, 0))
+            .delete(key),
+            ahead_s=LEASE_S,
         )
         log.info("event=stepped-aside lease=%d", lease)
 
@@ -74,15 +77,17 @@
         had begun, left all who came later waiting for another before they took pipelines.
         """
         core = self.core
-        key, node = VERSION_PREFIX + core.label, NODE_PREFIX + core.label
-        node_rev = core.node_revs.get(core.label, 0)
+        key, node = VERSION_PREFIX + core.membership.label, NODE_PREFIX + core.membership.label
+        node_rev = core.membership.present_revs.get(core.membership.label, 0)
         while True:
             # In place of the one that is known, and of no other: a copy that is carried out
             # late, by a process that has ended since, would put that in our place.
-            txn = Txn().require(node, node_rev).put(node, {"inc": core.incarnation}, lease)
-            number, rev = core.versions.get(core.label, (0, 0))
-            if number < core.format:
-                txn.require(key, rev).put(key, {"format": core.format})
+            txn = (
+                Txn().require(node, node_rev).put(node, {"inc": core.membership.incarnation}, lease)
+            )
+            number, rev = core.upgrade.formats.get(core.membership.label, (0, 0))
+            if number < core.rebuild.format:
+                txn.require(key, rev).put(key, {"format": core.rebuild.format})
             try:
                 await core.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
                 return
@@ -97,38 +102,41 @@
                     entry = await core.store.get(key, doubtful=True)
                     if entry is None:
                         raise
-                    core.record_replica.note_version(core.label, entry.value, entry.rev)
+                    core.record_replica.note_version(core.membership.label, entry.value, entry.rev)
 
     async def keep_members(self) -> None:
         """Propose the next epoch when those present differ from its members."""
         core = self.core
         while True:
-            await core.wait("members", core.ttl_s / 2)
-            if not core.state_known or not core.stalls.check(time.monotonic()):
+            await core.routines.wait("members", core.membership.lease_ttl_s / 2)
+            if not core.membership.records_loaded or not core.stalls.check(time.monotonic()):
                 continue
             if self._proposal() is None:
                 continue
-            await curio.sleep(core.jitter(core.ttl_s / 20))
+            await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 20))
             proposal = self._proposal()
             if proposal is None:
                 continue
-            txn = Txn().require(EPOCH_KEY, core.epoch.rev)
+            txn = Txn().require(EPOCH_KEY, core.membership.epoch.rev)
             try:
                 await core.store.commit(txn.put(EPOCH_KEY, proposal.value()), ahead_s=LEASE_S)
             except ConflictError:
-                await curio.sleep(core.ttl_s / 20)
+                await curio.sleep(core.membership.lease_ttl_s / 20)
             except (UnavailableError, OutcomeUnknownError, NoLeaseError):
-                await curio.sleep(core.jitter(core.ttl_s / 10))
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 10))
 
     def _proposal(self) -> Epoch | None:
         """The next epoch, if there is to be one and it is ours to propose."""
         core, now = self.core, time.monotonic()
-        for label in self.flap_damping.observe(core.nodes, now):
+        for label in self.flap_damping.observe(core.membership.present, now):
             log.info(
                 "event=left-out label=%s seconds=%.1f", label, self.flap_damping.until[label] - now
             )
-        if not may_propose(core.label, core.epoch.members, core.nodes):
+        if not may_propose(
+            core.membership.label, core.membership.epoch.members, core.membership.present
+        ):
             return None
         return successor(
-            core.epoch, self.flap_damping.admitted(core.epoch.members, core.nodes, now)
+            core.membership.epoch,
+            self.flap_damping.admitted(core.membership.epoch.members, core.membership.present, now),
         )
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -64,11 +64,11 @@
         core = self.core
         log.info("event=stood-still seconds=%.1f", gap_s)
         self.count += 1
-        core.rescan = True
+        core.membership.rescan = True
         # Not known to answer until it has; a lease may have ended meanwhile.
         core.store.last_bad = now
         for peer in core.peers.values():
             peer.heard += gap_s
-        core.owner.stood_still(gap_s)
+        core.machines.stood_still(gap_s)
         core.provisioner.began_at = now
-        core.signal("lease")
+        core.routines.signal("lease")
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -58,10 +58,10 @@
                 return handler.refusal
             return await handler.method(self, *values)
         finally:
-            await self.core.flush()
+            await self.core.routines.flush()
 
     def _is_current(self, epoch: int) -> bool:
-        return self.core.serving and epoch == self.core.epoch.number
+        return self.core.membership.serving and epoch == self.core.membership.epoch.number
 
     # -- requests of any epoch --------------------------------------
 
@@ -89,25 +89,25 @@
         is_peer = heartbeats.received(label, number, state_ok, room_rev, demand)
         status_fields = heartbeats.status_fields(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
-        return frames.BEATEN, (*status_fields, self.core.incarnation, promised)
+        return frames.BEATEN, (*status_fields, self.core.membership.incarnation, promised)
 
     async def ended(self, job: str, status: str) -> Answer:
         """ENDED: a job's final state, to be acknowledged before its user is told."""
-        if status in FINAL_STATES and job not in self.core.ended:
+        if status in FINAL_STATES and job not in self.core.jobs.ended:
             self.core.record_replica.note_end(job, status)
         return AGREED
 
     async def history(self, *values: Any) -> Answer:
         """HISTORY: which history of the records the sender acts on, and which we do."""
-        if self.core.recovery is None:
+        if self.core.rebuild.recovery is None:
             return NO_HISTORY
-        return self.core.recovery.answer(frames.HISTORY, values)
+        return self.core.rebuild.recovery.answer(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
         """EVIDENCE: one part of what is known here about the records to be rebuilt."""
-        if self.core.recovery is None:
+        if self.core.rebuild.recovery is None:
             return NO_EVIDENCE
-        return self.core.recovery.answer(frames.EVIDENCE, values)
+        return self.core.rebuild.recovery.answer(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
         """INSPECT: whether a machine that its owner misses answers us."""
@@ -118,7 +118,7 @@
 
         It holds in any epoch, since names are not used again.
         """
-        self.core.gone(name for (name,) in machines)
+        self.core.removal.apply(name for (name,) in machines)
         return AGREED
 
     async def report(self, epoch: int, body: bytes) -> Answer:
@@ -131,8 +131,8 @@
         core = self.core
         if (
             not self._is_current(epoch)
-            or core.epoch.place(report.machine) != core.label
-            or not core.may_renew(now)
+            or core.membership.epoch.place(report.machine) != core.membership.label
+            or not core.renewal.may_renew(now)
         ):
             return frames.REPORTED, (503, b"{}")
         status, value = core.fleet.own_report(report, now)
@@ -164,27 +164,27 @@
         self, _epoch: int, job: str, attempt: int, places: list[tuple[str, int]]
     ) -> Answer:
         """RESERVE: room for tasks of a job on our machines."""
-        known = self.core.job_of(job)
+        known = self.core.jobs.description(job)
         if known is None:
             return NO_RESERVATIONS
-        granted = self.core.owner.reserve(known, places, attempt, time.monotonic())
+        granted = self.core.machines.reserve(known, places, attempt, time.monotonic())
         return frames.RESERVED, (True, [(g,) for g in granted])
 
     async def launch(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """LAUNCH: start tasks whose room has been reserved."""
-        verdicts = self.core.owner.launch(tasks)
+        verdicts = self.core.machines.launch(tasks)
         self._poke(tasks)
         return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def stop(self, _epoch: int, tasks: list[tuple[str, str, int, float, bool]]) -> Answer:
         """STOP: kill tasks, or clear them from the machines' reports."""
-        self.core.owner.stop(tasks)
+        self.core.machines.stop(tasks)
         self._poke(tasks)
         return AGREED
 
     async def adopt(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """ADOPT: tasks that the records say are on our machines."""
-        self.core.owner.adopt(tasks, time.monotonic())
+        self.core.machines.adopt(tasks, time.monotonic())
         return AGREED
 
     async def preempt(
@@ -197,8 +197,8 @@
         borrowers: list[tuple[str]],
     ) -> Answer:
         """PREEMPT: make room on a machine for so many tasks of a job."""
-        wanting = self.core.job_of(job)
-        made = wanting is not None and self.core.owner.preempt(
+        wanting = self.core.jobs.description(job)
+        made = wanting is not None and self.core.machines.preempt(
             wanting, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
         )
         self.core.fleet.poke(machine)
@@ -210,14 +210,14 @@
 
     async def drain(self, _epoch: int, machine: str) -> Answer:
         """DRAIN: whether a machine is empty and takes no more work."""
-        return frames.ACK, (self.core.owner.drain(machine),)
+        return frames.ACK, (self.core.machines.drain(machine),)
 
     # -- requests to the one that rents machines -------------------------
 
     async def fence(self, _epoch: int, machine: str, _cause: str) -> Answer:
         """FENCE: return a silent machine to the cloud; agreed once that is confirmed."""
         core = self.core
-        if core.epoch.provisioner != core.label:
+        if core.membership.epoch.provisioner != core.membership.label:
             return REFUSED
         try:
             await core.fleet.fencing.fence(machine)
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -51,32 +51,38 @@
     """This controller's own evidence."""
     now, day = time.monotonic(), time.time()
     found = Evidence(
-        core.label, core.incarnation, core.epoch.number, dict(core.epoch.members), loaded
+        core.membership.label,
+        core.membership.incarnation,
+        core.membership.epoch.number,
+        dict(core.membership.epoch.members),
+        loaded,
     )
-    for name, (job, _) in core.live.items():
-        node = core.dependencies.nodes.get(name)
+    for name, (job, _) in core.jobs.live.items():
+        node = core.jobs.dependencies.nodes.get(name)
         found.live[name] = (
             msgspec.to_builtins(node.job if node else job),
             round(day - (now - node.submitted), 3) if node else day,
         )
-    for name, status in core.ended.items():
-        at = core.dependencies.ends.get(name, ("", 0.0))[1]
-        desc = core.ended_descriptions.get(name)
+    for name, status in core.jobs.ended.items():
+        at = core.jobs.dependencies.ends.get(name, ("", 0.0))[1]
+        desc = core.jobs.ended_descriptions.get(name)
         found.ended[name] = (
             status,
             round(day - (now - at), 3) if at else 0.0,
             msgspec.to_builtins(desc) if desc is not None else None,
         )
-    for managed in core.dispatcher.managed_jobs.values():
+    for managed in core.jobs.managed.values():
         for index, chunk in managed.chunks.items():
             found.chunks[managed.key(index)] = chunk.value()
-    found.versions = {label: number for label, (number, _) in core.versions.items()}
+    found.versions = {label: number for label, (number, _) in core.upgrade.formats.items()}
     found.classes = {
         name: msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))
-        for name, job in core.classes.items()
+        for name, job in core.jobs.classes.items()
     }
-    found.machines = {name: room.address for name, room in core.rooms.items()}
-    found.machines.update({name: m.address for name, m in core.owner.machines.items() if m.address})
+    found.machines = {name: room.address for name, room in core.view.rooms.items()}
+    found.machines.update(
+        {name: m.address for name, m in core.machines.machines.items() if m.address}
+    )
     return found
 
 
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -28,7 +28,7 @@
         """Write what is missing, one record after the other, while the history stands."""
         core = self.core
         attempt = core.store.begin()
-        todo = [(name, *row) for name, row in known.live.items() if name not in core.ended]
+        todo = [(name, *row) for name, row in known.live.items() if name not in core.jobs.ended]
         ends = list(known.ended.items())
         while (todo or ends) and not self.history.doubt:
             try:
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -97,7 +97,7 @@
     ) -> None:
         core, h = self.core, self.history
         began = time.monotonic()
-        name = f"{core.rng.getrandbits(64):016x}"
+        name = f"{core.routines.rng.getrandbits(64):016x}"
         anchor = await self._begin(head, records, name, number)
         log.info("event=rebuild-began history=%s cause=%r", name, h.doubt)
         parts = await self._gather(name)
@@ -112,7 +112,11 @@
         records_now, _ = await core.store.scan_all(PREFIXES, doubtful=True)
         found = {key: row for key, row in records_now.items() if not is_anchor(key)}
         merged = merge(
-            found, parts, listed, core.limits, chunk_size(core.settings.cluster.state.value_kb)
+            found,
+            parts,
+            listed,
+            core.quotas.limits,
+            chunk_size(core.settings.cluster.state.value_kb),
         )
         log.info(
             "event=rebuild-found jobs=%d restored=%d ended=%d changes=%d unknown=%d "
@@ -162,7 +166,9 @@
             return txn.put(anchor_key(prefix, name), anchor_value(name))
 
         txn = renew(Txn().require(HEAD_KEY, head.rev if head is not None else 0), "c/")
-        txn.put(HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": core.label})
+        txn.put(
+            HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": core.membership.label}
+        )
         anchor = anchor_key("c/", name), await self._write(txn)
         for prefix in PREFIXES:
             if prefix != "c/":
@@ -190,17 +196,17 @@
     async def _gather(self, name: str) -> dict[str, Evidence]:
         """The evidence of all controllers that answer, ours included."""
         core = self.core
-        parts = {core.label: self.own_evidence()}
+        parts = {core.membership.label: self.own_evidence()}
         for _ in range(3):
             for label in core.peers:
                 if label not in parts:
                     found = await self._evidence_of(label, name)
                     if found is not None:
-                        evidence.only_news(found, parts[core.label])
+                        evidence.only_news(found, parts[core.membership.label])
                         parts[label] = found
             if len(parts) == len(core.settings.labels):
                 break
-            await curio.sleep(core.ttl_s / 8)
+            await curio.sleep(core.membership.lease_ttl_s / 8)
         for found in list(parts.values()):
             if found.remembered is not None:
                 parts[found.remembered.label] = found.remembered
@@ -241,7 +247,7 @@
         present = await self._present(members)
         txn = Txn().require(*anchor).require(EPOCH_KEY, stored[1] if stored else 0)
         txn.put(EPOCH_KEY, Epoch(later, present, 0).value())
-        head = {"id": name, "n": number, "state": WHOLE, "by": core.label}
+        head = {"id": name, "n": number, "state": WHOLE, "by": core.membership.label}
         rev = await self._write(txn.put(HEAD_KEY, head).put(anchor[0], anchor_value(name)))
         anchors = await read_anchors(core.store, name)
         if len(anchors) < len(PREFIXES):
@@ -252,11 +258,11 @@
         """Of those whose evidence is there, who has a key: all others would have to be taken
         out again at once. Everybody, if nobody has one yet."""
         core = self.core
-        end = time.monotonic() + core.ttl_s
+        end = time.monotonic() + core.membership.lease_ttl_s
         while True:
             entries, _ = await core.store.scan("c/node/", doubtful=True)
             keys = {e.key[len("c/node/") :]: str(e.value["inc"]) for e in entries}
             found = {label: inc for label, inc in members.items() if keys.get(label) == inc}
             if len(found) == len(members) or time.monotonic() >= end:
                 return found or members
-            await curio.sleep(core.ttl_s / 8)
+            await curio.sleep(core.membership.lease_ttl_s / 8)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -72,16 +72,16 @@
         for why in found.refused:
             log.info("event=snapshot-refused cause=%r", why)
         log.info("event=snapshot-read revision=%d records=%d", found.rev, len(found.records))
-        return remembered(found, self.core.label)
+        return remembered(found, self.core.membership.label)
 
     async def run(self) -> None:
         """Follow the records as long as there is no doubt of them."""
         core = self.core
         attempt = core.store.begin()
         while True:
-            recovery = core.recovery
+            recovery = core.rebuild.recovery
             if recovery is None or recovery.history.doubt or not recovery.history.name:
-                await curio.sleep(core.ttl_s / 2)
+                await curio.sleep(core.membership.lease_ttl_s / 2)
                 continue
             name, number = recovery.history.name, recovery.history.number
             try:
@@ -96,7 +96,7 @@
                 await core.store.back_off(attempt)
             except (OSError, msgspec.MsgspecError) as exc:
                 log.error("event=snapshot-failed cause=%r", exc)
-                await curio.sleep(core.jitter(core.ttl_s * 4))
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s * 4))
 
     async def _base(self, name: str, number: int) -> None:
         """Read all records once, and write them."""
@@ -131,7 +131,7 @@
 
     async def _follow(self, name: str, number: int) -> None:
         core = self.core
-        changes, rev = await core.store.watch("", self.rev, core.ttl_s, apart=True)
+        changes, rev = await core.store.watch("", self.rev, core.membership.lease_ttl_s, apart=True)
         rows = self.note(changes, rev)
         if rows and self.log is not None:
             await curio.run_in_thread(self.log.append, rows)
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -77,11 +77,11 @@
 
     def _stand_still(self) -> None:
         core = self.core
-        self.loaded, self.since = core.serving, time.monotonic()
-        core.serving = False
+        self.loaded, self.since = core.membership.serving, time.monotonic()
+        core.membership.serving = False
         self.packed = ("", [])
         log.info("event=doubt cause=%r", self.history.doubt)
-        core.signal("history")
+        core.routines.signal("history")
 
     async def check_in(self) -> None:
         """Ask the peers what they have seen, and then the state service, before anything is
@@ -99,7 +99,7 @@
         try:
             async with curio.TaskGroup(wait=all) as group:
                 for label, peer in core.peers.items():
-                    if now - peer.heard < core.ttl_s and self._understands(label):
+                    if now - peer.heard < core.membership.lease_ttl_s and self._understands(label):
                         await group.spawn(self._exchange, label)
             floor = h.floor
             _, rev = await core.store.scan(HEAD_KEY, doubtful=True)
@@ -119,7 +119,7 @@
                 *await core.peers[label].call(
                     frames.HISTORY,
                     (h.name, h.number, h.floor, bool(h.doubt), core.record_replica.seen),
-                    core.ttl_s / 4,
+                    core.membership.lease_ttl_s / 4,
                 )
             )
         except (PeerError, KeyError):
@@ -134,7 +134,7 @@
         if not self.second_copy or not self.history.name:
             return
         core, name = self.core, self.history.name
-        pause_s = core.ttl_s / 256  # a watch tells of a change within milliseconds
+        pause_s = core.membership.lease_ttl_s / 256  # a watch tells of a change within milliseconds
         while deadline.allows(time.monotonic(), pause_s):
             if self.recorder is not None and self.recorder.synced >= rev:
                 return
@@ -149,7 +149,7 @@
         raise UnavailableError("no second copy in time")
 
     def _understands(self, label: str) -> bool:
-        return understands_histories(self.core.versions.get(label, (0, 0))[0])
+        return understands_histories(self.core.upgrade.formats.get(label, (0, 0))[0])
 
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """What peers ask."""
@@ -182,12 +182,12 @@
         """Watch over the history, and rebuild when it is in doubt."""
         core = self.core
         while True:
-            await core.wait("history", core.ttl_s / 4)
+            await core.routines.wait("history", core.membership.lease_ttl_s / 4)
             if self.history.doubt:
                 await self._settle()
                 continue
             if not self.history.name:
-                if core.state_known and self._all_understand():
+                if core.membership.records_loaded and self._all_understand():
                     self.history.suspect("no history yet")
                 continue
             for label in core.peers:
@@ -203,8 +203,8 @@
         txn = Txn().require(HEAD_KEY, self.head_rev)
         for prefix in PREFIXES:
             txn.require(prefix, 0)  # no such key: so that all anchors are compared
-        if core.epoch.rev:
-            txn.require(EPOCH_KEY, core.epoch.rev)
+        if core.membership.epoch.rev:
+            txn.require(EPOCH_KEY, core.membership.epoch.rev)
         try:
             try:
                 await core.store.commit(txn)
@@ -213,7 +213,7 @@
                     self.history.suspect("the head has moved")
                     return
                 entry = await core.store.get(EPOCH_KEY)
-                if entry is None or int(entry.value["number"]) < core.epoch.number:
+                if entry is None or int(entry.value["number"]) < core.membership.epoch.number:
                     self.history.suspect("the epoch is gone")
         except (UnavailableError, OutcomeUnknownError):
             pass
@@ -230,14 +230,14 @@
                 await self._step()
                 attempt.served()
             except ConcurrentChangeError:
-                await curio.sleep(core.jitter(core.ttl_s / 16))
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 16))
             except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
                 log.debug("event=rebuild-waits cause=%s", exc)
                 await core.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-                await curio.sleep(core.jitter(core.ttl_s / 4))
-            await core.flush()
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 4))
+            await core.routines.flush()
 
     async def _step(self) -> None:
         """Look at what holds, and join it, wait for who rebuilds it, or rebuild it."""
@@ -276,8 +276,8 @@
                 await self._join(head, anchors)
                 return
             # Whole when it was written, and not any more.
-        if core.away or self._somebody_else(head):
-            await curio.sleep(core.ttl_s / 16)
+        if core.membership.away or self._somebody_else(head):
+            await curio.sleep(core.membership.lease_ttl_s / 16)
             return
         await self.rebuilder.rebuild(
             head,
@@ -302,15 +302,17 @@
         """Whether a peer is at it, or goes first: who has begun, and of all that may begin
         the first by name. (Two at once can't both win; they would only hinder each other.)"""
         core, now = self.core, time.monotonic()
-        heard = [p.label for p in core.peers.values() if now - p.heard < core.ttl_s]
+        heard = [
+            p.label for p in core.peers.values() if now - p.heard < core.membership.lease_ttl_s
+        ]
         if (
             head is not None
             and head.value["state"] == REBUILDING
-            and head.value["by"] != core.label
+            and head.value["by"] != core.membership.label
         ):
             return head.value["by"] in heard
-        early = now - self.since < core.ttl_s / 2
-        return early and any(label < core.label for label in heard)
+        early = now - self.since < core.membership.lease_ttl_s / 2
+        return early and any(label < core.membership.label for label in heard)
 
     # -- joining ---------------------------------------------------------
 
@@ -322,19 +324,19 @@
         self.history.join(name, int(head.value["n"]), revs, max(head.rev, *revs.values()))
         log.info("event=joined history=%s seconds=%.1f", name, time.monotonic() - self.since)
         self._rejoin()
-        core.spawn(LateEvidence(core, self.history).add(late))
+        core.routines.spawn(LateEvidence(core, self.history).add(late))
 
     def _rejoin(self) -> None:
         """Read the records anew, and wait for an epoch that began under this history."""
         core = self.core
-        core.epoch = Epoch(core.epoch.number, {}, 0)
-        core.serving = False
+        core.membership.epoch = Epoch(core.membership.epoch.number, {}, 0)
+        core.membership.serving = False
         # Without a revision until its record has been seen under this history: none of them
         # is worked on, or answered for, before that.
-        core.live = {name: (job, 0) for name, (job, _) in core.live.items()}
-        core.rescan = True
-        core.signal("members")
-        core.signal("lease")
+        core.jobs.live = {name: (job, 0) for name, (job, _) in core.jobs.live.items()}
+        core.membership.rescan = True
+        core.routines.signal("members")
+        core.routines.signal("lease")
 
     def _own(self) -> Evidence:
         found = evidence.gather(self.core, self.loaded)
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -69,33 +69,35 @@
         predecessors have on its way fails under it. Once true, it stays.
         """
         core = self.core
-        found = [core.versions.get(label, (0, 0)) for label in core.settings.labels]
-        if core.epoch.rev <= max(rev for _, rev in found):
+        found = [core.upgrade.formats.get(label, (0, 0)) for label in core.settings.labels]
+        if core.membership.epoch.rev <= max(rev for _, rev in found):
             return
-        core.promising = core.promising or all(number >= PROMISES_FORMAT for number, _ in found)
-        if core.upgraded or any(number < FORMAT for number, _ in found):
+        core.upgrade.promises_enabled = core.upgrade.promises_enabled or all(
+            number >= PROMISES_FORMAT for number, _ in found
+        )
+        if core.upgrade.complete or any(number < FORMAT for number, _ in found):
             return
-        core.upgraded = True
-        core.bounds = core.settings.cluster.state.least()
-        core.store.set_rates(core.bounds.rps, core.bounds.write_rps)
-        core.api.lookups.most = 4 * core.bounds.txn_ops
+        core.upgrade.complete = True
+        core.upgrade.limits = core.settings.cluster.state.least()
+        core.store.set_rates(core.upgrade.limits.rps, core.upgrade.limits.write_rps)
+        core.lookups.most = 4 * core.upgrade.limits.txn_ops
         log.info(
             "event=upgraded format=%d value_kb=%g txn_ops=%d write_rps=%g",
             FORMAT,
-            core.bounds.value_kb,
-            core.bounds.txn_ops,
-            core.bounds.write_rps,
+            core.upgrade.limits.value_kb,
+            core.upgrade.limits.txn_ops,
+            core.upgrade.limits.write_rps,
         )
-        for managed in core.dispatcher.managed_jobs.values():
-            core.signal(managed.name)
+        for managed in core.jobs.managed.values():
+            core.routines.signal(managed.name)
 
     def note_version(self, label: str, value: Any, rev: int) -> None:
         """A version's record was read; one that can't be says nothing, and is written anew."""
         try:
-            self.core.versions[label] = (int(value["format"]), rev)
+            self.core.upgrade.formats[label] = (int(value["format"]), rev)
         except (KeyError, TypeError, ValueError) as exc:
             log.error("key=%s%s event=malformed-value cause=%r", VERSION_PREFIX, label, exc)
-            self.core.versions[label] = (0, rev)
+            self.core.upgrade.formats[label] = (0, rev)
 
     # -- the mirror ------------------------------------------------------
 
@@ -106,29 +108,29 @@
         attempt = core.store.begin()
         while True:
             try:
-                if core.rescan:
+                if core.membership.rescan:
                     rev = await self._scan()
                 asked_at = time.monotonic()
-                changes, rev = await core.store.watch("c/", rev, core.ttl_s)
-                if core.rescan:
+                changes, rev = await core.store.watch("c/", rev, core.membership.lease_ttl_s)
+                if core.membership.rescan:
                     # Asked for before: an epoch among them would begin with jobs of
                     # which this has not been read yet.
                     continue
                 for change in changes:
                     self._apply(change)
                 self._read(asked_at, rev)
-                if not (core.upgraded and core.promising):
+                if not (core.upgrade.complete and core.upgrade.promises_enabled):
                     self.count_versions()
-                await core.flush()
+                await core.routines.flush()
                 attempt.served()
             except CompactedError:
-                core.rescan = True
+                core.membership.rescan = True
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=watch-lost cause=%s", exc)
                 await core.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-                await curio.sleep(core.jitter(core.ttl_s / 8))
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 8))
 
     async def _scan(self) -> int:
         core = self.core
@@ -136,28 +138,30 @@
         asked_at = time.monotonic()
         entries, rev = await core.store.scan("c/")
         core.stalls.confirmed_count = stalls
-        core.rescan = stalls != core.stalls.count
+        core.membership.rescan = stalls != core.stalls.count
         keys = {e.key for e in entries}
-        if core.recovery is not None and not core.recovery.history.complete("c/", keys):
-            core.rescan = True
+        if core.rebuild.recovery is not None and not core.rebuild.recovery.history.complete(
+            "c/", keys
+        ):
+            core.membership.rescan = True
             raise UnavailableError("the records are in doubt")
-        for label in [n for n in core.nodes if NODE_PREFIX + n not in keys]:
-            del core.nodes[label]
-            core.node_revs.pop(label, None)
-            if label == core.label:
-                core.lease = None  # the lease may be there, and the key is not
-                core.signal("lease")
+        for label in [n for n in core.membership.present if NODE_PREFIX + n not in keys]:
+            del core.membership.present[label]
+            core.membership.present_revs.pop(label, None)
+            if label == core.membership.label:
+                core.membership.lease = None  # the lease may be there, and the key is not
+                core.routines.signal("lease")
         for entry in entries:
             self._put(entry.key, entry.value, entry.rev)
-        for job, (_, since) in list(core.live.items()):
+        for job, (_, since) in list(core.jobs.live.items()):
             if LIVE_PREFIX + job not in keys and 0 < since <= rev:
                 self._gone_live(job)
-        core.state_known = True
+        core.membership.records_loaded = True
         self._read(asked_at, rev)
         self.count_versions()
-        core.signal("members")
-        core.signal("prereqs")
-        await core.flush()
+        core.routines.signal("members")
+        core.routines.signal("prereqs")
+        await core.routines.flush()
         return rev
 
     def _read(self, asked_at: float, rev: int) -> None:
@@ -177,12 +181,12 @@
         elif change.delete is not None:
             if change.delete.startswith(NODE_PREFIX):
                 label = change.delete[len(NODE_PREFIX) :]
-                core.nodes.pop(label, None)
-                core.node_revs.pop(label, None)
-                if label == core.label:
-                    core.lease = None
-                    core.signal("lease")
-                core.signal("members")
+                core.membership.present.pop(label, None)
+                core.membership.present_revs.pop(label, None)
+                if label == core.membership.label:
+                    core.membership.lease = None
+                    core.routines.signal("lease")
+                core.routines.signal("members")
             elif change.delete.startswith(LIVE_PREFIX):
                 self._gone_live(change.delete[len(LIVE_PREFIX) :])
 
@@ -190,23 +194,23 @@
         core = self.core
         try:
             if key == EPOCH_KEY:
-                if rev > core.epoch.rev:
-                    core.begin(Epoch.parse(value, rev))
-                core.signal("members")
+                if rev > core.membership.epoch.rev:
+                    core.transition.begin(Epoch.parse(value, rev))
+                core.routines.signal("members")
             elif key == HEAD_KEY:
-                core.note_head(value)
+                core.rebuild.note_head(value)
             elif key.startswith(NODE_PREFIX):
-                core.nodes[key[len(NODE_PREFIX) :]] = str(value["inc"])
-                core.node_revs[key[len(NODE_PREFIX) :]] = rev
-                core.signal("members")
+                core.membership.present[key[len(NODE_PREFIX) :]] = str(value["inc"])
+                core.membership.present_revs[key[len(NODE_PREFIX) :]] = rev
+                core.routines.signal("members")
             elif key.startswith(VERSION_PREFIX):
                 self.note_version(key[len(VERSION_PREFIX) :], value, rev)
             elif key.startswith(CLASS_PREFIX):
-                known = core.with_objectives(msgspec.convert(value["j"], Job))
-                core.classes[known.job_class] = known
+                known = core.objectives.with_objectives(msgspec.convert(value["j"], Job))
+                core.jobs.classes[known.job_class] = known
             elif key.startswith(LIVE_PREFIX):
                 self.note_live(
-                    core.with_objectives(msgspec.convert(value["j"], Job)),
+                    core.objectives.with_objectives(msgspec.convert(value["j"], Job)),
                     rev,
                     self.since(value.get("t")),
                 )
@@ -227,63 +231,66 @@
     def note_live(self, job: Job, rev: int, submitted: float) -> None:
         """A job is accepted; its home sets to work."""
         core = self.core
-        if job.id in core.live and rev > core.live[job.id][1]:
-            core.live[job.id] = (core.live[job.id][0], rev)  # written anew by a rebuild
-            if job.id in core.dispatcher.managed_jobs:
-                core.dispatcher.managed_jobs[job.id].live_rev = rev
-        if job.id in core.live or job.id in core.ended:
+        if job.id in core.jobs.live and rev > core.jobs.live[job.id][1]:
+            core.jobs.live[job.id] = (core.jobs.live[job.id][0], rev)  # written anew by a rebuild
+            if job.id in core.jobs.managed:
+                core.jobs.managed[job.id].live_rev = rev
+        if job.id in core.jobs.live or job.id in core.jobs.ended:
             return
-        changed = core.dependencies.add(job, submitted)
-        core.live[job.id] = (core.dependencies.view(job.id, core.finish_limits), rev)
-        core.placer.learn(core.live[job.id][0])
+        changed = core.jobs.dependencies.add(job, submitted)
+        core.jobs.live[job.id] = (
+            core.jobs.dependencies.view(job.id, core.objectives.finish_limits),
+            rev,
+        )
+        core.placer.learn(core.jobs.live[job.id][0])
         self._review(changed)
-        if core.dependencies.waiting(job.id):
-            core.signal("prereqs")
-        elif core.state_known:
+        if core.jobs.dependencies.waiting(job.id):
+            core.routines.signal("prereqs")
+        elif core.membership.records_loaded:
             core.arrivals.note(job, time.monotonic())
         if (
             job.gpus > 0
-            and job.job_class not in core.classes
-            and len(core.classes) < MAX_REMEMBERED_CLASSES
+            and job.job_class not in core.jobs.classes
+            and len(core.jobs.classes) < MAX_REMEMBERED_CLASSES
             and job.job_class.isascii()
             and job.job_class.replace("-", "").replace("_", "").isalnum()
         ):
-            core.classes[job.job_class] = job
-            core.spawn(self._remember(job))
+            core.jobs.classes[job.job_class] = job
+            core.routines.spawn(self._remember(job))
         if (
-            core.serving
-            and core.epoch.place(job.id) == core.label
-            and job.id not in core.dispatcher.managed_jobs
+            core.membership.serving
+            and core.membership.epoch.place(job.id) == core.membership.label
+            and job.id not in core.jobs.managed
         ):
-            core.failover.lead(core.live[job.id][0], rev, {}, "")
-            core.signal("place")
+            core.failover.lead(core.jobs.live[job.id][0], rev, {}, "")
+            core.routines.signal("place")
 
     def _review(self, changed: Iterable[str]) -> None:
         """Jobs whose urgency has changed, by what needs them."""
         core = self.core
         for name in changed:
-            if name in core.live:
-                job = core.dependencies.view(name, core.finish_limits)
-                core.live[name] = (job, core.live[name][1])
-                managed = core.dispatcher.managed_jobs.get(name)
+            if name in core.jobs.live:
+                job = core.jobs.dependencies.view(name, core.objectives.finish_limits)
+                core.jobs.live[name] = (job, core.jobs.live[name][1])
+                managed = core.jobs.managed.get(name)
                 if managed is not None:
                     managed.job = job
-                    core.placer.queue.touch(name)
-                    core.signal("place")
+                    core.queue.touch(name)
+                    core.routines.signal("place")
 
     def _ready(self, name: str) -> None:
         """All jobs that this one needs are done, as their final records say."""
         core = self.core
-        job = core.live[name][0]
-        if core.state_known:
+        job = core.jobs.live[name][0]
+        if core.membership.records_loaded:
             core.arrivals.note(job, time.monotonic())
-        managed = core.dispatcher.managed_jobs.get(name)
+        managed = core.jobs.managed.get(name)
         if managed is not None and not managed.ended:
-            managed.since = core.dependencies.nodes[name].ready
+            managed.since = core.jobs.dependencies.nodes[name].ready
             managed.blocked = False
-            core.placer.queue.touch(name)
+            core.queue.touch(name)
             log.info("job=%s event=ready", name)
-            core.signal("place")
+            core.routines.signal("place")
 
     async def keep_prereqs(self) -> None:
         """Look up jobs that others wait for and of which nothing is known here: ended
@@ -293,13 +300,17 @@
         core = self.core
         again_at = 0.0
         while True:
-            await core.wait(
+            await core.routines.wait(
                 "prereqs",
-                core.jitter(core.ttl_s / 4 if core.dependencies.missing else 2 * core.ttl_s),
+                core.routines.jitter(
+                    core.membership.lease_ttl_s / 4
+                    if core.jobs.dependencies.missing
+                    else 2 * core.membership.lease_ttl_s
+                ),
             )
-            for name in list(core.dependencies.missing):
-                if name in core.ended:
-                    self._end_of(name, core.ended[name], time.monotonic())
+            for name in list(core.jobs.dependencies.missing):
+                if name in core.jobs.ended:
+                    self._end_of(name, core.jobs.ended[name], time.monotonic())
                     continue
                 try:
                     entry = await core.store.get(end_key(name))
@@ -307,17 +318,17 @@
                     break
                 if entry is not None:
                     self._note_end(name, entry.value, entry.rev)
-            await core.flush()
+            await core.routines.flush()
             if time.monotonic() < again_at:
                 continue
-            again_at = time.monotonic() + 4 * core.ttl_s
+            again_at = time.monotonic() + 4 * core.membership.lease_ttl_s
             for name in sorted(self._awaited()):
-                known = core.live.get(name)
+                known = core.jobs.live.get(name)
                 try:
                     if (
                         known is not None
                         and known[1]
-                        and not await core.api.lookups.unchanged(live_key(name), known[1])
+                        and not await core.lookups.unchanged(live_key(name), known[1])
                     ):
                         self._gone_live(name)
                 except UnavailableError:
@@ -327,9 +338,9 @@
         """Live jobs that jobs at home here wait for."""
         return {
             need
-            for name, managed in self.core.dispatcher.managed_jobs.items()
-            if managed.blocked and name in self.core.dependencies.nodes
-            for need in self.core.dependencies.nodes[name].needs
+            for name, managed in self.core.jobs.managed.items()
+            if managed.blocked and name in self.core.jobs.dependencies.nodes
+            for need in self.core.jobs.dependencies.nodes[name].needs
         }
 
     async def _remember(self, job: Job) -> None:
@@ -344,9 +355,9 @@
             pass  # a hint only
 
     def _gone_live(self, job: str) -> None:
-        if job in self.core.live and job not in self.core.ended:
+        if job in self.core.jobs.live and job not in self.core.jobs.ended:
             self.unresolved_ends.setdefault(job, (self.core.watermark.state_at, self.known_rev))
-            self.core.spawn(self.learn(job))
+            self.core.routines.spawn(self.learn(job))
 
     async def learn(self, job: str) -> None:
         """How a job ended whose live record is gone."""
@@ -357,16 +368,16 @@
 
     async def _learn(self, job: str) -> None:
         core = self.core
-        while job in core.live:
+        while job in core.jobs.live:
             try:
                 entry = await core.store.get(end_key(job))
             except (UnavailableError, OutcomeUnknownError):
-                await curio.sleep(core.jitter(core.ttl_s / 6))
+                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 6))
                 continue
             if entry is not None:
                 self._note_end(job, entry.value, entry.rev)
-            elif job in core.live:
-                core.suspect(f"{job} is gone")
+            elif job in core.jobs.live:
+                core.rebuild.suspect(f"{job} is gone")
             return
 
     def _note_end(self, job: str, record: Any, rev: int) -> None:
@@ -378,14 +389,14 @@
 
     def _end_of(self, job: str, status: str, at: float) -> None:
         """What the end of a job means for those that need it, and for what it needed."""
-        ready, doomed, changed = self.core.dependencies.end(job, status, at)
+        ready, doomed, changed = self.core.jobs.dependencies.end(job, status, at)
         self._review(changed)
         for name in ready:
             self._ready(name)
         for name in doomed:
-            managed = self.core.dispatcher.managed_jobs.get(name)
+            managed = self.core.jobs.managed.get(name)
             if managed is not None:
-                self.core.signal(managed.name)
+                self.core.routines.signal(managed.name)
 
     def note_end(self, job: str, status: str, at: float | None = None, rev: int = 0) -> None:
         """A job is over, as committed (at that time of day, with that revision)."""
@@ -393,28 +404,28 @@
         if status == "cancelled":
             core.promises.ended(job, rev)
         self._end_of(job, status, self.since(at))
-        core.ended[job] = status
-        while len(core.ended) > MAX_ENDED_JOBS:
-            core.ended.popitem(last=False)
-        core.owner.ended(job, status)
-        known = core.live.pop(job, None)
-        managed = core.dispatcher.managed_jobs.get(job)
+        core.jobs.ended[job] = status
+        while len(core.jobs.ended) > MAX_ENDED_JOBS:
+            core.jobs.ended.popitem(last=False)
+        core.machines.ended(job, status)
+        known = core.jobs.live.pop(job, None)
+        managed = core.jobs.managed.get(job)
         if known is not None:
-            core.ended_descriptions[job] = known[0]
-            while len(core.ended_descriptions) > MAX_ENDED_JOBS // 10:
-                core.ended_descriptions.pop(next(iter(core.ended_descriptions)))
+            core.jobs.ended_descriptions[job] = known[0]
+            while len(core.jobs.ended_descriptions) > MAX_ENDED_JOBS // 10:
+                core.jobs.ended_descriptions.pop(next(iter(core.jobs.ended_descriptions)))
         if managed is not None and not managed.ended:
             managed.ended = status
             managed.kill_at = 0.0
-            core.placer.queue.touch(job)
-            core.signal(managed.name)
+            core.queue.touch(job)
+            core.routines.signal(managed.name)
 
     def tell_cancelled(self, job: str) -> None:
         """Have all peers acknowledge a cancellation that they don't know of yet."""
         for label in self.core.promises.lacking(job):
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
-                self.core.spawn(self._tell_cancelled(label, job))
+                self.core.routines.spawn(self._tell_cancelled(label, job))
 
     async def _tell_cancelled(self, label: str, job: str) -> None:
         core, peer = self.core, self.core.peers[label]
@@ -428,7 +439,7 @@
                     await peer.back_off(attempt)
                     continue
                 core.promises.acknowledge(label, job)
-                core.signal(f"told {job}")
+                core.routines.signal(f"told {job}")
                 return
         finally:
             self.telling.pop((label, job), None)
@@ -442,17 +453,25 @@
             now = time.monotonic()
             wait_s = core.promises.wait_s(job, now)
             if not deadline.allows(now):
-                core.events.pop(name, None)
+                core.routines.events.pop(name, None)
                 raise UnavailableError("not everybody knows of it yet", wait_s)
             # (Who waits for the same at the same time may have taken the signal.)
-            await core.wait(
-                name, max(0.001, min(wait_s, deadline.left(now, core.ttl_s / 16), core.ttl_s / 16))
+            await core.routines.wait(
+                name,
+                max(
+                    0.001,
+                    min(
+                        wait_s,
+                        deadline.left(now, core.membership.lease_ttl_s / 16),
+                        core.membership.lease_ttl_s / 16,
+                    ),
+                ),
             )
-        core.events.pop(name, None)
+        core.routines.events.pop(name, None)
 
     def resend_cancellations(self, label: str) -> None:
         """A peer is heard again that was not told of everything."""
         for job in self.core.promises.owed(label)[:RESEND_BATCH]:
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
-                self.core.spawn(self._tell_cancelled(label, job))
+                self.core.routines.spawn(self._tell_cancelled(label, job))
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Coroutine
+import random
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 import curio
@@ -18,7 +19,9 @@
     in order, so that a simulated day repeats exactly.
     """
 
-    def __init__(self) -> None:
+    def __init__(self, rng: random.Random, duty_pause_s: float) -> None:
+        self.rng = rng
+        self.duty_pause_s = duty_pause_s
         self.events: dict[str, curio.Event] = {}
         self.signalled: dict[str, None] = {}
         self.coros: list[Coroutine[Any, Any, Any]] = []
@@ -52,6 +55,20 @@
                 await event.wait()
         event.clear()
 
+    def jitter(self, base_s: float) -> float:
+        """A pause around `base_s` seconds: controllers must not come back in step."""
+        return base_s * self.rng.uniform(0.5, 1.5)
+
+    async def duty(self, routine: Callable[..., Coroutine[Any, Any, None]], *args: Any) -> None:
+        """Run a long-lived routine. An error in one round is logged and must not end the
+        process, which would cost its users and workers more than the round."""
+        while True:
+            try:
+                await routine(*args)
+            except Exception:
+                log.exception("event=duty-failed duty=%s", routine.__name__)
+            await curio.sleep(self.jitter(self.duty_pause_s))
+
     def _event(self, name: str) -> curio.Event:
         event = self.events.get(name)
         if event is None:
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -69,12 +69,16 @@
         core = self.core
         attempt = core.cloud.begin()
         while True:
-            await core.wait("demand", core.ttl_s / 3)
-            await curio.sleep(core.ttl_s / 12)
-            if not core.serving or core.epoch.provisioner != core.label or not core.types:
+            await core.routines.wait("demand", core.membership.lease_ttl_s / 3)
+            await curio.sleep(core.membership.lease_ttl_s / 12)
+            if (
+                not core.membership.serving
+                or core.membership.epoch.provisioner != core.membership.label
+                or not core.catalogue.types
+            ):
                 continue
             now = time.monotonic()
-            if not core.stalls.check(now) or core.away or core.state_lost(now):
+            if not core.stalls.check(now) or core.membership.away or core.renewal.state_lost(now):
                 # Possibly evicted, or just awake after standing still: a return sent now may be
                 # held in the network and destroy, minutes later, machines that work.
                 continue
@@ -88,7 +92,7 @@
     async def tick(self) -> None:
         core = self.core
         now = time.monotonic()
-        epoch = core.epoch
+        epoch = core.membership.epoch
         fresh = self.began is not epoch
         await core.cached_state.refresh_peers(changed_only=not fresh)
         if fresh or now - self.listed_at > core.settings.cluster.cloud.list_lag_s:
@@ -101,10 +105,10 @@
             self.began_at = now
             first = epoch.number == 1 or epoch.number <= 3 and not self.listed
             self.ready_at = now + (0.0 if first else 2 * core.settings.cluster.cloud.list_lag_s)
-        if core.epoch is not epoch:
+        if core.membership.epoch is not epoch:
             return
         now = time.monotonic()
-        types = {t.name: t for t in core.types}
+        types = {t.name: t for t in core.catalogue.types}
         await self._give_up(now, types)
         index, policy = core.cached_state.index(), core.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
@@ -112,10 +116,14 @@
         waiting = core.placer.all_demand()
         demand = [n for n in waiting if not n.job.backfill]
         observed = self.took.observed(
-            core.types, (b for n, b in self.boots.items() if n in self.own), now
+            core.catalogue.types, (b for n, b in self.boots.items() if n in self.own), now
         )
         spare = spare_room(
-            [j for j, _ in core.live.values()], core.arrivals, observed, core.urgent, now
+            [j for j, _ in core.jobs.live.values()],
+            core.arrivals,
+            observed,
+            core.objectives.urgent,
+            now,
         )
         self.refused = {k: t for k, t in self.refused.items() if t > now}
         if now >= self.ready_at:
@@ -132,7 +140,7 @@
                     kind is not None
                     and room.open
                     and policy.blocked(room, kind) > 0
-                    and await core.ask_owner(frames.EVACUATE, room.machine, False)
+                    and await core.routing.ask_owner(frames.EVACUATE, room.machine, False)
                 ):
                     # Replicas placed before a job that needs the GPUs was known.
                     self.evacuated_at = now
@@ -162,7 +170,7 @@
     ) -> list[Kind]:
         """Machines to rent, from what would not fit into what is there or on its way."""
         core = self.core
-        boots = {t.name: t.boot_s for t in core.types}
+        boots = {t.name: t.boot_s for t in core.catalogue.types}
         booting = self._booting(types, now)
         there = busy = lasting = 0.0
         for pool in index.pools.values():
@@ -174,7 +182,7 @@
                 busy += len(pool.rooms) * kind.cpus - totals.free
         cpus = there - lasting + sum(r.cpus for r in booting)
         boot_s = min(t.boot_s for t in observed)
-        needs = urgent_demand(demand, core.finish_limits, cpus, boot_s=boot_s)
+        needs = urgent_demand(demand, core.objectives.finish_limits, cpus, boot_s=boot_s)
         moving = self._on_dear(index, policy)
         if (
             not needs
@@ -194,11 +202,14 @@
             kept = short(index, spare, policy, True) + kept
         if not missing and not kept:
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
-        late = {n.job.id for n in urgent_demand(demand, core.finish_limits, cpus, 1.0, 1.0, boot_s)}
+        late = {
+            n.job.id
+            for n in urgent_demand(demand, core.objectives.finish_limits, cpus, 1.0, 1.0, boot_s)
+        }
         left = {
             n.job.id: -math.inf
             if n.job.without_objective or n.job.id not in late
-            else remaining(n.job, n.age_s, core.finish_limits)
+            else remaining(n.job, n.age_s, core.objectives.finish_limits)
             for n in demand
         }
         wanted = plan_rentals(observed, missing, set(self.refused), busy, policy, left, boots)
@@ -244,7 +255,7 @@
         placer = self.core.placer
         left: dict[int, float] = {}
         wanted: list[Kind] = []
-        ordinary = {(t.name, z, False) for t in self.core.types for z in t.zones}
+        ordinary = {(t.name, z, False) for t in self.core.catalogue.types for z in t.zones}
         for need in waiting:
             if not need.job.backfill:
                 continue
@@ -263,7 +274,7 @@
                 lodger = True
             missing = short(index, [need._replace(tasks=tasks)], policy, lodger=lodger)
             wanted += plan_rentals(
-                self.core.types, missing, refused, busy, policy, {need.job.id: -math.inf}
+                self.core.catalogue.types, missing, refused, busy, policy, {need.job.id: -math.inf}
             )
         return wanted
 
@@ -311,21 +322,27 @@
         found = await core.cloud.machines()
         self.listed_at = now
         self.listed = {m.id: m for m in found}
-        self.returned = {n: t for n, t in self.returned.items() if now - t < 4 * lag + core.ttl_s}
+        self.returned = {
+            n: t
+            for n, t in self.returned.items()
+            if now - t < 4 * lag + core.membership.lease_ttl_s
+        }
         failed = []
         for m in found:
             if m.id in self.returned:
                 continue
             if m.state == "failed":
                 failed.append(m.id)
-            elif m.id not in core.rooms:
+            elif m.id not in core.view.rooms:
                 self.boots.setdefault(
                     m.id, BootingMachine(m.id, (m.type, m.zone, m.spot), now - m.age_s)
                 )
         for name, boot in list(self.boots.items()):
-            gone = name not in self.listed and now - boot.since > 4 * lag + core.ttl_s
-            if name in core.rooms or name in self.returned or gone:
-                if name in core.rooms and name in self.own:
+            gone = (
+                name not in self.listed and now - boot.since > 4 * lag + core.membership.lease_ttl_s
+            )
+            if name in core.view.rooms or name in self.returned or gone:
+                if name in core.view.rooms and name in self.own:
                     self._up(boot, now)
                 self.own.discard(name)
                 del self.boots[name]
@@ -333,7 +350,7 @@
             await self._return(failed[first : first + RETURN_MOST], now)
 
     def _up(self, boot: BootingMachine, now: float) -> None:
-        for kind in self.core.types:
+        for kind in self.core.catalogue.types:
             if kind.name == boot.kind[0]:
                 self.took.note(kind, now - boot.since, now)
 
@@ -363,7 +380,7 @@
             self.returned[name] = now
             self.boots.pop(name, None)
             self.own.discard(name)
-        await self.core.announce_gone(names)
+        await self.core.removal.announce(names)
 
     async def _rent(self, wanted: list[Kind], types: dict[str, MachineType], now: float) -> None:
         core = self.core
@@ -372,7 +389,7 @@
             counts[kind] = counts.get(kind, 0) + 1
         for kind, count in counts.items():
             self.sequence += 1
-            name = f"r-{core.epoch.number}-{core.label}-{self.sequence}"
+            name = f"r-{core.membership.epoch.number}-{core.membership.label}-{self.sequence}"
             try:
                 got = await core.cloud.rent(name, *kind, min(count, RENT_MOST))
             except NoCapacityError:
@@ -380,7 +397,7 @@
             log.info("event=rented kind=%s wanted=%d got=%d", kind, count, len(got))
             if len(got) < min(count, RENT_MOST):
                 self.refused[kind] = now + types[kind[0]].boot_s / 2
-                core.signal("demand")
+                core.routines.signal("demand")
             for machine in got:
                 self.boots[machine] = BootingMachine(machine, kind, now)
                 self.own.add(machine)
@@ -401,7 +418,7 @@
         # Cheap room that replicas on dear machines can still move to is kept.
         keep = sum(n.job.cpus * n.tasks for n in self._on_dear(index, policy))
         self.held = {n: until for n, until in self.held.items() if now < until}
-        hurried = [n for n in demand if not core.patient(n.job, n.age_s)]
+        hurried = [n for n in demand if not core.objectives.patient(n.job, n.age_s)]
         idle = [
             r
             for r in index.rooms.values()
@@ -437,7 +454,7 @@
                 )
             ):
                 continue
-            if await core.ask_owner(frames.DRAIN, room.machine):
+            if await core.routing.ask_owner(frames.DRAIN, room.machine):
                 names.append(room.machine)
             else:
                 # Four that are never closed would keep all others rented.
@@ -508,7 +525,7 @@
             waiting = [
                 n
                 for n in demand
-                if fits(n.job, kind) and not (dear and core.patient(n.job, n.age_s))
+                if fits(n.job, kind) and not (dear and core.objectives.patient(n.job, n.age_s))
             ]
             if waiting and not dear:
                 continue
@@ -542,7 +559,7 @@
             ):
                 continue
             self.emptied[name] = now
-            if await core.ask_owner(frames.EVACUATE, name, True):
+            if await core.routing.ask_owner(frames.EVACUATE, name, True):
                 # Each replica that moves is missed for about as long as a report takes.
                 share = lasting / max(lasting, total_lasting)
                 self.emptying_at = (
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -46,14 +46,19 @@
         self.own_rev = -1
         self.stale.clear()
 
+    def note_own_room(self) -> None:
+        """Wake the placer if the room of our machines has changed since it was last read."""
+        if self.core.machines.room_rev != self.own_rev:
+            self.core.routines.signal("place")
+
     def index(self) -> Index:
         """The snapshot, indexed, as it is now."""
         self.rooms()
-        return self.core.index
+        return self.core.view.index
 
     def rooms(self) -> Mapping[str, Room]:
         """The snapshot; our own machines in it are always as their reports say."""
-        core, owner = self.core, self.core.owner
+        core, owner = self.core, self.core.machines
         ours = [n for n in self.stale if n in owner.machines]
         if owner.room_rev != self.own_rev or ours:
             changed = owner.changed(self.own_rev) if self.own_rev >= 0 else None
@@ -63,12 +68,12 @@
             now = time.monotonic()
             found = {n: owner.machines[n] for n in names if n in owner.machines}
             self._show(
-                core.label,
-                [owner.room(m, core.label, now) for m in found.values() if m.known],
+                core.membership.label,
+                [owner.room(m, core.membership.label, now) for m in found.values() if m.known],
                 changed is None,
                 [n for n in names if n not in found],
             )
-        return core.rooms
+        return core.view.rooms
 
     def unstale(self, names: Iterable[str]) -> None:
         for name in names:
@@ -78,46 +83,48 @@
         """Renew one owner's part of the snapshot, or what has changed of it."""
         core = self.core
         if whole:
-            removed = [n for n, r in core.rooms.items() if r.owner == owner]
+            removed = [n for n, r in core.view.rooms.items() if r.owner == owner]
         for name in removed:
-            if name in core.rooms and core.rooms[name].owner == owner:
-                core.index.remove(name)
+            if name in core.view.rooms and core.view.rooms[name].owner == owner:
+                core.view.index.remove(name)
         shown = set()
         for room in rooms:
-            core.index.add(room)
-            core.zones[room.machine] = room.zone  # never changes
+            core.view.index.add(room)
+            core.view.zones[room.machine] = room.zone  # never changes
             shown.add(room.machine)
         # What was placed and isn't reserved yet stays subtracted.
         for machine, job in self.inflight.values():
             if machine in shown:
-                core.rooms[machine].take(job)
+                core.view.rooms[machine].take(job)
 
     async def refresh_peers(self, changed_only: bool) -> None:
         """Pull the peers' free-room tables; nothing is written to the state service."""
-        epoch = self.core.epoch
+        epoch = self.core.membership.epoch
         for label in epoch.members:
             peer = self.core.peers.get(label)
             if (
                 peer is not None
-                and self.core.epoch is epoch
+                and self.core.membership.epoch is epoch
                 and not (changed_only and self.pulled.get(label) == peer.room_rev)
             ):
                 await self._pull(label)
-        self.unstale([n for n in self.stale if n not in self.core.rooms])
+        self.unstale([n for n in self.stale if n not in self.core.view.rooms])
 
     async def _pull(self, label: str) -> None:
         """What has changed of a peer's table since the last time, and the machines whose
         rooms were charged or closed here meanwhile."""
         core = self.core
-        epoch = core.epoch
-        charged = [n for n in self.stale if n in core.rooms and core.rooms[n].owner == label]
+        epoch = core.membership.epoch
+        charged = [
+            n for n in self.stale if n in core.view.rooms and core.view.rooms[n].owner == label
+        ]
         try:
             ok, rev, whole, removed, rows, taken = await core.peers[label].call(
                 frames.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
             )
         except (PeerError, KeyError):
             return
-        if not ok or core.epoch is not epoch or rev < self.pulled.get(label, 0):
+        if not ok or core.membership.epoch is not epoch or rev < self.pulled.get(label, 0):
             return
         self.pulled[label] = rev
         self.unstale(charged)
@@ -160,14 +167,14 @@
             for _ in range(2):
                 await curio.sleep(self.core.settings.cluster.workers.report_s / 8)
                 await self._pull(label)
-                self.core.signal("place")
-                await self.core.flush()
+                self.core.routines.signal("place")
+                await self.core.routines.flush()
         finally:
             self.pulling.discard(label)
 
     def table(self, since: int, names: list[str]) -> tuple[Any, ...]:
         """Our own free-room table, or what has changed of it, as peers pull it."""
-        core, owner = self.core, self.core.owner
+        core, owner = self.core, self.core.machines
         now = time.monotonic()
         changed = owner.changed(since) if since else None
         wanted = list(owner.machines) if changed is None else [*dict.fromkeys([*changed, *names])]
@@ -176,7 +183,7 @@
         for name in wanted:
             m = owner.machines.get(name)
             if m is not None and m.known:
-                r = owner.room(m, core.label, now)
+                r = owner.room(m, core.membership.label, now)
                 rows.append(
                     (
                         r.machine,
@@ -196,7 +203,7 @@
                 )
                 taken += [(r.machine, *key, *used) for key, used in r.used.items()]
         gone = [(n,) for n in wanted if n not in owner.machines]
-        return (core.serving, owner.room_rev, changed is None, gone, rows, taken)
+        return (core.membership.serving, owner.room_rev, changed is None, gone, rows, taken)
 
     async def refresh(self) -> None:
         """The adaptive refresh; a lasting shortage also looks when a peer's table changed."""
@@ -206,10 +213,10 @@
         # Between two looks for want of room: what machines report in between comes together.
         apart_s = max(self.adaptive_interval.least, core.settings.cluster.workers.report_s) / 2
         while True:
-            await core.wait(
+            await core.routines.wait(
                 "starved", min(self.adaptive_interval.least, max(0.01, due - time.monotonic()))
             )
-            if not core.serving:
+            if not core.membership.serving:
                 continue
             now = time.monotonic()
             if now < min(due, looked + apart_s):
@@ -225,15 +232,15 @@
                 )
                 due = now + interval
                 await self.refresh_peers(changed_only=False)
-                core.signal("place")
+                core.routines.signal("place")
             elif self.starved and any(
                 self.pulled.get(p.label) != p.room_rev
                 for p in core.peers.values()
-                if p.label in core.epoch.members
+                if p.label in core.membership.epoch.members
             ):
                 # True shortage: the interval is left alone, but room that a
                 # peer has since announced is looked at.
                 looked = now
                 await self.refresh_peers(changed_only=True)
-                core.signal("place")
-            await core.flush()
+                core.routines.signal("place")
+            await core.routines.flush()
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -6,7 +6,7 @@
 import logging
 import math
 import time
-from collections.abc import Collection, Iterable, Iterator
+from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
 from functools import partial
 from heapq import heappop, heappush
 from typing import TYPE_CHECKING, NamedTuple
@@ -20,6 +20,7 @@
 from clayport.records.values import parse_quota
 from clayport.scaling.provisioning import Demand
 from clayport.scheduling.index import Index
+from clayport.scheduling.objectives import Objectives
 from clayport.scheduling.placement import (
     Kept,
     Policy,
@@ -33,6 +34,7 @@
 )
 from clayport.scheduling.queueing import Group, JobQueue, Shares
 from clayport.scheduling.queueing.shares import Name, Owed, names, names_of
+from clayport.settings import Team
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
@@ -102,6 +104,40 @@
     kept: Kept | None
 
 
+def job_queue(
+    managed: Callable[[], Mapping[str, ManagedJob]],
+    objectives: Objectives,
+    teams: Iterable[Team],
+    lease_s: float,
+) -> JobQueue:
+    """Build the queue of the jobs that a controller leads.
+
+    Args:
+        managed: Tells the jobs by their ids.
+        objectives: What is aimed at for each class.
+        teams: Teams with a guarantee are owed a share of room like classes.
+        lease_s: A worker's lease, in seconds.
+    """
+    wait, finish = objectives.wait_limits, objectives.finish_limits
+    bears = {
+        name: min(wait.get(name, math.inf), finish.get(name, math.inf) / 2)
+        for name in {*wait, *finish}
+    }
+    guaranteed = [
+        ("team", gpus, t.name)
+        for t in teams
+        for gpus in (False, True)
+        if (t.gpus if gpus else t.cpus) > 0
+    ]
+    return JobQueue(
+        managed,
+        objectives.finish_all,
+        wait,
+        Shares(bears, BEARS * lease_s, guaranteed),
+        objectives.deadline_times,
+    )
+
+
 class Placer:
     """Order, room made for others, and the starts that homes are to carry out."""
 
@@ -114,29 +150,7 @@
         self.known_until = -1e9
         self.kept: Kept | None = None
         self.missed: dict[Name, Job] = {}  # who is owed a share: a job that found no room
-        workers = core.settings.cluster.workers
-        bears = {
-            name: min(
-                core.wait_limits.get(name, math.inf), core.finish_limits.get(name, math.inf) / 2
-            )
-            for name in {*core.wait_limits, *core.finish_limits}
-        }
-        self.queue = JobQueue(
-            lambda: core.dispatcher.managed_jobs,
-            core.finish_all,
-            core.wait_limits,
-            Shares(
-                bears,
-                BEARS * workers.lease_s,
-                [
-                    ("team", gpus, t.name)
-                    for t in core.settings.cluster.teams
-                    for gpus in (False, True)
-                    if (t.gpus if gpus else t.cpus) > 0
-                ],
-            ),
-            core.deadline_times,
-        )
+        self.queue = core.queue
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[Name, Owed] = {}
         self.given: dict[Name, float] = {}  # CPUs begun for them since they were looked up
@@ -176,7 +190,7 @@
         for name in (n for g in groups for subqueue in g.subqueues.values() for n in subqueue):
             if len(found) >= MAX_DEMAND_ROWS:
                 if now >= self.cut_logged_at:
-                    self.cut_logged_at = now + 20 * self.core.ttl_s
+                    self.cut_logged_at = now + 20 * self.core.membership.lease_ttl_s
                     log.info(
                         "event=demand-bounded told=%d jobs=%d",
                         MAX_DEMAND_ROWS,
@@ -191,20 +205,20 @@
     def _row(self, managed: ManagedJob, now: float) -> tuple[str, int, float, str]:
         zones = ""
         if managed.job.spread or managed.job.one_zone:
-            zones = " ".join(self.core.zones.get(m, "") for _, _, m in managed.assignments())
+            zones = " ".join(self.core.view.zones.get(m, "") for _, _, m in managed.assignments())
         return managed.job.id, managed.pending + len(managed.placing), now - managed.since, zones
 
     def all_demand(self) -> list[Demand]:
         """Demand of the whole epoch, most urgent first."""
         core = self.core
         rows = self.demand()
-        for label in core.epoch.members:
-            if label != core.label:
+        for label in core.membership.epoch.members:
+            if label != core.membership.label:
                 rows += self.demands.get(label, [])
         found = [
-            Demand(core.live[job][0], count, age, tuple(zones.split()))
+            Demand(core.jobs.live[job][0], count, age, tuple(zones.split()))
             for job, count, age, zones in rows
-            if job in core.live
+            if job in core.jobs.live
         ]
         found.sort(key=lambda need: (need.job.backfill, -need.job.rank, -need.age_s))
         return found
@@ -216,14 +230,14 @@
         core = self.core
         pause_s = core.settings.cluster.workers.report_s / PASSES
         while True:
-            await core.wait("place", core.ttl_s / 2)
-            if core.serving:
+            await core.routines.wait("place", core.membership.lease_ttl_s / 2)
+            if core.membership.serving:
                 now = time.monotonic()
                 if now - self.swept_at > core.settings.cluster.workers.lease_s:
                     self.swept_at = now
                     self.queue.sweep()
                 self._pass(now)
-                await core.flush()
+                await core.routines.flush()
             # Changes come one by one, and a pass takes them all.
             await curio.sleep(pause_s)
 
@@ -257,7 +271,7 @@
             awake += [g for g in asleep if not self._sleeps(g, look, False)]
         for managed in self._in_order(awake, look):
             if look.work >= MAX_PASS_WORK:
-                core.signal("place")
+                core.routines.signal("place")
                 break
             self._serve(managed, look)
         for key, rev in look.full.items():
@@ -269,12 +283,18 @@
                     if full.example.job.kind == ARRAY
                     else 0.0
                 )
-                full.nap = Nap(rev, now + gather_s, now + core.ttl_s / 6, look.policy, look.kept)
+                full.nap = Nap(
+                    rev,
+                    now + gather_s,
+                    now + core.membership.lease_ttl_s / 6,
+                    look.policy,
+                    look.kept,
+                )
                 full.fresh = False
         self._keep(look)
         if look.starved and not core.cached_state.starved:
-            core.signal("starved")
-            core.signal("demand")
+            core.routines.signal("starved")
+            core.routines.signal("demand")
         core.cached_state.starved = look.starved
 
     def _owed_now(self, now: float) -> dict[Name, Owed]:
@@ -406,7 +426,7 @@
         wanted = min(
             managed.pending,
             managed.size
-            * max(self.core.bounds.txn_ops // 4, min(3, self.core.dispatcher.start_chunks)),
+            * max(self.core.upgrade.limits.txn_ops // 4, min(3, self.core.dispatcher.start_chunks)),
         )
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
@@ -430,9 +450,9 @@
         age = now - managed.since
         # Not on ordinary machines that it alone would keep rented.
         lodger = job.backfill and age < self.long_s and self.hinders(job)
-        patient, fragile = core.patient(job, age), core.fragile(job, age)
+        patient, fragile = core.objectives.patient(job, age), core.objectives.fragile(job, age)
         spread = self.spread(managed)
-        limit = core.wait_limits.get(job.job_class)
+        limit = core.objectives.wait_limits.get(job.job_class)
         most = self._spared(job, self._stops(job, age, patient), look)
         find = partial(
             place,
@@ -497,10 +517,10 @@
                 spread,
             )
             # A look at all machines: not with each pass.
-            managed.claim_at = now + core.ttl_s / 6
+            managed.claim_at = now + core.membership.lease_ttl_s / 6
             if machines:
-                managed.preempt_at = now + core.ttl_s
-                core.spawn(self._claim(job, machines))
+                managed.preempt_at = now + core.membership.lease_ttl_s
+                core.routines.spawn(self._claim(job, machines))
         return chosen, wanted
 
     def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
@@ -518,7 +538,7 @@
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
             self.core.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
-        self.core.signal(managed.name)
+        self.core.routines.signal(managed.name)
 
     def _order(self, managed: ManagedJob, look: Look) -> tuple[float, ...]:
         """By rank, but for who is owed a share and hasn't had it: these come after replicas
@@ -558,7 +578,7 @@
         """
         cpus = filled = 0.0
         for pool in index.pools.values():
-            kind = self.core.owner.types.get(pool.type)
+            kind = self.core.machines.types.get(pool.type)
             totals = pool.count()
             cpus += totals.machines * kind.cpus if kind is not None else 0.0
             filled += totals.filled
@@ -585,18 +605,18 @@
             self.looked_until = now + self.core.settings.cluster.workers.report_s / OWED_LOOKS
             self.disturbers = {
                 (other.gpus > 0, other.rank): name
-                for name, (other, _) in self.core.live.items()
+                for name, (other, _) in self.core.jobs.live.items()
                 if self._disturbs(name)
             }
         return any(same(kind) for kind in self.disturbers)
 
     def _disturbs(self, name: str) -> bool:
-        known = self.core.live.get(name)
+        known = self.core.jobs.live.get(name)
         return (
             known is not None
             and known[0].kind != SERVICE
             and not known[0].without_objective
-            and not self.core.dependencies.waiting(name)
+            and not self.core.jobs.dependencies.waiting(name)
         )
 
     def _in_guarantee(self, job: Job) -> bool:
@@ -605,9 +625,9 @@
         if not self._guaranteed(job):
             return True
         which = 1 if job.gpus > 0 else 0
-        used = self.core.dispatcher.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
+        used = self.core.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
         need = amounts(job, 1 if job.kind != GANG else job.tasks)[which]
-        return used + need <= self.core.guarantees[job.team][which] + 1e-6
+        return used + need <= self.core.quotas.guarantees[job.team][which] + 1e-6
 
     def policy(self) -> Policy:
         """What keeps work off machines, from all jobs known, those just ended included.
@@ -616,19 +636,23 @@
         now and then, since jobs go; as long as it says the same, it is the same object.
         """
         core, now = self.core, time.monotonic()
-        if self.known is not None and now < self.known_until and self.known_types is core.types:
+        if (
+            self.known is not None
+            and now < self.known_until
+            and self.known_types is core.catalogue.types
+        ):
             return self.known
         found = Policy(
             [
-                *(j for j, _ in core.live.values()),
-                *core.ended_descriptions.values(),
-                *core.classes.values(),
+                *(j for j, _ in core.jobs.live.values()),
+                *core.jobs.ended_descriptions.values(),
+                *core.jobs.classes.values(),
             ],
-            core.types,
+            core.catalogue.types,
         )
         if self.known is None or not found.same(self.known):
             self.known = found
-        self.known_types = core.types
+        self.known_types = core.catalogue.types
         self.known_until = now + core.settings.cluster.workers.report_s
         return self.known
 
@@ -666,14 +690,14 @@
             spread.copy(),
             look.policy,
             most,
-            self.core.fragile(job, now - managed.since),
+            self.core.objectives.fragile(job, now - managed.since),
             patient,
             {*without, *managed.made} if managed.made else without,
             uncached,
         )
         shows = (
             now
-            + self.core.ttl_s / 3
+            + self.core.membership.lease_ttl_s / 3
             + (
                 0.0
                 if grace_s <= 0
@@ -683,10 +707,10 @@
         if found:
             # Only then: where no lower rank can be stopped, a higher one, or what other
             # teams borrow, is to be asked for in the same pass.
-            managed.preempt_at = now + self.core.ttl_s / 6
+            managed.preempt_at = now + self.core.membership.lease_ttl_s / 6
         for room, count in found:
             managed.made[room.machine] = (count, shows)
-            self.core.spawn(self._preempt(room.machine, job, grace_s, (), count))
+            self.core.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
         return bool(found) or coming > 0
 
     def _stops(self, job: Job, age_s: float, patient: bool) -> int:
@@ -697,8 +721,8 @@
         fleet a tenth were stopped for pipelines that had a minute to spare. (Not even the
         lowest was tried: they then took all free room, and made other work late.)
         """
-        own = self.core.dependencies.own_rank(job)
-        limit = self.core.wait_limits.get(job.job_class)
+        own = self.core.jobs.dependencies.own_rank(job)
+        limit = self.core.objectives.wait_limits.get(job.job_class)
         if own < job.rank and patient and (limit is None or age_s < limit / 2):
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
@@ -718,12 +742,12 @@
         """How long victims may take to save: as they need, but not while it may make a
         start late that is to be soon (six seconds of saving and a fetch did). A replica
         that is down is missed every second."""
-        limit = self.core.wait_limits.get(job.job_class)
+        limit = self.core.objectives.wait_limits.get(job.job_class)
         return 0.0 if job.kind == SERVICE or limit is not None and age_s < limit else math.inf
 
     def _guaranteed(self, job: Job) -> bool:
         """Whether the job's team has a guarantee that may be claimed for it."""
-        cpus, gpus = self.core.guarantees.get(job.team, (0.0, 0.0))
+        cpus, gpus = self.core.quotas.guarantees.get(job.team, (0.0, 0.0))
         return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
 
     @staticmethod
@@ -758,7 +782,7 @@
         used = {
             e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
         }
-        own, have = core.guarantees[job.team], used.get(job.team, (0.0, 0.0))
+        own, have = core.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
         need = amounts(job, 1 if job.kind != GANG else job.tasks)
         which = 1 if job.gpus > 0 else 0
         if have[which] + need[which] > own[which] + 1e-6:
@@ -766,7 +790,8 @@
         over = [
             team
             for team, use in used.items()
-            if team != job.team and use[which] > core.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
+            if team != job.team
+            and use[which] > core.quotas.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
         ]
         for machine in machines if over else ():
             if await self._preempt(machine, job, math.inf, over):
@@ -774,7 +799,7 @@
 
     def _fetch_from_s(self, job: Job, type: str) -> float:
         """How long the image takes on machines without it; rates differ by up to a third."""
-        kind = self.core.owner.types.get(type)
+        kind = self.core.machines.types.get(type)
         if kind is None or kind.fetch_gb_per_s <= 0:
             return 0.0
         return job.image_gb / kind.fetch_gb_per_s * 4 / 3
@@ -784,9 +809,9 @@
     ) -> bool:
         """Ask a machine's owner to make room for tasks of the job."""
         core = self.core
-        owner = core.epoch.place(machine)
-        if owner == core.label:
-            done = core.owner.preempt(job, machine, grace_s, time.monotonic(), over, count)
+        owner = core.membership.epoch.place(machine)
+        if owner == core.membership.label:
+            done = core.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
             core.fleet.poke(machine)
             return done
         try:
@@ -795,7 +820,7 @@
                     await core.peers[owner].call(
                         frames.PREEMPT,
                         (
-                            core.epoch.number,
+                            core.membership.epoch.number,
                             machine,
                             job.id,
                             count,
@@ -808,14 +833,14 @@
         except (PeerError, KeyError):
             return False
         if done and grace_s <= 0:
-            core.spawn(core.cached_state.pull_soon(owner))
+            core.routines.spawn(core.cached_state.pull_soon(owner))
         return done
 
     def spread(self, managed: ManagedJob) -> Spread:
         zones = []
         if managed.job.one_zone or managed.job.spread:
             for _, _, machine in managed.assignments():
-                zones.append(self.core.zones.get(machine))
+                zones.append(self.core.view.zones.get(machine))
         return Spread(managed.job, zones)
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
@@ -824,7 +849,7 @@
         It is stopped before it starts elsewhere, so its image must be there, or be
         fetched in less time than passes between two reports.
         """
-        managed = self.core.dispatcher.managed_jobs.get(job)
+        managed = self.core.jobs.managed.get(job)
         room = self.core.cached_state.rooms().get(machine)
         if (
             managed is None
@@ -836,7 +861,7 @@
             * (3.0 if drain and not self.policy().dear(managed.job, room) else 0.3)
         ):
             return False
-        zones = [self.core.zones.get(m) for n, _, m in managed.assignments() if n != number]
+        zones = [self.core.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
         policy, index = self.policy(), self.core.cached_state.index()
         dear = policy.dear(managed.job, room)
         soon = self._soon(managed.job, self.core.settings.cluster.workers.report_s)
@@ -879,8 +904,10 @@
     def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
         """Types whose machines have the job's image in time when they begin to fetch it now;
         None: all."""
-        found = frozenset(t for t in self.core.owner.types if self._fetch_from_s(job, t) < within_s)
-        return None if len(found) == len(self.core.owner.types) else found
+        found = frozenset(
+            t for t in self.core.machines.types if self._fetch_from_s(job, t) < within_s
+        )
+        return None if len(found) == len(self.core.machines.types) else found
 
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Tasks that the team's limit leaves room for, as far as known here.
@@ -888,8 +915,8 @@
         What was read long ago is not believed: other homes may have released
         some since, and nothing else would ever make us look again.
         """
-        limit = self.core.limits.get(job.team, (0.0, 0.0))
-        used, _, at = self.core.dispatcher.quotas.get(job.team, ((0.0, 0.0), 0, 0.0))
+        limit = self.core.quotas.limits.get(job.team, (0.0, 0.0))
+        used, _, at = self.core.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
         if time.monotonic() - at > self.core.settings.cluster.workers.report_s:
             return wanted
         for cap, have, need in zip(limit, used, amounts(job, 1)):
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -18,7 +18,6 @@
     CANCEL_S,
     URGENT_S,
     ConflictError,
-    Lookups,
     OutcomeUnknownError,
     Txn,
     UnavailableError,
@@ -50,7 +49,7 @@
 
     def __init__(self, core: Controller) -> None:
         self.core = core
-        self.lookups = Lookups(core.store, 4 * core.settings.cluster.state.txn_ops, POLL_S / 3)
+        self.lookups = core.lookups
         # What can't be written while its user waits is refused before anything is asked.
         self.admission = AdmissionControl(IN_TIME * SUBMIT_S, RETRY_MOST_S)
         # With less processor time than all ask for, submissions are refused while polls, reports
@@ -72,7 +71,7 @@
             # A malformed value or answer costs this request, not the process.
             log.error("path=%s event=malformed cause=%r", path, exc)
             status, value = 503, {"error": "malformed data"}
-        await self.core.flush()
+        await self.core.routines.flush()
         headers: Headers = []
         if status == 503 and path.startswith("/api/"):
             headers.append(("Retry-After", str(after_s)))
@@ -84,7 +83,9 @@
                 return 405, {}
             return await self.core.fleet.report(body)
         if path == "/up":
-            return (405, {}) if method != "GET" else (200 if self.core.healthy() else 503, {})
+            return (
+                (405, {}) if method != "GET" else (200 if self.core.renewal.healthy() else 503, {})
+            )
         if path == "/api/jobs":
             return await self._submit(body) if method == "POST" else (405, {})
         if path.startswith("/api/jobs/"):
@@ -103,9 +104,9 @@
         that finding neither means that the job was never accepted.
         """
         core = self.core
-        if job in core.ended:
-            return core.ended[job]
-        live = core.live.get(job)
+        if job in core.jobs.ended:
+            return core.jobs.ended[job]
+        live = core.jobs.live.get(job)
         if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
             return "live"
         if not valid_id(job):
@@ -119,8 +120,8 @@
             return "live"
         entry = await core.store.get(end_key(job), deadline)
         await self._guard({live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline)
-        if entry is None and job in core.live:
-            core.suspect(f"{job} is gone")
+        if entry is None and job in core.jobs.live:
+            core.rebuild.suspect(f"{job} is gone")
             raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
@@ -130,7 +131,7 @@
     async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
         """That what was read is from the history of the records that we act on: a read by
         itself says nothing of that."""
-        if self.core.recovery is None:
+        if self.core.rebuild.recovery is None:
             return
         txn = Txn()
         for key, rev in revs.items():
@@ -145,22 +146,22 @@
         be told of that in time."""
         core = self.core
         if status != "live":
-            known = core.live.get(job)
+            known = core.jobs.live.get(job)
             done = known[0].tasks if status == "done" and known else 0
             return {**await self._over(job, status, deadline), "done": done, "running": 0}
         counts = core.dispatcher.counts(job)
-        leader = core.epoch.place(job)
-        if counts is None and leader in core.peers and core.member:
+        leader = core.membership.epoch.place(job)
+        if counts is None and leader in core.peers and core.membership.is_member:
             try:
                 ok, done, running = await core.peers[leader].call(
-                    frames.COUNTS, (core.epoch.number, job), POLL_S / 4
+                    frames.COUNTS, (core.membership.epoch.number, job), POLL_S / 4
                 )
                 counts = (done, running) if ok else None
             except PeerError:
                 counts = None
-        if job in core.ended:
+        if job in core.jobs.ended:
             # It ended while the home was asked: that has been told to somebody by now.
-            return await self._answer(job, core.ended[job], deadline)
+            return await self._answer(job, core.jobs.ended[job], deadline)
         # For display only: a home out of reach must not cost the user its answer.
         done, running = counts or (0, 0)
         return {
@@ -182,7 +183,7 @@
     async def _submit(self, body: bytes) -> tuple[int, dict[str, Any]]:
         core = self.core
         try:
-            job = core.with_objectives(msgspec.json.decode(body, type=Description))
+            job = core.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return 400, {"error": str(exc)}
         if not core.stalls.check(time.monotonic()):
@@ -198,14 +199,18 @@
             > core.settings.cluster.state.least().value_kb * 1024 - END_BYTES
         ):
             return await self._refuse(job, 400, "description too large", deadline)
-        limit = core.limits.get(job.team)
-        if not core.types and job.id not in core.ended:
+        limit = core.quotas.limits.get(job.team)
+        if not core.catalogue.types and job.id not in core.jobs.ended:
             return 503, {"error": "machine types not known yet"}
-        if limit is None or not can_be_placed(job, core.types) or not can_ever_run(job, limit):
+        if (
+            limit is None
+            or not can_be_placed(job, core.catalogue.types)
+            or not can_ever_run(job, limit)
+        ):
             return await self._refuse(job, 422, "can never run", deadline)
-        if job.id in core.ended:
-            return 200, await self._answer(job.id, core.ended[job.id], deadline)
-        if job.id in core.live:
+        if job.id in core.jobs.ended:
+            return 200, await self._answer(job.id, core.jobs.ended[job.id], deadline)
+        if job.id in core.jobs.live:
             known = await self._known(job.id, deadline)
             if known is not None:
                 return 200, await self._answer(job.id, known, deadline)
@@ -214,7 +219,7 @@
             wrong = await self._unsuitable(job.prereqs, deadline)
             if wrong:
                 return await self._refuse(job, 422, wrong, deadline)
-            if not core.upgraded:
+            if not core.upgrade.complete:
                 # The version in production would start it at once.
                 raise UnavailableError("not all controllers can take prereqs yet")
         txn = Txn().require(live_key(job.id), 0).require(end_key(job.id), 0)
@@ -242,8 +247,8 @@
             job.tasks,
         )
         core.record_replica.note_live(job, rev, core.record_replica.since(submitted))
-        if core.recovery is not None:
-            await core.recovery.second(rev, deadline)
+        if core.rebuild.recovery is not None:
+            await core.rebuild.recovery.second(rev, deadline)
         return 201, {"id": job.id, "status": "queued"}
 
     async def _refuse(
@@ -273,13 +278,13 @@
         core = self.core
         unknown = []
         for name in dict.fromkeys(names):
-            known = core.live.get(name)
-            if known is None and name not in core.ended:
+            known = core.jobs.live.get(name)
+            if known is None and name not in core.jobs.ended:
                 unknown.append(name)
             elif known is not None and known[0].kind == SERVICE:
                 return f"{name} is a service"
         # Of many at once, which records there are: a comparison names those that exist.
-        most = max(1, core.bounds.txn_ops * 2 - core.store.beside)
+        most = max(1, core.upgrade.limits.txn_ops * 2 - core.store.beside)
         for first in range(0, len(unknown), most):
             part = unknown[first : first + most]
             txn = Txn()
@@ -312,8 +317,8 @@
         deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
         attempt = core.store.begin(deadline)
         while deadline.allows(time.monotonic()):
-            if job in core.ended:
-                return 200, await self._over(job, core.ended[job], deadline)
+            if job in core.jobs.ended:
+                return 200, await self._over(job, core.jobs.ended[job], deadline)
             entry = await core.store.get(live_key(job), deadline)
             if entry is None:
                 known = await self._known(job, deadline)
@@ -326,7 +331,9 @@
             at = time.time()
             txn.put(
                 end_key(job),
-                truncate_end(end_value("cancelled", at, entry.value["j"]), core.bounds.value_kb),
+                truncate_end(
+                    end_value("cancelled", at, entry.value["j"]), core.upgrade.limits.value_kb
+                ),
             )
             try:
                 rev = await core.store.commit(txn, deadline, CANCEL_S)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -41,24 +41,24 @@
         self.now = 1000.0
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
         self.c = Controller(parse(json.dumps(GOOD).encode()))
-        self.c.types = msgspec.convert(TYPES, list[MachineType])
-        self.c.owner.types = {t.name: t for t in self.c.types}
-        self.c.epoch = Epoch(1, {"c0": "x"}, 1)
-        self.c.owner.begin(self.c.epoch, "c0")
+        self.c.catalogue.types = msgspec.convert(TYPES, list[MachineType])
+        self.c.machines.types = {t.name: t for t in self.c.catalogue.types}
+        self.c.membership.epoch = Epoch(1, {"c0": "x"}, 1)
+        self.c.machines.begin(self.c.membership.epoch, "c0")
         self.seq = 0
 
     def wait(self, job: Job) -> ManagedJob:
-        self.c.live[job.id] = (job, 1)
+        self.c.jobs.live[job.id] = (job, 1)
         self.c.placer.learn(job)
-        managed = self.c.dispatcher.managed_jobs[job.id] = ManagedJob(job, 1, 50, self.now)
-        self.c.placer.queue.touch(job.id)
+        managed = self.c.jobs.managed[job.id] = ManagedJob(job, 1, 50, self.now)
+        self.c.queue.touch(job.id)
         return managed
 
     def report(self, name: str, zone: str, kind: str, *tasks: str) -> None:
         self.seq += 1
-        token = self.c.owner.machine(name, self.now).token
+        token = self.c.machines.machine(name, self.now).token
         pieces = [ReportedTask(t, 1, "running") for t in tasks]
-        self.c.owner.take_report(
+        self.c.machines.take_report(
             WorkerHeartbeat(name, "m:1", kind, zone, False, 1, self.seq, token, pieces),
             self.now,
             True,
@@ -66,30 +66,32 @@
 
     def order(self, managed: ManagedJob) -> tuple[float, ...]:
         placer = self.c.placer
-        return placer._order(managed, Look(self.now, self.c.index, placer.policy(), {}, None, {}))
+        return placer._order(
+            managed, Look(self.now, self.c.view.index, placer.policy(), {}, None, {})
+        )
 
     def look(self) -> None:
         """One pass of the placer and what it asks of the owner; nothing is started."""
-        self.c.placer.queue.sweep()
+        self.c.queue.sweep()
         self.c.placer._pass(self.now)
-        coros, self.c.coros = self.c.coros, []
+        coros, self.c.routines.coros = self.c.routines.coros, []
 
         async def run() -> None:
             for coro in coros:
                 await coro
 
         curio.run(run)
-        for coro in self.c.coros:
+        for coro in self.c.routines.coros:
             coro.close()  # commands to workers, which there are none of here
-        self.c.coros.clear()
-        self.c.signalled.clear()
+        self.c.routines.coros.clear()
+        self.c.routines.signalled.clear()
 
 
 def test_room_made_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
     home = Home(monkeypatch)
-    home.c.live[LOW.id] = (LOW, 1)
+    home.c.jobs.live[LOW.id] = (LOW, 1)
     home.report("m1", "north", "accel", f"{LOW.id}/0")
-    owner = home.c.owner
+    owner = home.c.machines
     assert owner.preempt(PAIR, "m1", 0.0, home.now)
     assert owner.reserve(SMALL, [("m1", 0)], 1, home.now) == [False]
     assert owner.reserve(PAIR, [("m1", 0)], 1, home.now) == [True]
@@ -132,7 +134,7 @@
     """Work without an aim was taken for late, and rented machines at 18 times the price."""
     home = Home(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert home.c.patient(home.c.with_objectives(job), age) == patient
+    assert home.c.objectives.patient(home.c.objectives.with_objectives(job), age) == patient
 
 
 def test_lower_ranks_give_way_before_a_dear_machine_is_filled(
@@ -140,17 +142,17 @@
 ) -> None:
     """Else what is late stays on dear machines while cheap ones run what can wait."""
     home = Home(monkeypatch)
-    home.c.live[LOW.id] = (LOW, 1)
+    home.c.jobs.live[LOW.id] = (LOW, 1)
     home.report("m1", "north", "plain", *(f"{LOW.id}/{n}" for n in range(4)))
     home.report("m2", "north", "accel")
     hurried = home.wait(msgspec.convert(wire_job(4, pieces=3, loaners=False, due_s=12.0), Job))
     home.look()
-    kills = home.c.owner.machines["m1"].kills
+    kills = home.c.machines.machines["m1"].kills
     assert len(kills) == 3 and not hurried.starts
     home.now += 30.0  # it didn't help: rather late on a dear machine than not at all
     home.report("m1", "north", "plain", *(f"{n}/0" for n in ("j-9", "j-8", "j-7", "j-6")))
     for n in ("j-9", "j-8", "j-7", "j-6"):
-        home.c.live[n] = (msgspec.convert(wire_job(9, rank="normal"), Job), 1)
+        home.c.jobs.live[n] = (msgspec.convert(wire_job(9, rank="normal"), Job), 1)
     home.report("m2", "north", "accel")
     home.look()
     assert [m for _, m in hurried.starts] == ["m2"] * 3
@@ -163,9 +165,9 @@
     again and again until the start was late."""
     home = Home(monkeypatch)
     normal = msgspec.convert(wire_job(5, pieces=4), Job)
-    home.c.live[normal.id] = (normal, 1)
+    home.c.jobs.live[normal.id] = (normal, 1)
     home.report("m1", "north", "plain", *(f"{normal.id}/{n}" for n in range(4)))
-    home.c.owner.machines["m1"].images["img-1"] = 1.0
+    home.c.machines.machines["m1"].images["img-1"] = 1.0
     home.wait(
         msgspec.convert(
             wire_job(6, pieces=2, shape="daemon", jobclass="web", rank="production", loaners=False),
@@ -173,7 +175,7 @@
         )
     )
     home.look()
-    assert len(home.c.owner.machines["m1"].kills) == 2
+    assert len(home.c.machines.machines["m1"].kills) == 2
 
 
 def test_a_guarantee_is_claimed_where_no_lower_rank_can_be_stopped(
@@ -186,7 +188,7 @@
         claims.append(job.id)
 
     monkeypatch.setattr(home.c.placer, "_claim", claim)
-    home.c.live[SMALL.id] = (SMALL, 1)
+    home.c.jobs.live[SMALL.id] = (SMALL, 1)
     home.report("m1", "north", "accel", "j-000001/0")
     gang = msgspec.convert(
         wire_job(7, pieces=1, cards=1.0, owner="tight", shape="ensemble", loaners=False), Job
@@ -219,7 +221,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     home = Home(monkeypatch)
-    home.c.wait_limits["batch"] = 30.0
+    home.c.objectives.wait_limits["batch"] = 30.0
     late, early = home.wait(PAIR), home.wait(SMALL)
     late.since -= 40.0
     assert home.order(early) < home.order(late)
@@ -249,10 +251,10 @@
     """Peers pull what changed since their last pull; nothing may be missing from it."""
     rng = random.Random(seed)
     owner_side, home = Home(monkeypatch), Home(monkeypatch)
-    owner, cached_state = owner_side.c.owner, home.c.cached_state
-    home.c.live[LOW.id] = owner_side.c.live[LOW.id] = (LOW, 1)
-    home.c.epoch = owner_side.c.epoch = Epoch(1, {"c1": "y"}, 1)
-    owner_side.c.serving = True
+    owner, cached_state = owner_side.c.machines, home.c.cached_state
+    home.c.jobs.live[LOW.id] = owner_side.c.jobs.live[LOW.id] = (LOW, 1)
+    home.c.membership.epoch = owner_side.c.membership.epoch = Epoch(1, {"c1": "y"}, 1)
+    owner_side.c.membership.serving = True
 
     async def call(_: int, values: tuple[Any, ...]) -> tuple[Any, ...]:
         return owner_side.c.cached_state.table(values[1], [n for (n,) in values[2]])
@@ -279,14 +281,15 @@
             owner.preempt(PAIR, name, 0.0, home.now)
         else:
             owner.expire(home.now)
-        room = home.c.rooms.get(name)
+        room = home.c.view.rooms.get(name)
         if room is not None and rng.random() < 0.3:
             room.take(LOW)  # charged here, and declined
             cached_state.stale[name] = None
         if rng.random() < 0.5:
             curio.run(cached_state.refresh_peers, False)
             shown = {
-                n: (r.cpus, r.tasks, r.open, r.idle_since, r.used) for n, r in home.c.rooms.items()
+                n: (r.cpus, r.tasks, r.open, r.idle_since, r.used)
+                for n, r in home.c.view.rooms.items()
             }
             rooms = [owner.room(m, "c1", home.now) for m in owner.machines.values() if m.known]
             assert shown == {
@@ -339,7 +342,7 @@
     home = Home(monkeypatch)
     big: dict[str, Any] = {"vcpus": 8.0, "pieces": 3, "due_s": 1000.0}
     busy = msgspec.convert(wire_job(7, pieces=9, rank="production"), Job)
-    home.c.live[busy.id] = (busy, 1)
+    home.c.jobs.live[busy.id] = (busy, 1)
     home.report("m1", "north", "plain", f"{busy.id}/0")
     first = home.wait(msgspec.convert(wire_job(1, **big), Job))
     second = home.wait(msgspec.convert(wire_job(2, **big), Job))
@@ -358,12 +361,14 @@
         home.report("m2", "north", "plain")
     elif happens == "room kept for it":
         home.report("m2", "north", "plain")
-        m = home.c.owner.machines["m2"]
+        m = home.c.machines.machines["m2"]
         m.hold_job, m.hold_until = second.job.id, home.now + 10.0
     elif happens == "time":
-        home.now += home.c.ttl_s / 6
+        home.now += home.c.membership.lease_ttl_s / 6
     elif happens == "prices":
-        home.c.types = [msgspec.structs.replace(t, price=t.price * 2) for t in home.c.types]
+        home.c.catalogue.types = [
+            msgspec.structs.replace(t, price=t.price * 2) for t in home.c.catalogue.types
+        ]
     home.look()
     assert [name for name in found if name in looked] == looked and (looked or not found)
     if happens == "room kept for it":
@@ -373,7 +378,7 @@
 def test_a_pass_is_bounded_and_goes_on_where_it_stopped(monkeypatch: pytest.MonkeyPatch) -> None:
     """After all controllers had ended, one pass over everything that waited kept reports
     from being answered."""
-    monkeypatch.setattr("clayport.scheduling.placer.WORK_MOST", 6)
+    monkeypatch.setattr("clayport.scheduling.placer.MAX_PASS_WORK", 6)
     home = Home(monkeypatch)
     for number in range(4):
         home.report(f"m{number}", "north", "plain")
@@ -381,7 +386,7 @@
         home.wait(msgspec.convert(wire_job(n, pieces=4, due_s=100.0 + n), Job)) for n in range(1, 5)
     ]
     raised = []
-    monkeypatch.setattr(home.c, "signal", lambda name: raised.append(name))
+    monkeypatch.setattr(home.c.routines, "signal", lambda name: raised.append(name))
     home.c.placer._pass(home.now)
     assert [bool(managed.starts) for managed in jobs] == [
         True,
@@ -398,9 +403,9 @@
     """It is kept between reports: reserved, launched, ended, closed and unknown tasks must
     all show in the next look, or a machine is filled twice."""
     home = Home(monkeypatch)
-    owner = home.c.owner
+    owner = home.c.machines
     job = msgspec.convert(wire_job(4, pieces=4), Job)
-    home.c.live[job.id] = (job, 1)
+    home.c.jobs.live[job.id] = (job, 1)
     home.report("m1", "north", "plain")
     m = owner.machines["m1"]
     charged = owner.room(m)
@@ -411,10 +416,10 @@
     home.now += owner.reserve_s + 1.0
     owner.expire(home.now)
     assert owner.room(m).cpus == 8.0
-    del home.c.live[job.id]
+    del home.c.jobs.live[job.id]
     home.report("m1", "north", "plain", f"{job.id}/0")  # of a job not known here yet
     assert owner.room(m).cpus == 8.0 and owner.room(m).tasks == 1
-    home.c.live[job.id] = (job, 1)
+    home.c.jobs.live[job.id] = (job, 1)
     assert owner.room(m).cpus == 6.0 and owner.room(m).open
     m.fencing = True
     assert not owner.room(m).open
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -182,8 +182,8 @@
     for number in range(8):
         home.report(f"m{number}", "north", "plain")  # 64 CPUs
     for number in range(4):
-        home.c.owner.machines[f"m{number}"].spot = True
-    home.c.owner.touch_all()
+        home.c.machines.machines[f"m{number}"].spot = True
+    home.c.machines.touch_all()
     guest = home.wait(made(1, jobclass="unnamed", rank="best_effort", pieces=32))
     late = home.wait(made(2, rank=rank, pieces=4, loaners=False))
     late.since -= 500.0
@@ -203,7 +203,7 @@
     """Whoever could be hindered is remembered, not looked for with each pass; with the last
     of them gone the next is found at once, not a quarter of a second later."""
     home = Home(monkeypatch)
-    placer, live = home.c.placer, home.c.live
+    placer, live = home.c.placer, home.c.jobs.live
     jobs = [
         made(1, rank="best_effort"),
         made(2, rank="best_effort"),
@@ -232,9 +232,9 @@
     """What saves goes on elsewhere; for the rest the machine closes and empties by itself."""
     home = Home(monkeypatch)
     guest = made(1, jobclass="unnamed", rank="best_effort", **fields)
-    home.c.live[guest.id] = (guest, 1)
+    home.c.jobs.live[guest.id] = (guest, 1)
     home.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
-    owner = home.c.owner
+    owner = home.c.machines
     idle_since = owner.room(owner.machines["m1"]).idle_since
     home.now += 50.0
     home.report("m1", "north", "plain", "j-000001/0")
@@ -258,10 +258,10 @@
     home = Home(monkeypatch)
     aimed, guest = made(1, rank="best_effort"), made(2, rank="best_effort", jobclass="unnamed")
     for job in (aimed, guest):
-        home.c.live[job.id] = (job, 1)
+        home.c.jobs.live[job.id] = (job, 1)
     home.report("m1", "north", "plain", "j-000001/0", "j-000001/1", "j-000002/0", "j-000002/1")
-    assert home.c.owner.preempt(made(3), "m1", 0.0, home.now, (), 2)
-    assert {k[0] for k in home.c.owner.machines["m1"].kills} == {"j-000002/0", "j-000002/1"}
+    assert home.c.machines.preempt(made(3), "m1", 0.0, home.now, (), 2)
+    assert {k[0] for k in home.c.machines.machines["m1"].kills} == {"j-000002/0", "j-000002/1"}
 
 
 @pytest.mark.parametrize("still_s", [0.0, 2.0, 5.0, 10.0, 20.0, 60.0])
@@ -274,17 +274,19 @@
     c = home.c
     home.report("m1", "north", "plain")
     for label in ("c1", "c2"):
-        c.nodes[label] = label
+        c.membership.present[label] = label
         if label in c.peers:
             c.peers[label].heard = home.now
     assert c.stalls.check(home.now)
     home.now += still_s + 0.2
     known = c.stalls.check(home.now)
     assert known == (still_s == 0.0)
-    assert c.rescan and (still_s == 0.0 or not c.store.ok)
-    assert home.now - c.owner.machines["m1"].heard < c.fleet.silent_s
+    assert c.membership.rescan and (still_s == 0.0 or not c.store.ok)
+    assert home.now - c.machines.machines["m1"].heard < c.fleet.silent_s
     heard = {label: c.peers[label].heard for label in c.peers}
-    assert not should_leave(home.now, c.label, heard, heard, 1.5 * c.ttl_s)
+    assert not should_leave(
+        home.now, c.membership.label, heard, heard, 1.5 * c.membership.lease_ttl_s
+    )
     if not known:
         # What it last saw counts again once it has learnt whether it is still a member.
         c.stalls.confirmed_count = c.stalls.count
@@ -293,12 +295,12 @@
 
 def test_what_waited_while_we_stood_still_is_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
     home = Home(monkeypatch)
-    home.c.ended["j-000001"] = "done"  # so that nothing has to be asked
+    home.c.jobs.ended["j-000001"] = "done"  # so that nothing has to be asked
     body = msgspec.json.encode(wire_job(1))
     found = []
     for still_s in (0.0, 8.0, 0.0):
         home.now += still_s
-        found.append(curio.run(home.c.api.handle, "POST", "/api/jobs", body)[0])
+        found.append(curio.run(home.c.user_api.handle, "POST", "/api/jobs", body)[0])
         home.c.stalls.confirmed_count = home.c.stalls.count
     assert found == [200, 503, 200]
 
@@ -320,19 +322,19 @@
     (Without `processor_admission` the last three rows are accepted.)"""
     home = Home(monkeypatch)
     c = home.c
-    c.ended["j-000002"] = "done"
-    c.serving = True
+    c.jobs.ended["j-000002"] = "done"
+    c.membership.serving = True
     c.stalls.timer_delay_s = late_s
 
     async def commit(*_: Any) -> int:
         return 5
 
     monkeypatch.setattr(c.store, "commit", commit)
-    monkeypatch.setattr(c, "may_renew", lambda now: True)
+    monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
     report |= {"loaners": False, "tenure": 1, "counter": 1, "epoch": 0, "pieces": []}
     answers = [
-        curio.run(c.api.handle, method, path, msgspec.json.encode(body))
+        curio.run(c.user_api.handle, method, path, msgspec.json.encode(body))
         for method, path, body in (
             ("POST", "/api/jobs", wire_job(1)),
             ("POST", "/api/jobs", wire_job(2)),
@@ -501,8 +503,8 @@
     c = home.c
     home.report("m1", "north", "plain")
     job = made(1)
-    c.live[job.id] = (job, 1)
-    c.serving = True
+    c.jobs.live[job.id] = (job, 1)
+    c.membership.serving = True
     old = ManagedJob(job, 1, 50, home.now, epoch=0)
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
@@ -514,9 +516,9 @@
         step = c.dispatcher._adopt if prepare == "adopt" else c.dispatcher._step
         with pytest.raises(EpochEndedError):
             curio.run(step, old)
-        assert not c.owner.machines["m1"].desired
+        assert not c.machines.machines["m1"].desired
     curio.run(c.dispatcher._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
-    assert not c.owner.machines["m1"].kills
+    assert not c.machines.machines["m1"].kills
 
 
 def test_a_reservation_never_replaces_what_is_there() -> None:
@@ -567,14 +569,14 @@
     home = Home(monkeypatch)
     c, returned = home.c, []
     job = made(1)
-    c.live[job.id] = (job, 1)
+    c.jobs.live[job.id] = (job, 1)
     for number in range(6):
         home.report(f"m{number}", "north", "plain")
         if number < 4:
-            c.owner.reserve(job, [(f"m{number}", number)], 1, home.now)
-            c.owner.launch([(f"m{number}", f"j-000001/{number}", 1)])
+            c.machines.reserve(job, [(f"m{number}", number)], 1, home.now)
+            c.machines.launch([(f"m{number}", f"j-000001/{number}", 1)])
             home.report(f"m{number}", "north", "plain")
-            c.owner.machines[f"m{number}"].listed[(f"j-000001/{number}", 1)] = (
+            c.machines.machines[f"m{number}"].listed[(f"j-000001/{number}", 1)] = (
                 "exited",
                 "done",
                 False,
@@ -585,12 +587,12 @@
 
     monkeypatch.setattr(c.cloud, "give_back", give_back)
     home.now += 1000.0
-    types = {t.name: t for t in c.types}
+    types = {t.name: t for t in c.catalogue.types}
 
     async def rounds() -> None:
         for _ in range(3):
             home.now += 1.0
-            c.owner.touch_all()
+            c.machines.touch_all()
             await c.provisioner._return_idle(types, [], [], OPEN, home.now)
 
     curio.run(rounds)
@@ -620,9 +622,16 @@
     monkeypatch.setattr(c.cloud, "give_back", give_back)
     monkeypatch.setattr(type(c.provisioner), "_lost", staticmethod(count))
     home.now += 1000.0
-    c.owner.touch_all()
+    c.machines.touch_all()
     needs = [Demand(made(1, vcpus=2.0), spare)] if spare else []
-    curio.run(c.provisioner._return_idle, {t.name: t for t in c.types}, [], needs, OPEN, home.now)
+    curio.run(
+        c.provisioner._return_idle,
+        {t.name: t for t in c.catalogue.types},
+        [],
+        needs,
+        OPEN,
+        home.now,
+    )
     assert len(gone) == returned and len(asked) <= looks
     assert asked[0] == ["m0", "m1", "m2", "m3"]
 
@@ -638,8 +647,8 @@
     for number in range(8):
         home.report(f"m{number}", "north", "plain", *(f"j-000007/{number}{n}" for n in range(4)))
     archive = made(7, jobclass="unnamed", rank="best_effort", pieces=100)
-    home.c.live[archive.id] = (archive, 1)
-    home.c.owner.touch_all()
+    home.c.jobs.live[archive.id] = (archive, 1)
+    home.c.machines.touch_all()
     gang = home.wait(
         made(
             1, jobclass="unnamed", shape="ensemble", pieces=1, vcpus=16.0, cards=2.0, loaners=False
@@ -657,12 +666,14 @@
     home.report("m9", "north", "accel", *(f"j-000007/9{n}" for n in range(4)))
     home.report("m10", "north", "accel", *(f"j-000005/{n}" for n in range(4)))
     other = made(5, jobclass="unnamed", pieces=100)
-    home.c.live[other.id] = (other, 1)
-    home.c.owner.touch_all()
-    home.now += home.c.ttl_s
+    home.c.jobs.live[other.id] = (other, 1)
+    home.c.machines.touch_all()
+    home.now += home.c.membership.lease_ttl_s
     home.look()
-    assert gang.starts == [] and home.c.owner.machines["m10"].kills == {}
-    assert {k[0] for k in home.c.owner.machines["m9"].kills} == {f"j-000007/9{n}" for n in range(4)}
+    assert gang.starts == [] and home.c.machines.machines["m10"].kills == {}
+    assert {k[0] for k in home.c.machines.machines["m9"].kills} == {
+        f"j-000007/9{n}" for n in range(4)
+    }
     home.report("m9", "north", "accel")
     home.look()
     assert gang.starts == [(0, "m9")]
@@ -691,16 +702,16 @@
     highest token that it has seen, when ours is the fourth."""
     home = Home(monkeypatch)
     c = home.c
-    c.begin(Epoch(4, {"c1": "first"}, 7))
-    c.state_known = True
-    monkeypatch.setattr(c, "may_renew", lambda now: True)
+    c.transition.begin(Epoch(4, {"c1": "first"}, 7))
+    c.membership.records_loaded = True
+    monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
     c.watermark.promised("c1", heard, home.now + heard_s, home.now + heard_s)
     c.fleet.forwarded["m1"] = home.now
     sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
     report |= {"loaners": False, "tenure": 1, "counter": 1, "epoch": sent, "pieces": []}
     body = msgspec.json.encode(report)
-    status, answer, _ = curio.run(c.api.handle, "POST", "/v1/report", body)
+    status, answer, _ = curio.run(c.user_api.handle, "POST", "/v1/report", body)
     token = msgspec.json.decode(answer)["epoch"]
     assert status == 200
     if not voids:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -55,7 +55,7 @@
 def cast(world: World, row: Gap) -> tuple[str, str, str]:
     """A job of the row's kind, the owner of a machine that it is on, and another controller;
     its home is as the row has it."""
-    epoch = next(iter(world.controllers.values())).epoch
+    epoch = next(iter(world.controllers.values())).membership.epoch
     for name in sorted(world.accepted - set(world.cancelled)):
         if world.kinds[name] != row.kind:
             continue
@@ -117,7 +117,7 @@
     end = world.clock() + 20.0
     while world.clock() < end:
         await curio.sleep(0.05)
-        for m in world.controllers[refused].owner.machines.values():
+        for m in world.controllers[refused].machines.machines.values():
             for (task, _), desired in m.desired.items():
                 if world.kinds[task.partition("/")[0]] == "launch" and desired.phase == SENT:
                     return task.partition("/")[0], refused, asked
--- a/tests/test_meetings_page.py
+++ b/tests/test_meetings_page.py
@@ -100,7 +100,9 @@
     """Jobs are cancelled before, in and after the same tenth of a second in which the state
     service refuses one alone; a second later it is out for longer than `cancel_s`."""
     names = await long_jobs(world, 10)
-    owners = [world.controllers["c0"].epoch.place(w.name) for w in running(world, names[0])]
+    owners = [
+        world.controllers["c0"].membership.epoch.place(w.name) for w in running(world, names[0])
+    ]
     await cancel(world, names, 0.5)
     await curio.sleep(0.2)
     world.state.refused.add(owners[0] if owners else "c0")
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -180,11 +180,10 @@
 async def lower(world: World) -> None:
     """Moments after all are new, with whatever is still to be moved."""
     while not any(
-        c.upgraded
-        and c.serving
+        c.upgrade.complete
+        and c.membership.serving
         and not any(
-            h.wide or h.size > c.narrow_size < h.job.tasks
-            for h in c.dispatcher.managed_jobs.values()
+            h.wide or h.size > c.upgrade.chunk_size < h.job.tasks for h in c.jobs.managed.values()
         )
         for c in world.controllers.values()
     ):
@@ -419,11 +418,11 @@
     while not on():
         await curio.sleep(0.1)
         for c in world.controllers.values():
-            if c.serving and c.epoch.place("j-000001") == c.label:
-                for machine in c.owner.machines.values():
+            if c.membership.serving and c.membership.epoch.place("j-000001") == c.membership.label:
+                for machine in c.machines.machines.values():
                     machine.hold_job, machine.hold_until = "other", clock() + 60.0
     worker = on()[0]
-    owner = next(c for c in world.controllers.values() if worker.name in c.owner.machines).owner
+    owner = next(c for c in world.controllers.values() if worker.name in c.machines.machines).owner
     machine = owner.machines[worker.name]
     machine.hold_job, machine.hold_until = "other", clock() + 25.0  # not there again
     owner.touch(worker.name)
@@ -460,7 +459,7 @@
     """The version's record was written anew after the epoch that all waited for, and
     pipelines were refused until a controller ended."""
     world = simulate(monkeypatch, key_applied_twice)
-    assert [c.upgraded for c in world.controllers.values()] == [True] * 3
+    assert [c.upgrade.complete for c in world.controllers.values()] == [True] * 3
 
 
 @pytest.mark.parametrize("controllers", [3, 5])
--- a/tests/test_peer_requests.py
+++ b/tests/test_peer_requests.py
@@ -69,6 +69,9 @@
 
     monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=never))
     c = Controller(parse(json.dumps(GOOD).encode()))
-    c.epoch, c.serving = Epoch(number, {c.label: c.incarnation}, 1), serving
+    c.membership.epoch, c.membership.serving = (
+        Epoch(number, {c.membership.label: c.membership.incarnation}, 1),
+        serving,
+    )
     reply, answer = curio.run(c.peer_requests.answer, kind, example(frames.SCHEMAS[kind]))
     assert not answer[0] and frames.encode(reply, 1, answer)
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -147,7 +147,7 @@
 
 
 def controller(world: World) -> Controller:
-    return next(c for c in world.controllers.values() if c.serving)
+    return next(c for c in world.controllers.values() if c.membership.serving)
 
 
 async def settled(clock: Clock, controllers: int = 1, **kept: Any) -> World:
@@ -155,7 +155,7 @@
     for label in world.labels:
         await world.start(label)
     await curio.spawn(world.spawner, daemon=True)
-    while not all(c.serving and c.types for c in world.controllers.values()):
+    while not all(c.membership.serving and c.catalogue.types for c in world.controllers.values()):
         await curio.sleep(0.1)
     return world
 
@@ -216,11 +216,16 @@
                             ],
                         }
                     )
-                for known in (c.live, c.ended, c.dependencies.nodes, c.dependencies.ends):
+                for known in (
+                    c.jobs.live,
+                    c.jobs.ended,
+                    c.jobs.dependencies.nodes,
+                    c.jobs.dependencies.ends,
+                ):
                     known.clear()
-            found.append((await c.api.handle("POST", "/api/jobs", body))[0])
+            found.append((await c.user_api.handle("POST", "/api/jobs", body))[0])
         # A repeated submission is not refused, whatever it says by now.
-        found.append((await c.api.handle("POST", "/api/jobs", body))[0])
+        found.append((await c.user_api.handle("POST", "/api/jobs", body))[0])
         return found
 
     again = 200 if status == 201 else status
@@ -238,7 +243,7 @@
         await curio.sleep(20.0)
         await world.submit(job(1), 1e9)
         body = msgspec.json.encode(job(2, prereqs=[name(1)]))
-        before = await world.controllers["c0"].api.handle("POST", "/api/jobs", body)
+        before = await world.controllers["c0"].user_api.handle("POST", "/api/jobs", body)
         for old in (True, False):  # one that ends before its turn comes back old
             await world.crash("c1")
             await curio.sleep(2.0)
@@ -246,8 +251,8 @@
                 world.old.clear()
             await world.start("c1")
             await curio.sleep(20.0)
-            assert [c.upgraded for c in world.controllers.values()] == [not old] * 2
-        after = await world.controllers["c0"].api.handle("POST", "/api/jobs", body)
+            assert [c.upgrade.complete for c in world.controllers.values()] == [not old] * 2
+        after = await world.controllers["c0"].user_api.handle("POST", "/api/jobs", body)
         return before[0], before[2], after[0]
 
     assert simulate(monkeypatch, main) == (503, [("Retry-After", "1")], 201)
@@ -307,7 +312,7 @@
             c.record_replica, "_apply", lambda change: None
         )  # the watch tells nothing more
         await curio.sleep(1.0)
-        c.dispatcher.managed_jobs[name(1)].ended = "done"  # another home would have done it
+        c.jobs.managed[name(1)].ended = "done"  # another home would have done it
         world.state.commit(
             {
                 "when": [],
@@ -319,7 +324,7 @@
         )
         world.results[name(1)] = {0}
         before = clock()
-        while c.dispatcher.managed_jobs[name(2)].blocked:
+        while c.jobs.managed[name(2)].blocked:
             await curio.sleep(0.5)
         return clock() - before
 
@@ -615,10 +620,10 @@
     home = Home(monkeypatch)
     c = home.c
     for one in (made(1, rank="best_effort"), made(2, 1, rank="high", due_s=100.0)):
-        c.dependencies.add(one, home.now)
-    job = c.dependencies.view(name(1), {})
-    assert job.rank == 2 and c.placer._stops(job, age, c.patient(job, age)) == stops
-    last = c.dependencies.view(name(2), {})
+        c.jobs.dependencies.add(one, home.now)
+    job = c.jobs.dependencies.view(name(1), {})
+    assert job.rank == 2 and c.placer._stops(job, age, c.objectives.patient(job, age)) == stops
+    last = c.jobs.dependencies.view(name(2), {})
     assert c.placer._stops(last, 0.0, True) == 1
 
 
@@ -639,9 +644,9 @@
     """Every controller of the settings, and an epoch that began after they had said so."""
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
-    c.versions, c.epoch = said, Epoch(9, {"c0": "x"}, rev)
+    c.upgrade.formats, c.membership.epoch = said, Epoch(9, {"c0": "x"}, rev)
     c.record_replica.count_versions()
-    assert c.upgraded == upgraded
-    c.versions = {}
+    assert c.upgrade.complete == upgraded
+    c.upgrade.formats = {}
     c.record_replica.count_versions()
-    assert c.upgraded == upgraded  # once true, it stays
+    assert c.upgrade.complete == upgraded  # once true, it stays
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -217,7 +217,7 @@
 
     from clayport.model import MachineType
 
-    c.types = msgspec.convert(TYPES, list[MachineType])
+    c.catalogue.types = msgspec.convert(TYPES, list[MachineType])
     state = State(World(lambda: 0.0, 1))  # type: ignore[arg-type]
 
     class Client:
@@ -227,7 +227,7 @@
 
     c.store.client = Client()  # type: ignore[assignment]
     c.store.requests.rate = c.store.changes.rate = 1e9
-    return c.api, c
+    return c.user_api, c
 
 
 def without(field: str) -> dict[str, Any]:
@@ -326,10 +326,10 @@
         assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
         assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
         assert len(heard) == len(c.peers)
-        c.ended.clear()  # as after a restart
+        c.jobs.ended.clear()  # as after a restart
         assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
         # Never 422 for what was accepted, whatever the catalogue says now.
-        c.types = c.types[:0]
+        c.catalogue.types = c.catalogue.types[:0]
         assert (await ask("POST", "/api/jobs", raw))[0] in (200, 503)
 
     curio.run(main)
@@ -355,8 +355,8 @@
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
-    c.begin(Epoch(3, {"c0": c.incarnation}, 7))
-    c.serving, c.state_known = True, True
+    c.transition.begin(Epoch(3, {"c0": c.membership.incarnation}, 7))
+    c.membership.serving, c.membership.records_loaded = True, True
     report = dict(REPORT)
 
     def ask() -> int:
@@ -400,15 +400,15 @@
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
-    c.begin(Epoch(3, {"c0": c.incarnation}, 7))
-    c.serving, c.state_known = True, True
+    c.transition.begin(Epoch(3, {"c0": c.membership.incarnation}, 7))
+    c.membership.serving, c.membership.records_loaded = True, True
     c.watermark.read(time.monotonic())
     raw = json.dumps(REPORT).encode()
     assert curio.run(handler.handle, "POST", "/v1/report", raw)[0] == 200
-    assert "m1" in c.owner.machines
-    c.gone(["m1"])
+    assert "m1" in c.machines.machines
+    c.removal.apply(["m1"])
     assert curio.run(handler.handle, "POST", "/v1/report", raw)[0] == 503
-    assert "m1" not in c.owner.machines
+    assert "m1" not in c.machines.machines
 
 
 def test_malformed_value_costs_the_request_only() -> None:
