--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -229,24 +229,24 @@
     """It took ten times as long for ten times as many, though nothing had happened."""
     home = Home(monkeypatch)
     busy = made(9999, pieces=9, rank="production")
-    home.c.live[busy.id] = (busy, 1)
+    home.c.jobs.live[busy.id] = (busy, 1)
     home.report("m1", "north", "plain", f"{busy.id}/0")
     for number in range(jobs):
         home.wait(made(number, vcpus=8.0, due_s=1000.0))
     home.look()
     looked = []
-    place_ = home.c.placer.queue._place
+    place_ = home.c.queue._place
     monkeypatch.setattr(
-        home.c.placer.queue, "_place", lambda *args: looked.append(args[0]) or place_(*args)
+        home.c.queue, "_place", lambda *args: looked.append(args[0]) or place_(*args)
     )
-    standing = home.c.placer.queue.standing
+    standing = home.c.queue.standing
     monkeypatch.setattr(
-        home.c.placer.queue, "standing", lambda *args: looked.append("") or standing(*args)
+        home.c.queue, "standing", lambda *args: looked.append("") or standing(*args)
     )
     home.report("m1", "north", "plain", f"{busy.id}/0", f"{busy.id}/1")
     home.c.placer._pass(home.now)
     assert len(looked) == 0
-    home.now += home.c.ttl_s  # time to see what else may be stopped
+    home.now += home.c.membership.lease_ttl_s  # time to see what else may be stopped
     home.c.placer._pass(home.now)
     assert len(looked) <= 4
 
@@ -313,9 +313,9 @@
 def flooded(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, ManagedJob]:
     """A fleet that runs nothing but a flood of a higher rank, and more of it waits."""
     home = Home(monkeypatch)
-    home.c.finish_limits["low"] = 60.0
-    home.c.placer.queue.shares.bears = {"low": 30.0}
-    home.c.aimed.add("low")
+    home.c.objectives.finish_limits["low"] = 60.0
+    home.c.queue.shares.bears = {"low": 30.0}
+    home.c.objectives.classes.add("low")
     flood = home.wait(made(1, pieces=400, due_s=1000.0, guess_s=50.0))
     flood.load({})
     chunk = Chunk()
@@ -349,7 +349,7 @@
     home.report("m0", "north", "plain", *left)
     home.look()
     assert bool(low.starts) == served
-    assert not any(m.kills for m in home.c.owner.machines.values())
+    assert not any(m.kills for m in home.c.machines.machines.values())
 
 
 def test_what_was_given_is_not_stopped_for_the_flood(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -363,11 +363,11 @@
     home.report("m0", "north", "plain", f"{low.job.id}/0", f"{low.job.id}/1")
     low.since -= 25.0
     home.look()
-    assert not home.c.owner.machines["m0"].kills
-    home.c.placer.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
-    home.now += home.c.ttl_s
+    assert not home.c.machines.machines["m0"].kills
+    home.c.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
+    home.now += home.c.membership.lease_ttl_s
     home.look()
-    assert home.c.owner.machines["m0"].kills
+    assert home.c.machines.machines["m0"].kills
 
 
 @pytest.mark.parametrize(
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -124,7 +124,7 @@
         txn = {"when": [], "writes": [{"write": key, "data": {"j": stored, "t": 1.0}}]}
         await c.store.client.request("POST", "/commit", json.dumps(txn).encode(), 1.0)
         c.record_replica._put(key, {"j": stored, "t": 1.0}, 2)
-        assert value["id"] in c.live
+        assert value["id"] in c.jobs.live
         return int((await handler.handle("POST", "/api/jobs", json.dumps(value).encode()))[0])
 
     assert curio.run(main) == status
@@ -193,8 +193,10 @@
     fields: dict[str, Any], types: list[dict[str, Any]], ok: bool
 ) -> None:
     handler, c = api()
-    c.types = msgspec.convert(types, list[type(c.types[0])])  # type: ignore[misc]
-    assert managed_job.can_be_placed(msgspec.convert(job(1, **fields), Job), c.types) == ok
+    c.catalogue.types = msgspec.convert(types, list[type(c.catalogue.types[0])])  # type: ignore[misc]
+    assert (
+        managed_job.can_be_placed(msgspec.convert(job(1, **fields), Job), c.catalogue.types) == ok
+    )
     assert submit(handler, json.dumps(job(1, **fields)).encode()) == (201 if ok else 422)
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -51,7 +51,7 @@
     end = world.clock() + 60.0
     while world.clock() < end:
         c = world.controllers.get("c2")
-        if c is not None and c.serving:
+        if c is not None and c.membership.serving:
             await again(world, "c2")
         await curio.sleep(0.05)
 
@@ -124,7 +124,7 @@
     # Nothing is kept of a start beyond the controller's own two records.
     assert len([k for k in world.state.keys if k.startswith("c/node/")]) <= controllers
     assert len([k for k in world.state.keys if k.startswith("c/version/")]) == controllers
-    assert all(c.serving for c in world.controllers.values())
+    assert all(c.membership.serving for c in world.controllers.values())
 
 
 async def epochs(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
@@ -135,12 +135,12 @@
     for routine in (world.spawner, world.watch_rules):
         await curio.spawn(routine, daemon=True)
     await curio.sleep(15.0)
-    before = world.controllers["c0"].epoch.number
+    before = world.controllers["c0"].membership.epoch.number
     await scene(world)
-    cost = world.controllers["c0"].epoch.number - before
+    cost = world.controllers["c0"].membership.epoch.number - before
     await curio.sleep(90.0)
     assert world.broken == []
-    return cost, sorted(world.controllers["c0"].epoch.members)
+    return cost, sorted(world.controllers["c0"].membership.epoch.members)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -24,8 +24,8 @@
     home = Home(monkeypatch)
     rng = random.Random(1)
     busy = msgspec.convert(wire_job(1, pieces=4 * MACHINES, rank="production"), Job)
-    home.c.live[busy.id] = (busy, 1)
-    owner = home.c.owner
+    home.c.jobs.live[busy.id] = (busy, 1)
+    owner = home.c.machines
     for n in range(MACHINES):
         home.report(
             f"m{n}",
@@ -33,7 +33,7 @@
             "plain",
             *(f"{busy.id}/{4 * n + k}" for k in range(4)),
         )
-    home.c.serving = True
+    home.c.membership.serving = True
     whole = home.c.cached_state.table(0, [])
     assert whole[2] and len(whole[4]) == MACHINES
     assert len(frames.encode(frames.TABLE, 1, whole)) < frames.MAX_BODY
@@ -46,10 +46,10 @@
     for n in range(MACHINES):
         home.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
     home.look()
-    assert len(home.c.placer.queue.entries) == MACHINES
+    assert len(home.c.queue.entries) == MACHINES
     rows = home.c.placer.demand()
     assert {row[0] for row in rows} == {f"j-{10 + n:06d}" for n in range(len(rows))}
-    frame = (home.c.label, 1, True, owner.room_rev, rows)
+    frame = (home.c.membership.label, 1, True, owner.room_rev, rows)
     assert len(frames.encode(frames.PING, 1, frame)) < frames.MAX_BODY
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -203,7 +203,9 @@
     for each in [label] if label else world.labels:
         await world.start(each)
     end = clock() + PATIENCE_S
-    while clock() < end and not all(c.serving and c.nodes for c in world.controllers.values()):
+    while clock() < end and not all(
+        c.membership.serving and c.membership.present for c in world.controllers.values()
+    ):
         await curio.sleep(0.5)
     return world
 
@@ -220,15 +222,13 @@
     assert set(stored["c/lineage"]) == set(LINEAGE) and stored["c/lineage"]["state"] == "whole"
     assert len([key for key in stored if history.is_anchor(key)]) == len(history.PREFIXES)
     for label, controller in world.controllers.items():
-        assert stored[f"c/node/{label}"] == {"inc": controller.incarnation}
-        assert set(controller.live) == set(values("c/live/"))
-        assert set(controller.classes) == set(values("c/class/"))
+        assert stored[f"c/node/{label}"] == {"inc": controller.membership.incarnation}
+        assert set(controller.jobs.live) == set(values("c/live/"))
+        assert set(controller.jobs.classes) == set(values("c/class/"))
         for other, value in values("c/version/").items():
-            assert controller.versions[other][0] == value["format"]
+            assert controller.upgrade.formats[other][0] == value["format"]
     managed_jobs = {
-        n: managed
-        for c in world.controllers.values()
-        for n, managed in c.dispatcher.managed_jobs.items()
+        n: managed for c in world.controllers.values() for n, managed in c.jobs.managed.items()
     }
     for rest, value in values("run/").items():
         name, size, index = keys.parse_chunk_key(f"run/{rest}")
@@ -256,7 +256,7 @@
     world = simulate(monkeypatch, lambda clock: begun_with(clock, RECORDS, "c0"))
     controller = world.controllers["c0"]
     for label in ("c1", "c2"):
-        assert controller.nodes[label] == values("c/node/")[label]["inc"]
+        assert controller.membership.present[label] == values("c/node/")[label]["inc"]
 
 
 @pytest.mark.parametrize("lineage", load("lineages.json"), ids=lambda value: value["state"])
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -46,7 +46,7 @@
         c.fleet.client = lambda address: self.client(label, address.split(":")[0])  # type: ignore
         for peer in c.peers.values():
             self._link(label, peer)
-        emit = c.owner.emit
+        emit = c.machines.emit
 
         def checked(job_id: str, event: Any) -> None:
             """Nothing is said to be gone that is on its machine."""
@@ -56,12 +56,13 @@
                 and worker is not None
                 and key in worker.tasks
                 and worker.tasks[key].state != "exited"
-                and c.epoch.number == max(x.epoch.number for x in self.controllers.values())
+                and c.membership.epoch.number
+                == max(x.membership.epoch.number for x in self.controllers.values())
             ):
                 self.broken.append(f"gone_too_early {event}")
             emit(job_id, event)
 
-        c.owner.emit = checked
+        c.machines.emit = checked
         if label in self.old:
             c.record_replica.count_versions = lambda: None  # type: ignore[method-assign]
         self.controllers[label] = c
@@ -96,13 +97,14 @@
 
     async def _run(self, c: Controller) -> None:
         """The controller's duties without its listeners. Its crash cancels them all."""
-        duties: list[Any] = [await curio.spawn(c.duty, r, daemon=True) for r in c.duties()]
+        duties: list[Any] = [await curio.spawn(c.routines.duty, r, daemon=True) for r in c.duties()]
         duties += [
-            await curio.spawn(c.duty, c.heartbeats.keep_peers, peer, daemon=True)
+            await curio.spawn(c.routines.duty, c.heartbeats.keep_peers, peer, daemon=True)
             for peer in c.peers.values()
         ]
         duties += [
-            await curio.spawn(c.duty, c.fleet.tell, label, daemon=True) for label in self.labels
+            await curio.spawn(c.routines.duty, c.fleet.tell, label, daemon=True)
+            for label in self.labels
         ]
         try:
             while True:
@@ -116,8 +118,12 @@
         if c is None:
             return
         await self.routines.pop(label).cancel()
-        if c.recovery is not None and c.recovery.recorder is not None and c.recovery.recorder.log:
-            c.recovery.recorder.log.close()
+        if (
+            c.rebuild.recovery is not None
+            and c.rebuild.recovery.recorder is not None
+            and c.rebuild.recovery.recorder.log
+        ):
+            c.rebuild.recovery.recorder.log.close()
 
         # Routines of its own that are still under way must not act any more.
         async def dead(*_: Any, **__: Any) -> Any:
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -121,7 +121,7 @@
             controller = self.controllers.get(label)
             if controller is None:
                 raise http.NotSentError("refused")
-            status, raw, _ = await controller.api.handle(method, path, body)
+            status, raw, _ = await controller.user_api.handle(method, path, body)
             return status, raw
 
         try:
