--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -19,6 +19,7 @@
 from clayport.jobs.registry import JobRegistry
 from clayport.leases.cancellations import CancellationWatermark, Promises
 from clayport.leases.renewal import LeaseRenewal
+from clayport.machines.fencing import MachineFencing
 from clayport.machines.fleet import Fleet
 from clayport.machines.removal import MachineRemoval
 from clayport.machines.routing import Routing
@@ -86,7 +87,10 @@
         self.routines = Routines(random.Random(incarnation), self.membership.lease_ttl_s / 3)
         self._build_clients()
         self._build_state()
-        self._build_routines()
+        self._build_machine_routines()
+        self._build_job_routines()
+        self._build_membership_routines()
+        self._connect()
         if rebuild:
             self.rebuild.enable(snapshots, second_copy)
 
@@ -149,22 +153,219 @@
         )
         self.rebuild = RebuildSupport(self.routines, self._recovery)
 
-    def _build_routines(self) -> None:
-        """The parts that decide and act."""
-        self.stalls = StallDetector(self, self.membership.started_at)
-        self.fleet = Fleet(self)
+    def _build_machine_routines(self) -> None:
+        """Stall detection, the cached state, and what talks to the machines."""
+        self.stalls = StallDetector(
+            now=self.membership.started_at,
+            machines=self.machines,
+            membership=self.membership,
+            peers=self.peers,
+            routines=self.routines,
+            settings=self.settings,
+            store=self.store,
+        )
+        self.fencing = MachineFencing(
+            cloud=self.cloud,
+            membership=self.membership,
+            removal=self.removal,
+        )
+        self.cached_state = CachedState(
+            machines=self.machines,
+            membership=self.membership,
+            peers=self.peers,
+            routines=self.routines,
+            settings=self.settings,
+            view=self.view,
+        )
+        self.fleet = Fleet(
+            cached_state=self.cached_state,
+            fencing=self.fencing,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            peers=self.peers,
+            rebuild=self.rebuild,
+            renewal=self.renewal,
+            routines=self.routines,
+            settings=self.settings,
+            stalls=self.stalls,
+            view=self.view,
+            watermark=self.watermark,
+        )
         self.routing = Routing(self.membership, self.machines, self.peers, self.store, self.fleet)
-        self.record_replica = RecordReplica(self)
-        self.cached_state = CachedState(self)
-        self.placer = Placer(self)
-        self.dispatcher = Dispatcher(self)
-        self.provisioner = Provisioner(self)
-        self.user_api = Api(self)
-        self.heartbeats = Heartbeats(self)
-        self.registration = MembershipDuties(self)
-        self.failover = Failover(self)
-        self.transition = EpochTransition(self)
-        self.peer_requests = PeerRequests(self)
+
+    def _build_job_routines(self) -> None:
+        """The replica of the records, placement, dispatch, scaling and the users' API."""
+        self.record_replica = RecordReplica(
+            arrivals=self.arrivals,
+            jobs=self.jobs,
+            lookups=self.lookups,
+            machines=self.machines,
+            membership=self.membership,
+            objectives=self.objectives,
+            peers=self.peers,
+            promises=self.promises,
+            queue=self.queue,
+            rebuild=self.rebuild,
+            routines=self.routines,
+            settings=self.settings,
+            stalls=self.stalls,
+            store=self.store,
+            upgrade=self.upgrade,
+            watermark=self.watermark,
+        )
+        self.placer = Placer(
+            cached_state=self.cached_state,
+            catalogue=self.catalogue,
+            fleet=self.fleet,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            objectives=self.objectives,
+            peers=self.peers,
+            queue=self.queue,
+            quotas=self.quotas,
+            routines=self.routines,
+            settings=self.settings,
+            store=self.store,
+            upgrade=self.upgrade,
+            view=self.view,
+        )
+        self.dispatcher = Dispatcher(
+            cached_state=self.cached_state,
+            fleet=self.fleet,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            peers=self.peers,
+            queue=self.queue,
+            quotas=self.quotas,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            routines=self.routines,
+            routing=self.routing,
+            settings=self.settings,
+            store=self.store,
+            upgrade=self.upgrade,
+            view=self.view,
+        )
+        self.provisioner = Provisioner(
+            arrivals=self.arrivals,
+            cached_state=self.cached_state,
+            catalogue=self.catalogue,
+            cloud=self.cloud,
+            jobs=self.jobs,
+            membership=self.membership,
+            objectives=self.objectives,
+            placer=self.placer,
+            removal=self.removal,
+            renewal=self.renewal,
+            routines=self.routines,
+            routing=self.routing,
+            settings=self.settings,
+            stalls=self.stalls,
+            view=self.view,
+        )
+        self.user_api = Api(
+            catalogue=self.catalogue,
+            dispatcher=self.dispatcher,
+            fleet=self.fleet,
+            jobs=self.jobs,
+            lookups=self.lookups,
+            membership=self.membership,
+            objectives=self.objectives,
+            peers=self.peers,
+            quotas=self.quotas,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            renewal=self.renewal,
+            routines=self.routines,
+            settings=self.settings,
+            stalls=self.stalls,
+            store=self.store,
+            upgrade=self.upgrade,
+        )
+
+    def _build_membership_routines(self) -> None:
+        """Heartbeats, registration, failover, and what peers are answered."""
+        self.heartbeats = Heartbeats(
+            cached_state=self.cached_state,
+            machines=self.machines,
+            membership=self.membership,
+            peers=self.peers,
+            placer=self.placer,
+            promises=self.promises,
+            record_replica=self.record_replica,
+            renewal=self.renewal,
+            routines=self.routines,
+            stalls=self.stalls,
+            store=self.store,
+            upgrade=self.upgrade,
+            watermark=self.watermark,
+        )
+        self.registration = MembershipDuties(
+            membership=self.membership,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            routines=self.routines,
+            settings=self.settings,
+            stalls=self.stalls,
+            store=self.store,
+            upgrade=self.upgrade,
+        )
+        self.failover = Failover(
+            dispatcher=self.dispatcher,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            objectives=self.objectives,
+            queue=self.queue,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            routines=self.routines,
+            settings=self.settings,
+            store=self.store,
+        )
+        self.transition = EpochTransition(
+            cached_state=self.cached_state,
+            failover=self.failover,
+            fleet=self.fleet,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            placer=self.placer,
+            rebuild=self.rebuild,
+            routines=self.routines,
+        )
+        self.peer_requests = PeerRequests(
+            cached_state=self.cached_state,
+            dispatcher=self.dispatcher,
+            fleet=self.fleet,
+            heartbeats=self.heartbeats,
+            jobs=self.jobs,
+            machines=self.machines,
+            membership=self.membership,
+            placer=self.placer,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            removal=self.removal,
+            renewal=self.renewal,
+            routines=self.routines,
+        )
+
+    def _connect(self) -> None:
+        """Give the parts that were built first those that were built after them."""
+        self.stalls.connect(provisioner=self.provisioner)
+        self.fleet.connect(
+            dispatcher=self.dispatcher,
+            placer=self.placer,
+            provisioner=self.provisioner,
+            routing=self.routing,
+        )
+        self.record_replica.connect(
+            failover=self.failover, placer=self.placer, transition=self.transition
+        )
+        self.placer.connect(dispatcher=self.dispatcher)
 
     def _recovery(self, snapshots: str, second_copy: bool) -> Recovery:
         from clayport.rebuild.recovery import Recovery  # imported only where it is used
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -4,32 +4,43 @@
 
 import logging
 import time
-from collections.abc import Container, Iterable
-from typing import TYPE_CHECKING, Any
+from collections.abc import Container, Iterable, Mapping
+from typing import Any
 
 import curio
 import msgspec
 
 from clayport.jobs.managed_job import CLEAR, KILL, LATER, OK, ManagedJob, amounts, counts
-from clayport.machines.table import GONE
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.fleet import Fleet
+from clayport.machines.routing import Routing
+from clayport.machines.table import GONE, MachineTable
+from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, SERVICE, Job, split_task
+from clayport.rebuild.support import RebuildSupport
 from clayport.records.chunk import Chunk
 from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key, quota_key
+from clayport.records.replica import RecordReplica
 from clayport.records.store import (
     CANCEL_S,
     URGENT_S,
     ConflictError,
     OutcomeUnknownError,
+    StateStore,
     TransactionTooLargeError,
     Txn,
     UnavailableError,
 )
+from clayport.records.upgrade import UpgradeState
 from clayport.records.values import end_value, parse_end, parse_quota, truncate_end
+from clayport.routines import Routines
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.queueing import JobQueue
+from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
 from clayport.transport import frames
-from clayport.transport.peers import PeerError
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.transport.peers import Peer, PeerError
 
 log = logging.getLogger(__name__)
 
@@ -44,64 +55,97 @@
 class Dispatcher:
     """Homes of jobs: each job's routine."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        fleet: Fleet,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        queue: JobQueue,
+        quotas: TeamQuotas,
+        rebuild: RebuildSupport,
+        record_replica: RecordReplica,
+        routines: Routines,
+        routing: Routing,
+        settings: Settings,
+        store: StateStore,
+        upgrade: UpgradeState,
+        view: ClusterView,
+    ) -> None:
+        self.cached_state = cached_state
+        self.fleet = fleet
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.queue = queue
+        self.quotas = quotas
+        self.rebuild = rebuild
+        self.record_replica = record_replica
+        self.routines = routines
+        self.routing = routing
+        self.settings = settings
+        self.store = store
+        self.upgrade = upgrade
+        self.view = view
 
     @property
     def start_chunks(self) -> int:
         """Chunks that a transaction of starts may change, beside the quota."""
-        ops = self.core.upgrade.limits.txn_ops
+        ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(3, ops - 1))
 
     @property
     def outcome_chunks(self) -> int:
         """The same for outcomes: also the quota, the live and the final record."""
-        ops = self.core.upgrade.limits.txn_ops
+        ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(2, ops - 3))
 
     # -- one job ---------------------------------------------------------
 
     async def drive(self, managed: ManagedJob) -> None:
         """The routine of one job, for as long as this epoch lasts."""
-        core = self.core
         # A name of this epoch's own: the previous routine of the same job may
         # end later, and must neither take our signals nor remove what we wait for
         # (a cancelled job's kill was once never sent because of that).
         name = managed.name
-        epoch = core.membership.epoch
-        attempt = core.store.begin()
+        epoch = self.membership.epoch
+        attempt = self.store.begin()
         try:
             await self._adopt(managed)
-            while core.membership.epoch is epoch:
+            while self.membership.epoch is epoch:
                 try:
-                    while core.membership.epoch is epoch and await self._step(managed):
-                        await core.routines.flush()
+                    while self.membership.epoch is epoch and await self._step(managed):
+                        await self.routines.flush()
                     attempt.served()
                 except (UnavailableError, OutcomeUnknownError) as exc:
                     log.debug("job=%s event=waiting cause=%s", managed.job.id, exc)
-                    await core.store.back_off(attempt)
+                    await self.store.back_off(attempt)
                     continue
                 except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                     # A malformed value of the state service: the job waits, and tries
                     # again, instead of losing its routine for this epoch.
                     log.error("job=%s event=malformed cause=%r", managed.job.id, exc)
-                    await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s))
+                    await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s))
                     continue
                 if managed.closed:
-                    self.core.jobs.managed.pop(managed.job.id, None)
-                    core.queue.touch(managed.job.id)
-                    core.jobs.ended_descriptions.pop(managed.job.id, None)
+                    self.jobs.managed.pop(managed.job.id, None)
+                    self.queue.touch(managed.job.id)
+                    self.jobs.ended_descriptions.pop(managed.job.id, None)
                     return
-                await core.routines.flush()
+                await self.routines.flush()
                 patience_s = (
-                    core.membership.lease_ttl_s
+                    self.membership.lease_ttl_s
                     if managed.ended or managed.breaking
-                    else 4 * core.membership.lease_ttl_s
+                    else 4 * self.membership.lease_ttl_s
                 )
                 if managed.gather_until and managed.outcomes:
                     patience_s = max(0.001, managed.gather_until - time.monotonic())
-                await core.routines.wait(name, patience_s)
-                unheard = managed.unheard(time.monotonic(), 4 * core.membership.lease_ttl_s)
+                await self.routines.wait(name, patience_s)
+                unheard = managed.unheard(time.monotonic(), 4 * self.membership.lease_ttl_s)
                 if unheard:
                     # Of what nobody says anything, the owner may have lost track.
                     log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unheard))
@@ -109,7 +153,7 @@
         except EpochEndedError:
             pass
         finally:
-            core.routines.events.pop(name, None)
+            self.routines.events.pop(name, None)
 
     async def _step(self, managed: ManagedJob) -> bool:
         """One thing that is due; False when nothing is. The line of what waits catches up
@@ -117,15 +161,14 @@
         try:
             return await self._due(managed)
         finally:
-            if self.core.jobs.managed.get(managed.job.id) is managed:
-                self.core.queue.touch(managed.job.id)
+            if self.jobs.managed.get(managed.job.id) is managed:
+                self.queue.touch(managed.job.id)
 
     async def _due(self, managed: ManagedJob) -> bool:
-        core = self.core
-        if core.upgrade.complete and managed.narrow(core.upgrade.chunk_size) or managed.wide:
+        if self.upgrade.complete and managed.narrow(self.upgrade.chunk_size) or managed.wide:
             await self._move(managed)
             return True
-        if not managed.ended and managed.job.id in core.jobs.dependencies.doomed:
+        if not managed.ended and managed.job.id in self.jobs.dependencies.doomed:
             await self._cancel(managed)
             return True
         if managed.starts:
@@ -134,10 +177,10 @@
                 await self._start(managed, starts)
             finally:
                 for number, _ in starts:
-                    self.core.cached_state.inflight.pop((managed.job.id, number), None)
+                    self.cached_state.inflight.pop((managed.job.id, number), None)
                 managed.give_back([n for n, _ in starts if n in managed.placing])
-                self.core.cached_state.stale.update(dict.fromkeys(machine for _, machine in starts))
-            self.core.routines.signal("place")
+                self.cached_state.stale.update(dict.fromkeys(machine for _, machine in starts))
+            self.routines.signal("place")
             return True
         now = time.monotonic()
         if managed.outcomes and not self._gathers(managed, now):
@@ -152,7 +195,7 @@
                     managed.job.save_s if managed.job.checkpoint_s else 0.0,
                 )
             if left:
-                managed.kill_at = now + self.core.membership.lease_ttl_s
+                managed.kill_at = now + self.membership.lease_ttl_s
                 await self._stop(
                     managed, [(m, f"{managed.job.id}/{n}", a, grace, False) for n, a, m in left]
                 )
@@ -172,13 +215,13 @@
         if (
             managed.ended
             or job.kind != ARRAY
-            or any(self.core.quotas.limits.get(job.team, (0.0, 0.0)))
+            or any(self.quotas.limits.get(job.team, (0.0, 0.0)))
             or managed.done + len(managed.outcomes) >= job.tasks
             or not all(done for _, done in managed.outcomes.values())
         ):
             return False
         if not managed.gather_until:
-            managed.gather_until = now + self.core.settings.cluster.workers.report_s * GATHER
+            managed.gather_until = now + self.settings.cluster.workers.report_s * GATHER
         return now < managed.gather_until
 
     async def _move(self, managed: ManagedJob) -> None:
@@ -198,7 +241,7 @@
             managed.size,
         )
         while managed.wide:
-            txn, chunks, gone = managed.move_txn(fence, self.core.upgrade.limits.txn_ops, moved)
+            txn, chunks, gone = managed.move_txn(fence, self.upgrade.limits.txn_ops, moved)
             try:
                 rev = await self._settle(txn, fence)
             except ConflictError as exc:
@@ -215,8 +258,8 @@
         From the records alone, by whichever controller is its home: the one that told the
         user may be gone. No task of it has ever started.
         """
-        core, job = self.core, managed.job.id
-        entry = await core.store.get(live_key(job))
+        job = managed.job.id
+        entry = await self.store.get(live_key(job))
         if entry is None:
             await self.learn_end(job)
             if not managed.ended:
@@ -226,7 +269,7 @@
         txn.put(
             end_key(job),
             truncate_end(
-                end_value("cancelled", time.time(), entry.value["j"]), core.upgrade.limits.value_kb
+                end_value("cancelled", time.time(), entry.value["j"]), self.upgrade.limits.value_kb
             ),
         )
         try:
@@ -234,7 +277,7 @@
         except ConflictError:
             return
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
-        core.record_replica.note_end(job, "cancelled", time.time(), rev)
+        self.record_replica.note_end(job, "cancelled", time.time(), rev)
 
     def _fence(self, managed: ManagedJob) -> int:
         """The condition of the job's commits: the epoch that it was loaded under.
@@ -243,9 +286,9 @@
         that had crashed, once went on under the next one beside its successor; both used
         the same attempt number, and tasks ran twice.
         """
-        if not self.core.membership.serving or self.core.membership.epoch.number != managed.epoch:
+        if not self.membership.serving or self.membership.epoch.number != managed.epoch:
             raise EpochEndedError
-        return self.core.membership.epoch.rev
+        return self.membership.epoch.rev
 
     async def _settle(self, txn: Txn, fence: int, ahead_s: float = 0.0) -> int:
         """Commit until the outcome is certain; ConflictError, or UnavailableError if never sent.
@@ -255,12 +298,12 @@
         large meanwhile will never tell: what holds now has to be read.
         """
         unsure = False
-        attempt = self.core.store.begin()
+        attempt = self.store.begin()
         while True:
-            if self.core.membership.epoch.rev != fence:
+            if self.membership.epoch.rev != fence:
                 raise EpochEndedError
             try:
-                return await self.core.store.commit(txn, ahead_s=ahead_s)
+                return await self.store.commit(txn, ahead_s=ahead_s)
             except OutcomeUnknownError:
                 unsure = True
             except TransactionTooLargeError:
@@ -270,30 +313,30 @@
             except UnavailableError:
                 if not unsure:
                     raise
-            await self.core.store.back_off(attempt)
+            await self.store.back_off(attempt)
 
     async def _start(self, managed: ManagedJob, starts: list[tuple[int, str]]) -> None:
-        core, job = self.core, managed.job
+        job = managed.job
         fence = self._fence(managed)
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         if await self._charge(job, 1 if job.kind != GANG else len(starts)) is None:
             return
         if not managed.filling:
             managed.attempt += 1
         attempt = managed.attempt
         granted = await self._reserve(managed, starts, attempt)
-        if core.membership.epoch is not epoch:
+        if self.membership.epoch is not epoch:
             raise EpochEndedError
         declined = [s for s in starts if s not in granted]
-        self.core.cached_state.adaptive_interval.count(len(granted), len(declined))
+        self.cached_state.adaptive_interval.count(len(granted), len(declined))
         for _, machine in declined:
             # Not tried again before the cached state of it is renewed.
-            room = core.view.rooms.get(machine)
-            if room is not None and room.owner != core.membership.label:
+            room = self.view.rooms.get(machine)
+            if room is not None and room.owner != self.membership.label:
                 room.close()
         if declined:
-            core.routines.signal("starved")
-            self.core.cached_state.starved = True
+            self.routines.signal("starved")
+            self.cached_state.starved = True
         release = [(m, f"{job.id}/{n}", attempt, 0.0, False) for n, m in granted]
         if not granted or managed.ended or (job.kind == GANG and declined):
             await self._stop(managed, release)
@@ -328,18 +371,17 @@
         self, managed: ManagedJob, starts: list[tuple[int, str]], attempt: int
     ) -> list[tuple[int, str]]:
         """Ask the machines' owners; what they refuse is declined."""
-        core = self.core
         granted: list[tuple[int, str]] = []
         task = managed.job.id
         for owner, items in self._by_owner((m, n) for n, m in starts).items():
-            if core.membership.epoch.number != managed.epoch:
+            if self.membership.epoch.number != managed.epoch:
                 raise EpochEndedError
-            if owner == core.membership.label:
-                flags = core.machines.reserve(managed.job, items, attempt, time.monotonic())
+            if owner == self.membership.label:
+                flags = self.machines.reserve(managed.job, items, attempt, time.monotonic())
             else:
                 try:
-                    ok, rows = await core.peers[owner].call(
-                        frames.RESERVE, (core.membership.epoch.number, task, attempt, items)
+                    ok, rows = await self.peers[owner].call(
+                        frames.RESERVE, (self.membership.epoch.number, task, attempt, items)
                     )
                     flags = [f for (f,) in rows] if ok else [False] * len(items)
                 except (PeerError, KeyError):
@@ -350,7 +392,7 @@
     def _by_owner(self, items: Iterable[tuple[Any, ...]]) -> dict[str, list[tuple[Any, ...]]]:
         found: dict[str, list[tuple[Any, ...]]] = {}
         for item in items:
-            found.setdefault(self.core.membership.epoch.place(item[0]), []).append(item)
+            found.setdefault(self.membership.epoch.place(item[0]), []).append(item)
         return found
 
     async def _charge(self, job: Job, count: int) -> dict[str, tuple[dict[str, float], int]] | None:
@@ -359,15 +401,15 @@
         The quota is changed by the very transaction that assigns or ends the
         tasks, so it can't drift from what they take.
         """
-        limit = self.core.quotas.limits.get(job.team, (0.0, 0.0))
+        limit = self.quotas.limits.get(job.team, (0.0, 0.0))
         cpus, gpus = amounts(job, count)
         if not counts(limit, cpus, gpus):
             return {}
         key = quota_key(job.team)
-        entry = await self.core.store.get(key)
+        entry = await self.store.get(key)
         used = parse_quota(entry.value if entry else None)
         rev = entry.rev if entry else 0
-        self.core.jobs.quota_usage[job.team] = (used, rev, time.monotonic())
+        self.jobs.quota_usage[job.team] = (used, rev, time.monotonic())
         after = (round(used[0] + cpus, 6), round(used[1] + gpus, 6))
         if count > 0 and ((0 < limit[0] < after[0] - 1e-6) or (0 < limit[1] < after[1] - 1e-6)):
             return None
@@ -375,7 +417,7 @@
 
     def _charged(self, quota: dict[str, tuple[dict[str, float], int]], rev: int) -> None:
         for key, (value, _) in quota.items():
-            self.core.jobs.quota_usage[key.partition("/")[2]] = (
+            self.jobs.quota_usage[key.partition("/")[2]] = (
                 parse_quota(value),
                 rev,
                 time.monotonic(),
@@ -385,39 +427,38 @@
         self, managed: ManagedJob, items: list[tuple[str, str, int]], fence: int
     ) -> None:
         """Hand committed starts to the owners, until each has said yes or no."""
-        core = self.core
         log.info(
             "job=%s generation=%d event=launch tasks=%d attempt=%d",
             managed.job.id,
-            core.membership.epoch.number,
+            self.membership.epoch.number,
             len(items),
             items[0][2],
         )
         for owner, part in self._by_owner(items).items():
             waiting = part
-            attempt = core.routing.start_attempt(owner)
+            attempt = self.routing.start_attempt(owner)
             while waiting:
-                if core.membership.epoch.rev != fence:
+                if self.membership.epoch.rev != fence:
                     raise EpochEndedError
                 if managed.ended:
                     # Cancelled between the commit and here: judged by reports,
                     # and never launched.
                     await self._adopt(managed)
                     return
-                if owner == core.membership.label:
-                    answers = core.machines.launch(waiting)
+                if owner == self.membership.label:
+                    answers = self.machines.launch(waiting)
                     for machine in dict.fromkeys(i[0] for i in waiting):
-                        core.fleet.poke(machine)
+                        self.fleet.poke(machine)
                 else:
                     try:
-                        ok, rows = await core.peers[owner].call(
-                            frames.LAUNCH, (core.membership.epoch.number, waiting)
+                        ok, rows = await self.peers[owner].call(
+                            frames.LAUNCH, (self.membership.epoch.number, waiting)
                         )
                         if not ok:
                             raise PeerError("not the owner")
                         answers = [v for (v,) in rows]
                     except (PeerError, KeyError):
-                        await core.routing.back_off(owner, attempt)
+                        await self.routing.back_off(owner, attempt)
                         waiting = [i for i in waiting if self._unsettled(managed, i)]
                         continue
                 for (machine, task, attempt), answer in zip(waiting, answers):
@@ -440,24 +481,22 @@
         self, managed: ManagedJob, items: list[tuple[str, str, int, float, bool]]
     ) -> None:
         """Kill or clear through the owners. What gets lost is asked again, or expires."""
-        core = self.core
         for owner, part in self._by_owner(items).items():
-            if core.membership.epoch.number != managed.epoch:
+            if self.membership.epoch.number != managed.epoch:
                 return  # its successor may mean something else by the same attempt
-            if owner == core.membership.label:
-                core.machines.stop(part)
+            if owner == self.membership.label:
+                self.machines.stop(part)
                 for machine in dict.fromkeys(i[0] for i in part):
-                    core.fleet.poke(machine)
+                    self.fleet.poke(machine)
                 continue
             try:
-                await core.peers[owner].call(frames.STOP, (core.membership.epoch.number, part))
+                await self.peers[owner].call(frames.STOP, (self.membership.epoch.number, part))
             except (PeerError, KeyError):
                 pass
 
     async def _adopt(self, managed: ManagedJob, only: Container[int] | None = None) -> None:
         """Have committed assignments judged by their owners' reports."""
-        core = self.core
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         if epoch.number != managed.epoch:
             raise EpochEndedError
         for owner, part in self._by_owner(
@@ -465,23 +504,22 @@
             for n, a, m in managed.assignments()
             if only is None or n in only
         ).items():
-            attempt = core.routing.start_attempt(owner)
+            attempt = self.routing.start_attempt(owner)
             while True:
-                if core.membership.epoch is not epoch:
+                if self.membership.epoch is not epoch:
                     raise EpochEndedError
-                if owner == core.membership.label:
-                    core.machines.adopt(part, time.monotonic())
+                if owner == self.membership.label:
+                    self.machines.adopt(part, time.monotonic())
                     break
                 try:
-                    if (await core.peers[owner].call(frames.ADOPT, (epoch.number, part)))[0]:
+                    if (await self.peers[owner].call(frames.ADOPT, (epoch.number, part)))[0]:
                         break
                 except (PeerError, KeyError):
                     pass
-                await core.routing.back_off(owner, attempt)
-        await core.routines.flush()
+                await self.routing.back_off(owner, attempt)
+        await self.routines.flush()
 
     async def _commit_outcomes(self, managed: ManagedJob) -> None:
-        core = self.core
         managed.gather_until = 0.0
         fence = self._fence(managed)
         at = time.time()
@@ -505,37 +543,36 @@
         cleared = managed.covered(covered)
         if over:
             managed.ended = "done"
-            core.record_replica.note_end(managed.job.id, "done", at)
+            self.record_replica.note_end(managed.job.id, "done", at)
             log.info(
-                "job=%s generation=%d event=done", managed.job.id, core.membership.epoch.number
+                "job=%s generation=%d event=done", managed.job.id, self.membership.epoch.number
             )
         await self._stop(
             managed,
             [(where[n], f"{managed.job.id}/{n}", a, 0.0, True) for n, a in cleared if where[n]],
         )
-        core.routines.signal("place")
+        self.routines.signal("place")
 
     async def _conflict(self, managed: ManagedJob, exc: ConflictError, fence: int) -> None:
         """Somebody else changed something: read what holds now."""
-        core = self.core
         log.info("job=%s event=conflict keys=%s", managed.job.id, exc.failed)
         if EPOCH_KEY in exc.failed:
-            core.membership.request_rescan()
-            await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 12))
+            self.membership.request_rescan()
+            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 12))
             return
         if live_key(managed.job.id) in exc.failed and not managed.ended:
             await self.learn_end(managed.job.id)
         ours = [k for k in exc.failed if k.startswith(f"run/{managed.job.id}/")]
         if ours:
-            entries, _ = await core.store.scan(f"run/{managed.job.id}/")
-            if core.membership.epoch.rev != fence:
+            entries, _ = await self.store.scan(f"run/{managed.job.id}/")
+            if self.membership.epoch.rev != fence:
                 raise EpochEndedError
             revs = {e.key: e.rev for e in entries}
             # Nobody but this routine writes them, or removes them while the job is live.
             if (
                 not managed.ended
                 and any(revs.get(managed.key(i), 0) < c.rev for i, c in managed.chunks.items())
-                and core.rebuild.suspect(f"records of {managed.job.id} have gone back")
+                and self.rebuild.suspect(f"records of {managed.job.id} have gone back")
             ):
                 return
             managed.load_all(
@@ -550,22 +587,22 @@
 
     async def learn_end(self, job: str) -> None:
         """The live record is gone: find out how the job ended."""
-        entry = await self.core.store.get(end_key(job))
+        entry = await self.store.get(end_key(job))
         if entry is not None:
-            self.core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
 
     async def _tidy(self, managed: ManagedJob) -> None:
         """Remove what is left of an ended job's records."""
         left = sorted(managed.chunks.items())
         left = [(i, c) for i, c in left if c.rev]
-        most = max(1, self.core.upgrade.limits.txn_ops - 2)
+        most = max(1, self.upgrade.limits.txn_ops - 2)
         while left:
             part, left = left[:most], left[most:]
             txn = Txn().require(EPOCH_KEY, self._fence(managed))
             for index, _ in part:
                 txn.delete(managed.key(index))
             try:
-                await self._settle(txn, self.core.membership.epoch.rev)
+                await self._settle(txn, self.membership.epoch.rev)
             except ConflictError:
                 return
 
@@ -573,7 +610,6 @@
 
     def told(self, events: Iterable[tuple[str, str, int, str, str, bool]]) -> list[int]:
         """Judge an owner's events."""
-        core = self.core
         verdicts = []
         now = time.monotonic()
         for machine, task, attempt, state, cause, _ in events:
@@ -582,9 +618,9 @@
             except ValueError:
                 verdicts.append(CLEAR if state == "exited" else KILL)
                 continue
-            managed = self.core.jobs.managed.get(job)
+            managed = self.jobs.managed.get(job)
             if managed is None:
-                if job in core.jobs.live:
+                if job in self.jobs.live:
                     verdict = LATER  # its routine is just being started
                 else:
                     verdict = OK if state == GONE else CLEAR if state == "exited" else KILL
@@ -592,15 +628,15 @@
                 started = managed.started
                 verdict = managed.event(machine, number, attempt, state, cause, now)
                 if managed.started != started:
-                    core.queue.touch(job)
+                    self.queue.touch(job)
                 if number in managed.outcomes:
                     managed.where[number] = machine if state == "exited" else ""
-                    core.routines.signal(managed.name)
+                    self.routines.signal(managed.name)
             verdicts.append(verdict)
         return verdicts
 
     def counts(self, job: str) -> tuple[int, int] | None:
-        managed = self.core.jobs.managed.get(job)
+        managed = self.jobs.managed.get(job)
         if managed is None:
             return None
         return (0 if managed.job.kind == SERVICE else managed.done), managed.running
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -9,14 +9,12 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING
 
 import curio
 
-from clayport.scaling.cloud import RETURN_MOST, CloudError
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.machines.removal import MachineRemoval
+from clayport.membership.state import MembershipState
+from clayport.scaling.cloud import RETURN_MOST, Cloud, CloudError
 
 log = logging.getLogger(__name__)
 
@@ -36,8 +34,16 @@
     long as one request, however many there are.
     """
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cloud: Cloud,
+        membership: MembershipState,
+        removal: MachineRemoval,
+    ) -> None:
+        self.cloud = cloud
+        self.membership = membership
+        self.removal = removal
         self.waiting: dict[str, _Wait] = {}  # in the order in which they were asked for
         self.sending = False
 
@@ -55,15 +61,15 @@
             raise CloudError(wait.error)
 
     async def _send(self) -> None:
-        epoch = self.core.membership.epoch
+        epoch = self.membership.epoch
         try:
             while self.waiting:
-                await self.core.cloud.turn()
-                if self.core.membership.epoch is not epoch:
+                await self.cloud.turn()
+                if self.membership.epoch is not epoch:
                     # Machines have new owners, who may have heard them meanwhile.
                     waits, self.waiting = self.waiting, {}
                     await self._told(waits, "the epoch has moved on")
-                    epoch = self.core.membership.epoch
+                    epoch = self.membership.epoch
                     continue
                 await self._return(list(self.waiting)[:RETURN_MOST])
         finally:
@@ -72,8 +78,8 @@
     async def _return(self, names: list[str]) -> None:
         waits, error = {n: self.waiting.pop(n) for n in names}, ""
         try:
-            await self.core.cloud.return_now(names)
-            await self.core.removal.announce(names)
+            await self.cloud.return_now(names)
+            await self.removal.announce(names)
         except CloudError as exc:
             error = str(exc)
         except Exception as exc:  # whatever it is, those who wait are to be told
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -3,11 +3,33 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.cancellations import CancellationWatermark
+from clayport.leases.renewal import LeaseRenewal
+from clayport.machines.table import MachineTable
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
+from clayport.rebuild.support import RebuildSupport
+from clayport.routines import Routines
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
+
+if TYPE_CHECKING:
+    from clayport.jobs.dispatcher import Dispatcher
+    from clayport.machines.routing import Routing
+    from clayport.scaling.renting import Provisioner
+    from clayport.scheduling.placer import Placer
+
 import logging
 import time
 from collections import OrderedDict
 from collections.abc import Container
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import curio
 import msgspec
@@ -22,9 +44,6 @@
 from clayport.transport import frames, http
 from clayport.transport.peers import PeerError
 
-if TYPE_CHECKING:
-    from clayport.controller import Controller
-
 log = logging.getLogger(__name__)
 
 Told = tuple[str, str, int, str, str, bool]
@@ -47,21 +66,57 @@
 class Fleet:
     """Everything between this controller and the machines."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        fencing: MachineFencing,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        rebuild: RebuildSupport,
+        renewal: LeaseRenewal,
+        routines: Routines,
+        settings: Settings,
+        stalls: StallDetector,
+        view: ClusterView,
+        watermark: CancellationWatermark,
+    ) -> None:
+        self.cached_state = cached_state
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.rebuild = rebuild
+        self.renewal = renewal
+        self.routines = routines
+        self.settings = settings
+        self.stalls = stalls
+        self.view = view
+        self.watermark = watermark
         self.clients: OrderedDict[str, http.Client] = OrderedDict()
-        self.fencing = MachineFencing(core)
+        self.fencing = fencing
         # A quarter of the sockets is for the workers' own addresses, the rest but a reserve
         # (peers, state, cloud) for those who connect to us.
-        self.max_clients = core.settings.cluster.machine_limits.max_sockets // 4
+        self.max_clients = settings.cluster.machine_limits.max_sockets // 4
         self.forwarded: dict[str, float] = {}
         self.outboxes: dict[str, OrderedDict[tuple[str, str, int], Told]] = {}
-        w = core.settings.cluster.workers
+        w = settings.cluster.workers
         # A worker whose report went unanswered needs 4 s and another second to
         # come to the next node: silence up to 0.6 leases is ordinary.
         self.silent_s = 0.6 * w.lease_s
         self.command_s = 0.2 * w.lease_s
 
+    def connect(
+        self, *, dispatcher: Dispatcher, placer: Placer, provisioner: Provisioner, routing: Routing
+    ) -> None:
+        """Set the parts that are built later than this one."""
+        self.dispatcher = dispatcher
+        self.placer = placer
+        self.provisioner = provisioner
+        self.routing = routing
+
     # -- reports ---------------------------------------------------------
 
     async def report(self, body: bytes) -> tuple[int, dict[str, Any]]:
@@ -93,62 +148,60 @@
         """Whether a job with a task on a machine is known to be over. One that is neither
         live nor known to have ended is, where all that was launched there was launched under
         epochs before ours: we have read what was live since."""
-        core = self.core
-        return core.jobs.is_cancelled(job) or (
-            core.rebuild.recovery is None and self._stranger(job) and self._before_us(report)
+        return self.jobs.is_cancelled(job) or (
+            self.rebuild.recovery is None and self._stranger(job) and self._before_us(report)
         )
 
     def _stranger(self, job: str) -> bool:
         return (
-            self.core.membership.records_loaded
-            and job not in self.core.jobs.live
-            and job not in self.core.jobs.ended
+            self.membership.records_loaded
+            and job not in self.jobs.live
+            and job not in self.jobs.ended
         )
 
     def _before_us(self, report: WorkerHeartbeat) -> bool:
-        epoch, number = self.core.membership.epoch, report.token >> TOKEN_COUNTER_BITS
+        epoch, number = self.membership.epoch, report.token >> TOKEN_COUNTER_BITS
         return number < epoch.number or (
-            number == epoch.number and epoch.place(report.machine) == self.core.membership.label
+            number == epoch.number and epoch.place(report.machine) == self.membership.label
         )
 
     async def _report(self, report: WorkerHeartbeat, body: bytes) -> tuple[int, dict[str, Any]]:
-        core = self.core
         now = time.monotonic()
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         owner = epoch.place(report.machine)
-        if core.renewal.superseded(now) and core.renewal.state_lost(now):
+        if self.renewal.superseded(now) and self.renewal.state_lost(now):
             return 421, {}
-        if not core.renewal.may_renew(now):
+        if not self.renewal.may_renew(now):
             # Users may have been told of cancellations that we don't know of: a cancelled
             # task must not live on here past its deadline.
             return 503, {}
-        if owner == core.membership.label and core.membership.serving:
+        if owner == self.membership.label and self.membership.serving:
             return self.own_report(report, now)
-        if owner and owner != core.membership.label and core.membership.records_loaded:
-            peer = core.peers.get(owner)
+        if owner and owner != self.membership.label and self.membership.records_loaded:
+            peer = self.peers.get(owner)
             last = self.forwarded.get(report.machine, -1e9)
             self.forwarded[report.machine] = now
             if len(self.forwarded) > 5000:
                 self.forwarded.clear()
-            reachable = peer is not None and now - peer.heard < core.membership.lease_ttl_s
+            reachable = peer is not None and now - peer.heard < self.membership.lease_ttl_s
             if reachable and now - last > self.silent_s:
                 return 421, {"upstream": owner}
             # Back again although it was sent to its owner: the worker can't
             # reach it, so its report is passed on.
-            if peer is not None and core.membership.is_member:
+            if peer is not None and self.membership.is_member:
                 try:
                     status, raw = await peer.call(frames.REPORT, (epoch.number, body))
                     if status == 200:
                         return 200, msgspec.json.decode(raw)
                 except (PeerError, msgspec.DecodeError):
                     pass
-        if core.renewal.may_renew(time.monotonic()) and not self._unsure(report):
+        if self.renewal.may_renew(time.monotonic()) and not self._unsure(report):
             # No orders but kills: this starts nothing and takes nothing from whoever is
             # entitled. What an owner that has ended left on its way is void.
             ended = self._owner_ended(epoch, owner)
             token = void_token(epoch, report.token) if ended else report.token
             return 200, {"epoch": token, "orders": []}
-        if owner and owner != core.membership.label:
+        if owner and owner != self.membership.label:
             return 421, {"upstream": owner}
         return 503, {}
 
@@ -156,12 +209,12 @@
         """Whether the process that an epoch names as the owner is known to have ended:
         another one has answered in its place. One that answered before we knew of the
         epoch may be its predecessor."""
-        watermark, named = self.core.watermark, epoch.members.get(owner)
+        watermark, named = self.watermark, epoch.members.get(owner)
         heard = watermark.incarnations.get(owner)
         return (
-            epoch is self.core.membership.epoch
+            epoch is self.membership.epoch
             and bool(named and heard and named != heard)
-            and watermark.asked_at[owner] > self.core.membership.epoch_started_at
+            and watermark.asked_at[owner] > self.membership.epoch_started_at
         )
 
     def _unsure(self, report: WorkerHeartbeat) -> bool:
@@ -172,26 +225,25 @@
         )
 
     def own_report(self, report: WorkerHeartbeat, now: float) -> tuple[int, dict[str, Any]]:
-        core = self.core
-        if report.machine in core.machines.gone:
+        if report.machine in self.machines.gone:
             # Held on its way: a machine that had been returned was open for work again, until
             # its silence was noticed.
             return 503, {}
-        if not core.machines.entitled(report):
-            core.membership.request_rescan()
+        if not self.machines.entitled(report):
+            self.membership.request_rescan()
             return 503, {}
-        new = report.machine not in core.machines.machines
-        m = core.machines.take_report(report, now, True)
+        new = report.machine not in self.machines.machines
+        m = self.machines.take_report(report, now, True)
         if m is None:
-            return 200, {"epoch": core.machines.machine(report.machine, now).token, "orders": []}
+            return 200, {"epoch": self.machines.machine(report.machine, now).token, "orders": []}
         if new:
-            room = core.view.rooms.get(report.machine)
+            room = self.view.rooms.get(report.machine)
             if room is not None:
                 m.images.update({image: 0.0 for image in room.images})
             log.info(
                 "machine=%s generation=%d event=owned type=%s zone=%s spot=%s",
                 m.name,
-                core.membership.epoch.number,
+                self.membership.epoch.number,
                 m.type,
                 m.zone,
                 m.spot,
@@ -201,10 +253,10 @@
             # Exited tasks take no room: that they are cleared can wait for a report's answer,
             # which costs nothing, and is repeated until they are no longer listed.
             if now < m.bad_until or not m.urgent:
-                answer["orders"], m.by_response = core.machines.orders(m)
+                answer["orders"], m.by_response = self.machines.orders(m)
             else:
-                core.routines.spawn(self.pump(m))
-        core.cached_state.note_own_room()
+                self.routines.spawn(self.pump(m))
+        self.cached_state.note_own_room()
         return 200, answer
 
     # -- commands --------------------------------------------------------
@@ -221,13 +273,13 @@
             found = self.clients[address] = http.Client(host, port, keep=1)
             if len(self.clients) > self.max_clients:
                 _, old = self.clients.popitem(last=False)
-                self.core.routines.spawn(old.close())
+                self.routines.spawn(old.close())
         self.clients.move_to_end(address)
         return found
 
     def poke(self, machine: str) -> None:
         """Send what is queued for the machine, unless that is under way."""
-        m = self.core.machines.machines.get(machine)
+        m = self.machines.machines.get(machine)
         if (
             m is not None
             and m.urgent
@@ -236,43 +288,42 @@
             and time.monotonic() >= m.bad_until
         ):
             m.busy = True
-            self.core.routines.spawn(self.pump(m, True))
+            self.routines.spawn(self.pump(m, True))
 
     async def pump(self, m: Machine, marked: bool = False) -> None:
         """One request at a time to a machine, until nothing is queued for it."""
-        core = self.core
         if m.busy and not marked:
             return
         m.busy = True
-        fence = core.membership.epoch.number
+        fence = self.membership.epoch.number
         try:
             while (
                 m.orders
-                and core.membership.epoch.number == fence
-                and core.membership.serving
-                and core.renewal.may_renew(time.monotonic())
+                and self.membership.epoch.number == fence
+                and self.membership.serving
+                and self.renewal.may_renew(time.monotonic())
             ):
                 client = self.client(m.address)
                 if client is None:
                     return
-                orders, launches = core.machines.orders(m)
+                orders, launches = self.machines.orders(m)
                 token = m.token
                 body = msgspec.json.encode({"epoch": token, "tenure": m.session, "orders": orders})
                 try:
                     status, raw = await client.request("POST", "/do", body, self.command_s)
                 except http.NoAnswerError as exc:
                     log.info("machine=%s event=unanswered %s", m.name, exc)
-                    if core.membership.epoch.number == fence:
-                        core.machines.unanswered(
+                    if self.membership.epoch.number == fence:
+                        self.machines.unanswered(
                             m, launches, not isinstance(exc, http.NotSentError), time.monotonic()
                         )
                     return
-                if core.membership.epoch.number != fence:
+                if self.membership.epoch.number != fence:
                     return
                 if status == 200:
-                    core.machines.answered(m, orders, launches)
+                    self.machines.answered(m, orders, launches)
                 else:
-                    core.machines.unanswered(m, launches, False, time.monotonic())
+                    self.machines.unanswered(m, launches, False, time.monotonic())
                 if status in (200, 409):
                     self._body(m, raw)
                 if status != 200:
@@ -280,7 +331,7 @@
                     return
         finally:
             m.busy = False
-        core.cached_state.note_own_room()
+        self.cached_state.note_own_room()
 
     def _body(self, m: Machine, raw: bytes) -> None:
         """The report in a command's answer."""
@@ -291,47 +342,46 @@
             return
         if report.machine != m.name:
             return
-        if self.core.machines.entitled(report):
+        if self.machines.entitled(report):
             heard = m.heard
-            self.core.machines.take_report(report, time.monotonic(), False)
+            self.machines.take_report(report, time.monotonic(), False)
             m.heard = max(heard, m.heard)
         else:
-            self.core.membership.request_rescan()
+            self.membership.request_rescan()
 
     # -- telling homes ---------------------------------------------------
 
     def emit(self, job: str, event: Told) -> None:
-        leader = self.core.membership.epoch.place(job)
+        leader = self.membership.epoch.place(job)
         box = self.outboxes.setdefault(leader, OrderedDict())
         box[event[:3]] = event
-        self.core.routines.signal(f"outbox {leader}")
+        self.routines.signal(f"outbox {leader}")
 
     async def tell(self, leader: str) -> None:
         """Deliver events to one home until it has taken them."""
-        core = self.core
         while True:
-            await core.routines.wait(f"outbox {leader}")
+            await self.routines.wait(f"outbox {leader}")
             box = self.outboxes.setdefault(leader, OrderedDict())
-            attempt = core.routing.start_attempt(leader)
-            while box and core.membership.serving:
-                epoch = core.membership.epoch
+            attempt = self.routing.start_attempt(leader)
+            while box and self.membership.serving:
+                epoch = self.membership.epoch
                 batch = [box.popitem(last=False)[1] for _ in range(min(len(box), 500))]
                 try:
-                    if leader == core.membership.label:
-                        ok, verdicts = True, core.dispatcher.told(batch)
+                    if leader == self.membership.label:
+                        ok, verdicts = True, self.dispatcher.told(batch)
                     else:
-                        ok, packed = await core.peers[leader].call(
+                        ok, packed = await self.peers[leader].call(
                             frames.STATES, (epoch.number, batch)
                         )
                         verdicts = [v for (v,) in packed]
                 except (PeerError, KeyError):
                     ok, verdicts = False, []
-                if core.membership.epoch is not epoch:
+                if self.membership.epoch is not epoch:
                     break
                 if not ok or len(verdicts) != len(batch):
                     for event in batch:
                         box.setdefault(event[:3], event)
-                    await core.routing.back_off(leader, attempt)
+                    await self.routing.back_off(leader, attempt)
                     continue
                 touched: dict[str, None] = {}
                 for event, verdict in zip(batch, verdicts):
@@ -339,12 +389,12 @@
                     touched[event[0]] = None
                 for machine in touched:
                     self.poke(machine)
-                core.cached_state.note_own_room()
+                self.cached_state.note_own_room()
 
     def _verdict(self, event: Told, verdict: int) -> None:
         machine, task, attempt, state = event[:4]
         key: Key = (task, attempt)
-        owner = self.core.machines
+        owner = self.machines
         if verdict == LATER:
             owner.retell(machine, key)
         elif verdict in (JOB_AT_FAULT, MACHINE_AT_FAULT):
@@ -359,69 +409,66 @@
     def evacuate(self, name: str, drain: bool) -> bool:
         """Begin to move a machine's replicas off: to drain it, all of them; otherwise as
         many as the guest of its GPUs needs to fit again."""
-        core = self.core
-        m = core.machines.machines.get(name)
+        m = self.machines.machines.get(name)
         now = time.monotonic()
         if (
             m is None
             or m.evacuating
-            or not core.machines.replicas(m)
-            or now - m.evacuated_at < core.settings.cluster.workers.lease_s / 2
-            or not (core.machines.open(m) or core.machines.unhealthy(m))
+            or not self.machines.replicas(m)
+            or now - m.evacuated_at < self.settings.cluster.workers.lease_s / 2
+            or not (self.machines.open(m) or self.machines.unhealthy(m))
         ):
             return False
         log.info(
             "machine=%s event=evacuate replicas=%d drain=%s",
             name,
-            len(core.machines.replicas(m)),
+            len(self.machines.replicas(m)),
             drain,
         )
         m.evacuating, m.evacuated_at = True, now
         m.draining = drain
-        core.machines.touch(name)
-        core.routines.spawn(self._evacuate(m, drain))
+        self.machines.touch(name)
+        self.routines.spawn(self._evacuate(m, drain))
         return True
 
     async def _evacuate(self, m: Machine, drain: bool) -> None:
         """One replica at a time, each only while its home has another place for it."""
-        core = self.core
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         try:
             while (
-                core.membership.epoch is epoch and core.membership.serving and m.notice_at is None
+                self.membership.epoch is epoch and self.membership.serving and m.notice_at is None
             ):
-                replicas = [r for r in core.machines.replicas(m) if r[0] not in m.kills]
-                kind = core.machines.types.get(m.type)
+                replicas = [r for r in self.machines.replicas(m) if r[0] not in m.kills]
+                kind = self.machines.types.get(m.type)
                 if kind is None or not replicas:
                     return
-                room = core.machines.room(m)
-                if not drain and core.placer.policy().blocked(room, kind) <= 0:
+                room = self.machines.room(m)
+                if not drain and self.placer.policy().blocked(room, kind) <= 0:
                     return
                 for key, job in replicas:
                     if await self._movable(m, key, job, drain):
                         m.kills.setdefault(key, 0.0)
                         self.poke(m.name)
-                        await core.routines.flush()
+                        await self.routines.flush()
                         break
                 else:
                     m.draining = False
-                    core.machines.touch(m.name)
+                    self.machines.touch(m.name)
                     return
-                await curio.sleep(core.settings.cluster.workers.report_s / 2)
+                await curio.sleep(self.settings.cluster.workers.report_s / 2)
         finally:
             m.evacuating = False
 
     async def _movable(self, m: Machine, key: Key, job: Job, drain: bool) -> bool:
-        core = self.core
         number = split_task(key[0])[1]
-        leader = core.membership.epoch.place(job.id)
-        if leader == core.membership.label:
-            return core.placer.movable(job.id, number, m.name, drain)
+        leader = self.membership.epoch.place(job.id)
+        if leader == self.membership.label:
+            return self.placer.movable(job.id, number, m.name, drain)
         try:
             return bool(
                 (
-                    await core.peers[leader].call(
-                        frames.MOVE, (core.membership.epoch.number, job.id, number, m.name, drain)
+                    await self.peers[leader].call(
+                        frames.MOVE, (self.membership.epoch.number, job.id, number, m.name, drain)
                     )
                 )[0]
             )
@@ -432,19 +479,18 @@
 
     async def watch_silence(self) -> None:
         """Fence machines that fell silent: a task on one can't be judged otherwise."""
-        core = self.core
         while True:
-            await curio.sleep(core.settings.cluster.workers.report_s)
+            await curio.sleep(self.settings.cluster.workers.report_s)
             now = time.monotonic()
-            if not core.stalls.check(now) or not core.membership.serving:
+            if not self.stalls.check(now) or not self.membership.serving:
                 continue
-            core.machines.expire(now)
-            if core.membership.away or core.renewal.state_lost(now):
+            self.machines.expire(now)
+            if self.membership.away or self.renewal.state_lost(now):
                 continue  # possibly evicted: see Provisioner.run
-            mine = list(core.machines.machines.values())
+            mine = list(self.machines.machines.values())
             for m in mine:
                 # Not at once: the job that failed there may yet prove to be at fault.
-                m.unhealthy_checks = m.unhealthy_checks + 1 if core.machines.unhealthy(m) else 0
+                m.unhealthy_checks = m.unhealthy_checks + 1 if self.machines.unhealthy(m) else 0
                 if m.unhealthy_checks >= 3 and m.known:
                     self.evacuate(m.name, True)
             silent = [
@@ -456,31 +502,30 @@
             # zone is: returning them all would destroy what still works.
             cut = len(silent) > 2 and len(silent) * 2 > len(mine)
             for m in silent:
-                circuit = core.settings.cluster.workers.cancel_s / 2
+                circuit = self.settings.cluster.workers.cancel_s / 2
                 if not cut or now - m.heard > circuit:
                     m.fencing = True
-                    core.machines.touch(m.name)
-                    core.routines.spawn(self._fence(m))
+                    self.machines.touch(m.name)
+                    self.routines.spawn(self._fence(m))
 
     async def _fence(self, m: Machine) -> None:
-        core = self.core
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         try:
             # An owner that has not heard the machine yet knows its address from the
             # cached state or the list; with none, silence alone is no ground to return a
             # machine that may well work (fifteen were, when one controller lost the
             # state service).
-            room, listed = core.view.rooms.get(m.name), core.provisioner.listed.get(m.name)
+            room, listed = self.view.rooms.get(m.name), self.provisioner.listed.get(m.name)
             address = (
                 m.address or (room.address if room else "") or (listed.address if listed else "")
             )
             if (
                 not address
-                and time.monotonic() - m.heard < core.settings.cluster.workers.cancel_s / 2
+                and time.monotonic() - m.heard < self.settings.cluster.workers.cancel_s / 2
             ):
                 return
             answers = bool(address) and await self._answers(m.name, address, epoch.members)
-            if core.membership.epoch is not epoch or not core.membership.serving:
+            if self.membership.epoch is not epoch or not self.membership.serving:
                 return
             if not self._useless(m) and (answers or time.monotonic() - m.heard < self.silent_s):
                 return
@@ -490,23 +535,23 @@
                 epoch.number,
                 len(m.desired),
             )
-            if epoch.provisioner == core.membership.label:
+            if epoch.provisioner == self.membership.label:
                 await self.fencing.fence(m.name)
             else:
-                await core.peers[epoch.provisioner].call(
+                await self.peers[epoch.provisioner].call(
                     frames.FENCE, (epoch.number, m.name, "silent"), 10 * self.command_s
                 )
         except (PeerError, CloudError, KeyError) as exc:
             log.info("machine=%s event=not-fenced cause=%s", m.name, exc)
         finally:
             m.fencing = False
-            if m.name in core.machines.machines:
-                core.machines.touch(m.name)
+            if m.name in self.machines.machines:
+                self.machines.touch(m.name)
 
     def _useless(self, m: Machine) -> bool:
         """Whether a machine answers commands, but has let its lease run out for long."""
         return m.lapsed and (
-            time.monotonic() - m.reported_at > self.core.settings.cluster.workers.cancel_s / 2
+            time.monotonic() - m.reported_at > self.settings.cluster.workers.cancel_s / 2
         )
 
     async def _answers(self, name: str, address: str, members: Container[str]) -> bool:
@@ -522,7 +567,7 @@
 
     async def _answers_peer(self, name: str, address: str, members: Container[str]) -> bool:
         """The same of the first peer that answers."""
-        for label, peer in self.core.peers.items():
+        for label, peer in self.peers.items():
             if label in members:
                 try:
                     return bool(
@@ -541,7 +586,7 @@
             status, raw = await client.request("GET", "/inspect", None, self.command_s)
         except http.NoAnswerError:
             return False
-        m = self.core.machines.machines.get(name)
+        m = self.machines.machines.get(name)
         if status == 200 and m is not None:
             self._body(m, raw)
         return status == 200
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -4,20 +4,27 @@
 
 import logging
 import time
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
+from clayport.jobs.dispatcher import Dispatcher
 from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
+from clayport.membership.state import MembershipState
 from clayport.model import Job
+from clayport.rebuild.support import RebuildSupport
 from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.keys import end_key, is_anchor, parse_chunk_key
-from clayport.records.store import Entry, OutcomeUnknownError, UnavailableError
+from clayport.records.replica import RecordReplica
+from clayport.records.store import Entry, OutcomeUnknownError, StateStore, UnavailableError
 from clayport.records.values import parse_end
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.routines import Routines
+from clayport.scheduling.queueing import JobQueue
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -35,17 +42,40 @@
 class Failover:
     """Loads the share of an epoch's jobs that belongs to this controller."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        dispatcher: Dispatcher,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        queue: JobQueue,
+        rebuild: RebuildSupport,
+        record_replica: RecordReplica,
+        routines: Routines,
+        settings: Settings,
+        store: StateStore,
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.objectives = objectives
+        self.queue = queue
+        self.rebuild = rebuild
+        self.record_replica = record_replica
+        self.routines = routines
+        self.settings = settings
+        self.store = store
 
     async def load(self, epoch: Epoch) -> None:
         """Take over our share, trying until the epoch has moved on.
 
         No commit of an earlier epoch can follow the key of this one.
         """
-        core = self.core
-        attempt = core.store.begin()
-        while core.membership.epoch is epoch:
+        attempt = self.store.begin()
+        while self.membership.epoch is epoch:
             try:
                 await self._load_once(epoch)
                 return
@@ -53,7 +83,7 @@
                 log.debug("event=load-failed cause=%s", exc)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-            await core.store.back_off(attempt)
+            await self.store.back_off(attempt)
 
     async def _load_once(self, epoch: Epoch) -> None:
         """Read the records and begin to serve, unless the epoch has moved on.
@@ -62,27 +92,26 @@
             UnavailableError, OutcomeUnknownError: The state service doesn't answer.
             MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
         """
-        core = self.core
-        entries, _ = await core.store.scan("run/")
-        if core.rebuild.recovery is not None and not core.rebuild.recovery.history.complete(
+        entries, _ = await self.store.scan("run/")
+        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.complete(
             "run/", [e.key for e in entries]
         ):
             return  # records are gone: the rebuild sees to it
         share = self._share(entries, epoch)
         orphans = await self._orphans(share.chunks)
-        if core.membership.epoch is not epoch or core.rebuild.in_doubt:
+        if self.membership.epoch is not epoch or self.rebuild.in_doubt:
             return
-        for job, (desc, rev) in core.jobs.live.items():
-            if rev and epoch.place(job) == core.membership.label and job not in share.unreadable:
+        for job, (desc, rev) in self.jobs.live.items():
+            if rev and epoch.place(job) == self.membership.label and job not in share.unreadable:
                 self.lead(desc, rev, share.chunks.get(job, {}), "")
         for job, (desc, status) in orphans.items():
-            core.jobs.ended_descriptions[job] = desc
+            self.jobs.ended_descriptions[job] = desc
             self.lead(desc, 0, share.chunks[job], status)
-        core.membership.serving = True
-        log.info("generation=%d event=serving jobs=%d", epoch.number, len(core.jobs.managed))
+        self.membership.serving = True
+        log.info("generation=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
-            core.routines.signal(name)
-        await core.routines.flush()
+            self.routines.signal(name)
+        await self.routines.flush()
 
     def _share(self, entries: list[Entry], epoch: Epoch) -> Share:
         """The chunks of the jobs that the epoch gives us."""
@@ -92,7 +121,7 @@
                 continue
             try:
                 job, size, index = parse_chunk_key(entry.key)
-                if epoch.place(job) == self.core.membership.label:
+                if epoch.place(job) == self.membership.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
                     share.chunks.setdefault(job, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
@@ -104,15 +133,14 @@
 
     async def _orphans(self, chunks: dict[str, Chunks]) -> dict[str, tuple[Job, str]]:
         """Jobs that have ended and still have chunks: their descriptions and final states."""
-        core = self.core
         orphans: dict[str, tuple[Job, str]] = {}
-        for job in [j for j in chunks if j not in core.jobs.live]:
-            entry = await core.store.get(end_key(job))
+        for job in [j for j in chunks if j not in self.jobs.live]:
+            entry = await self.store.get(end_key(job))
             if entry is None:
                 continue
-            core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
-                desc = core.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
+                desc = self.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
                 orphans[job] = (desc, entry.value["s"])
         return orphans
 
@@ -125,24 +153,23 @@
             chunks: What was read of its tasks.
             ended: Its final state, if it has one.
         """
-        core = self.core
-        cluster = core.settings.cluster
+        cluster = self.settings.cluster
         managed = ManagedJob(
             job,
             rev,
             chunk_size(cluster.state.value_kb),
             time.monotonic(),
             ended,
-            core.membership.epoch.number,
+            self.membership.epoch.number,
             cluster.workers.report_s,
             6 * cluster.workers.lease_s,
         )
-        managed.suspected = job.id in core.machines.failing_jobs
+        managed.suspected = job.id in self.machines.failing_jobs
         managed.load_all(chunks)
-        node = core.jobs.dependencies.nodes.get(job.id)
+        node = self.jobs.dependencies.nodes.get(job.id)
         if node is not None:
             managed.blocked = bool(node.needs)
             managed.since = node.ready
-        core.jobs.managed[job.id] = managed
-        core.queue.touch(job.id)
-        core.routines.spawn(core.dispatcher.drive(managed))
+        self.jobs.managed[job.id] = managed
+        self.queue.touch(job.id)
+        self.routines.spawn(self.dispatcher.drive(managed))
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -2,14 +2,23 @@
 
 from __future__ import annotations
 
-import logging
-import time
+from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-import curio
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.records.store import StateStore
+from clayport.routines import Routines
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.scaling.renting import Provisioner
+
+import logging
+import time
+
+import curio
 
 log = logging.getLogger(__name__)
 
@@ -32,17 +41,36 @@
             least, since how long it was says nothing of what follows.
     """
 
-    def __init__(self, core: Controller, now: float) -> None:
-        self.core = core
+    def __init__(
+        self,
+        now: float,
+        *,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        routines: Routines,
+        settings: Settings,
+        store: StateStore,
+    ) -> None:
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.routines = routines
+        self.settings = settings
+        self.store = store
         self.last_run = now
         self.count = 0
         self.confirmed_count = 0
         self.timer_delay_s = 0.0
-        self.stall_s = STALL_INTERVALS * core.settings.cluster.workers.report_s
+        self.stall_s = STALL_INTERVALS * settings.cluster.workers.report_s
+
+    def connect(self, *, provisioner: Provisioner) -> None:
+        """Set the parts that are built later than this one."""
+        self.provisioner = provisioner
 
     async def detect_stalls(self) -> None:
         """Check a few times in each report interval."""
-        pause_s = CHECK_INTERVALS * self.core.settings.cluster.workers.report_s
+        pause_s = CHECK_INTERVALS * self.settings.cluster.workers.report_s
         while True:
             now = time.monotonic()
             self.check(now)
@@ -52,7 +80,7 @@
 
     def check(self, now: float) -> bool:
         """Whether what was last seen is as old as the clock says, as far as is known."""
-        report_s = self.core.settings.cluster.workers.report_s
+        report_s = self.settings.cluster.workers.report_s
         gap_s = now - self.last_run - CHECK_INTERVALS * report_s
         self.last_run = now
         if gap_s > self.stall_s:
@@ -61,14 +89,13 @@
 
     def _note_stall(self, gap_s: float, now: float) -> None:
         """Move what is judged by elapsed time by the gap, and look at the records again."""
-        core = self.core
         log.info("event=stood-still seconds=%.1f", gap_s)
         self.count += 1
-        core.membership.rescan = True
+        self.membership.rescan = True
         # Not known to answer until it has; a lease may have ended meanwhile.
-        core.store.last_bad = now
-        for peer in core.peers.values():
+        self.store.last_bad = now
+        for peer in self.peers.values():
             peer.heard += gap_s
-        core.machines.stood_still(gap_s)
-        core.provisioner.began_at = now
-        core.routines.signal("lease")
+        self.machines.stood_still(gap_s)
+        self.provisioner.began_at = now
+        self.routines.signal("lease")
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -4,12 +4,17 @@
 
 import logging
 import time
-from typing import TYPE_CHECKING
 
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.fleet import Fleet
+from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.membership.failover import Failover
+from clayport.membership.state import MembershipState
+from clayport.rebuild.support import RebuildSupport
+from clayport.routines import Routines
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.placer import Placer
 
 log = logging.getLogger(__name__)
 
@@ -17,28 +22,47 @@
 class EpochTransition:
     """Drops what belonged to the epoch before, and has our share of the new one loaded."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        failover: Failover,
+        fleet: Fleet,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        placer: Placer,
+        rebuild: RebuildSupport,
+        routines: Routines,
+    ) -> None:
+        self.cached_state = cached_state
+        self.failover = failover
+        self.fleet = fleet
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.placer = placer
+        self.rebuild = rebuild
+        self.routines = routines
 
     def begin(self, epoch: Epoch) -> None:
         """Act under a new epoch."""
-        core = self.core
-        core.membership.epoch, core.membership.epoch_started_at = epoch, time.monotonic()
-        core.membership.serving = False
+        self.membership.epoch, self.membership.epoch_started_at = epoch, time.monotonic()
+        self.membership.serving = False
         log.info(
             "generation=%d event=begin members=%s",
             epoch.number,
             ",".join(sorted(epoch.members)),
         )
-        if core.rebuild.recovery is not None:
+        if self.rebuild.recovery is not None:
             # Who has seen more than the records show?
-            core.rebuild.recovery.history.unsure = True
-        for managed in core.jobs.managed.values():
-            core.routines.signal(managed.name)
-        core.jobs.begin_epoch()
-        core.placer.begin()
-        core.cached_state.begin()
-        core.fleet.outboxes.clear()
-        core.machines.begin(epoch, core.membership.label)
-        if core.membership.is_member:
-            core.routines.spawn(core.failover.load(epoch))
+            self.rebuild.recovery.history.unsure = True
+        for managed in self.jobs.managed.values():
+            self.routines.signal(managed.name)
+        self.jobs.begin_epoch()
+        self.placer.begin()
+        self.cached_state.begin()
+        self.fleet.outboxes.clear()
+        self.machines.begin(epoch, self.membership.label)
+        if self.membership.is_member:
+            self.routines.spawn(self.failover.load(epoch))
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -9,17 +9,27 @@
 import logging
 import time
 from collections.abc import Awaitable, Callable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
+from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.renewal import LeaseRenewal
+from clayport.machines.fleet import Fleet
+from clayport.machines.removal import MachineRemoval
+from clayport.machines.table import MachineTable
+from clayport.membership.heartbeats import Heartbeats
+from clayport.membership.state import MembershipState
 from clayport.model import WorkerHeartbeat
+from clayport.rebuild.support import RebuildSupport
+from clayport.records.replica import RecordReplica
+from clayport.routines import Routines
 from clayport.scaling.cloud import CloudError
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.placer import Placer
 from clayport.transport import frames
 
-if TYPE_CHECKING:
-    from clayport.controller import Controller
-
 log = logging.getLogger(__name__)
 
 # The kind of the answer's frame, and its fields.
@@ -41,8 +51,36 @@
 class PeerRequests:
     """Answers the peers of one controller."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        dispatcher: Dispatcher,
+        fleet: Fleet,
+        heartbeats: Heartbeats,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        placer: Placer,
+        rebuild: RebuildSupport,
+        record_replica: RecordReplica,
+        removal: MachineRemoval,
+        renewal: LeaseRenewal,
+        routines: Routines,
+    ) -> None:
+        self.cached_state = cached_state
+        self.dispatcher = dispatcher
+        self.fleet = fleet
+        self.heartbeats = heartbeats
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.placer = placer
+        self.rebuild = rebuild
+        self.record_replica = record_replica
+        self.removal = removal
+        self.renewal = renewal
+        self.routines = routines
 
     async def answer(self, kind: int, values: tuple[Any, ...]) -> Answer:
         """Answer one request; what it has signalled or started is carried out before.
@@ -58,10 +96,10 @@
                 return handler.refusal
             return await handler.method(self, *values)
         finally:
-            await self.core.routines.flush()
+            await self.routines.flush()
 
     def _is_current(self, epoch: int) -> bool:
-        return self.core.membership.serving and epoch == self.core.membership.epoch.number
+        return self.membership.serving and epoch == self.membership.epoch.number
 
     # -- requests of any epoch --------------------------------------
 
@@ -69,7 +107,7 @@
         self, label: str, number: int, state_ok: bool, room_rev: int, demand: list[Any]
     ) -> Answer:
         """PING, a heartbeat without promises."""
-        heartbeats = self.core.heartbeats
+        heartbeats = self.heartbeats
         heartbeats.received(label, number, state_ok, room_rev, demand)
         return frames.PONG, heartbeats.status_fields(time.monotonic())
 
@@ -85,40 +123,40 @@
     ) -> Answer:
         """BEAT, a heartbeat that asks for a promise about cancellations."""
         now = time.monotonic()
-        heartbeats = self.core.heartbeats
+        heartbeats = self.heartbeats
         is_peer = heartbeats.received(label, number, state_ok, room_rev, demand)
         status_fields = heartbeats.status_fields(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
-        return frames.BEATEN, (*status_fields, self.core.membership.incarnation, promised)
+        return frames.BEATEN, (*status_fields, self.membership.incarnation, promised)
 
     async def ended(self, job: str, status: str) -> Answer:
         """ENDED: a job's final state, to be acknowledged before its user is told."""
-        if status in FINAL_STATES and job not in self.core.jobs.ended:
-            self.core.record_replica.note_end(job, status)
+        if status in FINAL_STATES and job not in self.jobs.ended:
+            self.record_replica.note_end(job, status)
         return AGREED
 
     async def history(self, *values: Any) -> Answer:
         """HISTORY: which history of the records the sender acts on, and which we do."""
-        if self.core.rebuild.recovery is None:
+        if self.rebuild.recovery is None:
             return NO_HISTORY
-        return self.core.rebuild.recovery.answer(frames.HISTORY, values)
+        return self.rebuild.recovery.answer(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
         """EVIDENCE: one part of what is known here about the records to be rebuilt."""
-        if self.core.rebuild.recovery is None:
+        if self.rebuild.recovery is None:
             return NO_EVIDENCE
-        return self.core.rebuild.recovery.answer(frames.EVIDENCE, values)
+        return self.rebuild.recovery.answer(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
         """INSPECT: whether a machine that its owner misses answers us."""
-        return frames.ACK, (await self.core.fleet.inspect(machine, address),)
+        return frames.ACK, (await self.fleet.inspect(machine, address),)
 
     async def gone(self, _epoch: int, machines: list[tuple[str]]) -> Answer:
         """GONE: machines whose return the cloud has confirmed.
 
         It holds in any epoch, since names are not used again.
         """
-        self.core.removal.apply(name for (name,) in machines)
+        self.removal.apply(name for (name,) in machines)
         return AGREED
 
     async def report(self, epoch: int, body: bytes) -> Answer:
@@ -128,63 +166,62 @@
             report = msgspec.json.decode(body, type=WorkerHeartbeat)
         except msgspec.MsgspecError:
             return frames.REPORTED, (400, b"{}")
-        core = self.core
         if (
             not self._is_current(epoch)
-            or core.membership.epoch.place(report.machine) != core.membership.label
-            or not core.renewal.may_renew(now)
+            or self.membership.epoch.place(report.machine) != self.membership.label
+            or not self.renewal.may_renew(now)
         ):
             return frames.REPORTED, (503, b"{}")
-        status, value = core.fleet.own_report(report, now)
+        status, value = self.fleet.own_report(report, now)
         return frames.REPORTED, (status, msgspec.json.encode(value))
 
     # -- requests to the home of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
         """COUNTS: how many tasks of a job are done and how many run."""
-        counts = self.core.dispatcher.counts(job)
+        counts = self.dispatcher.counts(job)
         return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
     async def states(self, _epoch: int, events: list[tuple[Any, ...]]) -> Answer:
         """STATES: what machines' owners have seen of tasks."""
-        verdicts = self.core.dispatcher.told(events)
+        verdicts = self.dispatcher.told(events)
         return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
         """MOVE: whether a replica has another place than this machine."""
-        return frames.ACK, (self.core.placer.movable(job, number, machine, drain),)
+        return frames.ACK, (self.placer.movable(job, number, machine, drain),)
 
     # -- requests to the owner of machines -------------------------------
 
     async def room(self, _epoch: int, since: int, machines: list[tuple[str]]) -> Answer:
         """ROOM: the table of free room, or what has changed in it since a revision."""
-        return frames.TABLE, self.core.cached_state.table(since, [name for (name,) in machines])
+        return frames.TABLE, self.cached_state.table(since, [name for (name,) in machines])
 
     async def reserve(
         self, _epoch: int, job: str, attempt: int, places: list[tuple[str, int]]
     ) -> Answer:
         """RESERVE: room for tasks of a job on our machines."""
-        known = self.core.jobs.description(job)
+        known = self.jobs.description(job)
         if known is None:
             return NO_RESERVATIONS
-        granted = self.core.machines.reserve(known, places, attempt, time.monotonic())
+        granted = self.machines.reserve(known, places, attempt, time.monotonic())
         return frames.RESERVED, (True, [(g,) for g in granted])
 
     async def launch(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """LAUNCH: start tasks whose room has been reserved."""
-        verdicts = self.core.machines.launch(tasks)
+        verdicts = self.machines.launch(tasks)
         self._poke(tasks)
         return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def stop(self, _epoch: int, tasks: list[tuple[str, str, int, float, bool]]) -> Answer:
         """STOP: kill tasks, or clear them from the machines' reports."""
-        self.core.machines.stop(tasks)
+        self.machines.stop(tasks)
         self._poke(tasks)
         return AGREED
 
     async def adopt(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
         """ADOPT: tasks that the records say are on our machines."""
-        self.core.machines.adopt(tasks, time.monotonic())
+        self.machines.adopt(tasks, time.monotonic())
         return AGREED
 
     async def preempt(
@@ -197,30 +234,29 @@
         borrowers: list[tuple[str]],
     ) -> Answer:
         """PREEMPT: make room on a machine for so many tasks of a job."""
-        wanting = self.core.jobs.description(job)
-        made = wanting is not None and self.core.machines.preempt(
+        wanting = self.jobs.description(job)
+        made = wanting is not None and self.machines.preempt(
             wanting, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
         )
-        self.core.fleet.poke(machine)
+        self.fleet.poke(machine)
         return frames.ACK, (made,)
 
     async def evacuate(self, _epoch: int, machine: str, drain: bool) -> Answer:
         """EVACUATE: move replicas off a machine."""
-        return frames.ACK, (self.core.fleet.evacuate(machine, drain),)
+        return frames.ACK, (self.fleet.evacuate(machine, drain),)
 
     async def drain(self, _epoch: int, machine: str) -> Answer:
         """DRAIN: whether a machine is empty and takes no more work."""
-        return frames.ACK, (self.core.machines.drain(machine),)
+        return frames.ACK, (self.machines.drain(machine),)
 
     # -- requests to the one that rents machines -------------------------
 
     async def fence(self, _epoch: int, machine: str, _cause: str) -> Answer:
         """FENCE: return a silent machine to the cloud; agreed once that is confirmed."""
-        core = self.core
-        if core.membership.epoch.provisioner != core.membership.label:
+        if self.membership.epoch.provisioner != self.membership.label:
             return REFUSED
         try:
-            await core.fleet.fencing.fence(machine)
+            await self.fleet.fencing.fence(machine)
         except CloudError as exc:
             log.info("machine=%s event=not-fenced cause=%s", machine, exc)
             return REFUSED
@@ -229,7 +265,7 @@
     def _poke(self, tasks: list[Any]) -> None:
         """Send the commands of the tasks' machines without waiting for their reports."""
         for machine in dict.fromkeys(task[0] for task in tasks):
-            self.core.fleet.poke(machine)
+            self.fleet.poke(machine)
 
 
 class Handler(NamedTuple):
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -3,10 +3,33 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.machines.table import MachineTable
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
+from clayport.rebuild.support import RebuildSupport
+from clayport.records.store import Lookups, StateStore
+from clayport.records.upgrade import UpgradeState
+from clayport.routines import Routines
+from clayport.scaling.provisioning import Arrivals
+from clayport.scheduling.queueing import JobQueue
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
+
+if TYPE_CHECKING:
+    from clayport.membership.failover import Failover
+    from clayport.membership.transition import EpochTransition
+    from clayport.scheduling.placer import Placer
+
 import logging
 import time
 from collections.abc import Iterable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import curio
 import msgspec
@@ -36,9 +59,6 @@
 from clayport.records.values import parse_end
 from clayport.transport import frames, peers
 
-if TYPE_CHECKING:
-    from clayport.controller import Controller
-
 log = logging.getLogger(__name__)
 
 
@@ -52,14 +72,54 @@
 class RecordReplica:
     """The routines that keep the controller's cached state of the records."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        arrivals: Arrivals,
+        jobs: JobRegistry,
+        lookups: Lookups,
+        machines: MachineTable,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        peers: Mapping[str, Peer],
+        promises: Promises,
+        queue: JobQueue,
+        rebuild: RebuildSupport,
+        routines: Routines,
+        settings: Settings,
+        stalls: StallDetector,
+        store: StateStore,
+        upgrade: UpgradeState,
+        watermark: CancellationWatermark,
+    ) -> None:
+        self.arrivals = arrivals
+        self.jobs = jobs
+        self.lookups = lookups
+        self.machines = machines
+        self.membership = membership
+        self.objectives = objectives
+        self.peers = peers
+        self.promises = promises
+        self.queue = queue
+        self.rebuild = rebuild
+        self.routines = routines
+        self.settings = settings
+        self.stalls = stalls
+        self.store = store
+        self.upgrade = upgrade
+        self.watermark = watermark
         self.seen = 0  # the revision up to which all changes under `c/` are known here
         # Jobs whose live record is gone and whose end is still to be read, and up to when, and
         # up to which revision, all was known before.
         self.unresolved_ends: dict[str, tuple[float, int]] = {}
         self.telling: dict[tuple[str, str], None] = {}  # peers that are being told, of what
 
+    def connect(self, *, failover: Failover, placer: Placer, transition: EpochTransition) -> None:
+        """Set the parts that are built later than this one."""
+        self.failover = failover
+        self.placer = placer
+        self.transition = transition
+
     # -- versions ---------------------------------------------------------
 
     def count_versions(self) -> None:
@@ -68,106 +128,103 @@
         And whether the epoch began after the last of them had said so: what their
         predecessors have on its way fails under it. Once true, it stays.
         """
-        core = self.core
-        found = [core.upgrade.formats.get(label, (0, 0)) for label in core.settings.labels]
-        if core.membership.epoch.rev <= max(rev for _, rev in found):
+        found = [self.upgrade.formats.get(label, (0, 0)) for label in self.settings.labels]
+        if self.membership.epoch.rev <= max(rev for _, rev in found):
             return
-        core.upgrade.promises_enabled = core.upgrade.promises_enabled or all(
+        self.upgrade.promises_enabled = self.upgrade.promises_enabled or all(
             number >= PROMISES_FORMAT for number, _ in found
         )
-        if core.upgrade.complete or any(number < FORMAT for number, _ in found):
+        if self.upgrade.complete or any(number < FORMAT for number, _ in found):
             return
-        core.upgrade.complete = True
-        core.upgrade.limits = core.settings.cluster.state.least()
-        core.store.set_rates(core.upgrade.limits.rps, core.upgrade.limits.write_rps)
-        core.lookups.most = 4 * core.upgrade.limits.txn_ops
+        self.upgrade.complete = True
+        self.upgrade.limits = self.settings.cluster.state.least()
+        self.store.set_rates(self.upgrade.limits.rps, self.upgrade.limits.write_rps)
+        self.lookups.most = 4 * self.upgrade.limits.txn_ops
         log.info(
             "event=upgraded format=%d value_kb=%g txn_ops=%d write_rps=%g",
             FORMAT,
-            core.upgrade.limits.value_kb,
-            core.upgrade.limits.txn_ops,
-            core.upgrade.limits.write_rps,
+            self.upgrade.limits.value_kb,
+            self.upgrade.limits.txn_ops,
+            self.upgrade.limits.write_rps,
         )
-        for managed in core.jobs.managed.values():
-            core.routines.signal(managed.name)
+        for managed in self.jobs.managed.values():
+            self.routines.signal(managed.name)
 
     def note_version(self, label: str, value: Any, rev: int) -> None:
         """A version's record was read; one that can't be says nothing, and is written anew."""
         try:
-            self.core.upgrade.formats[label] = (int(value["format"]), rev)
+            self.upgrade.formats[label] = (int(value["format"]), rev)
         except (KeyError, TypeError, ValueError) as exc:
             log.error("key=%s%s event=malformed-value cause=%r", VERSION_PREFIX, label, exc)
-            self.core.upgrade.formats[label] = (0, rev)
+            self.upgrade.formats[label] = (0, rev)
 
     # -- the mirror ------------------------------------------------------
 
     async def follow(self) -> None:
         """Mirror the epoch, the controllers present and the live jobs."""
-        core = self.core
         rev = 0
-        attempt = core.store.begin()
+        attempt = self.store.begin()
         while True:
             try:
-                if core.membership.rescan:
+                if self.membership.rescan:
                     rev = await self._scan()
                 asked_at = time.monotonic()
-                changes, rev = await core.store.watch("c/", rev, core.membership.lease_ttl_s)
-                if core.membership.rescan:
+                changes, rev = await self.store.watch("c/", rev, self.membership.lease_ttl_s)
+                if self.membership.rescan:
                     # Asked for before: an epoch among them would begin with jobs of
                     # which this has not been read yet.
                     continue
                 for change in changes:
                     self._apply(change)
                 self._read(asked_at, rev)
-                if not (core.upgrade.complete and core.upgrade.promises_enabled):
+                if not (self.upgrade.complete and self.upgrade.promises_enabled):
                     self.count_versions()
-                await core.routines.flush()
+                await self.routines.flush()
                 attempt.served()
             except CompactedError:
-                core.membership.rescan = True
+                self.membership.rescan = True
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=watch-lost cause=%s", exc)
-                await core.store.back_off(attempt)
+                await self.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 8))
+                await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 8))
 
     async def _scan(self) -> int:
-        core = self.core
-        stalls = core.stalls.count
+        stalls = self.stalls.count
         asked_at = time.monotonic()
-        entries, rev = await core.store.scan("c/")
-        core.stalls.confirmed_count = stalls
-        core.membership.rescan = stalls != core.stalls.count
+        entries, rev = await self.store.scan("c/")
+        self.stalls.confirmed_count = stalls
+        self.membership.rescan = stalls != self.stalls.count
         keys = {e.key for e in entries}
-        if core.rebuild.recovery is not None and not core.rebuild.recovery.history.complete(
+        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.complete(
             "c/", keys
         ):
-            core.membership.rescan = True
+            self.membership.rescan = True
             raise UnavailableError("the records are in doubt")
-        for label in [n for n in core.membership.present if NODE_PREFIX + n not in keys]:
-            del core.membership.present[label]
-            core.membership.present_revs.pop(label, None)
-            if label == core.membership.label:
-                core.membership.lease = None  # the lease may be there, and the key is not
-                core.routines.signal("lease")
+        for label in [n for n in self.membership.present if NODE_PREFIX + n not in keys]:
+            del self.membership.present[label]
+            self.membership.present_revs.pop(label, None)
+            if label == self.membership.label:
+                self.membership.lease = None  # the lease may be there, and the key is not
+                self.routines.signal("lease")
         for entry in entries:
             self._put(entry.key, entry.value, entry.rev)
-        for job, (_, since) in list(core.jobs.live.items()):
+        for job, (_, since) in list(self.jobs.live.items()):
             if LIVE_PREFIX + job not in keys and 0 < since <= rev:
                 self._gone_live(job)
-        core.membership.records_loaded = True
+        self.membership.records_loaded = True
         self._read(asked_at, rev)
         self.count_versions()
-        core.routines.signal("members")
-        core.routines.signal("prereqs")
-        await core.routines.flush()
+        self.routines.signal("members")
+        self.routines.signal("prereqs")
+        await self.routines.flush()
         return rev
 
     def _read(self, asked_at: float, rev: int) -> None:
         """All changes up to the revision have come, in answer to what was asked then."""
         self.seen = rev
-        self.core.watermark.read(next(iter(self.unresolved_ends.values()), (asked_at, rev))[0])
+        self.watermark.read(next(iter(self.unresolved_ends.values()), (asked_at, rev))[0])
 
     @property
     def known_rev(self) -> int:
@@ -175,42 +232,40 @@
         return next(iter(self.unresolved_ends.values()), (0.0, self.seen))[1]
 
     def _apply(self, change: Change) -> None:
-        core = self.core
         if change.put is not None:
             self._put(change.put, change.value, change.rev)
         elif change.delete is not None:
             if change.delete.startswith(NODE_PREFIX):
                 label = change.delete[len(NODE_PREFIX) :]
-                core.membership.present.pop(label, None)
-                core.membership.present_revs.pop(label, None)
-                if label == core.membership.label:
-                    core.membership.lease = None
-                    core.routines.signal("lease")
-                core.routines.signal("members")
+                self.membership.present.pop(label, None)
+                self.membership.present_revs.pop(label, None)
+                if label == self.membership.label:
+                    self.membership.lease = None
+                    self.routines.signal("lease")
+                self.routines.signal("members")
             elif change.delete.startswith(LIVE_PREFIX):
                 self._gone_live(change.delete[len(LIVE_PREFIX) :])
 
     def _put(self, key: str, value: Any, rev: int) -> None:
-        core = self.core
         try:
             if key == EPOCH_KEY:
-                if rev > core.membership.epoch.rev:
-                    core.transition.begin(Epoch.parse(value, rev))
-                core.routines.signal("members")
+                if rev > self.membership.epoch.rev:
+                    self.transition.begin(Epoch.parse(value, rev))
+                self.routines.signal("members")
             elif key == HEAD_KEY:
-                core.rebuild.note_head(value)
+                self.rebuild.note_head(value)
             elif key.startswith(NODE_PREFIX):
-                core.membership.present[key[len(NODE_PREFIX) :]] = str(value["inc"])
-                core.membership.present_revs[key[len(NODE_PREFIX) :]] = rev
-                core.routines.signal("members")
+                self.membership.present[key[len(NODE_PREFIX) :]] = str(value["inc"])
+                self.membership.present_revs[key[len(NODE_PREFIX) :]] = rev
+                self.routines.signal("members")
             elif key.startswith(VERSION_PREFIX):
                 self.note_version(key[len(VERSION_PREFIX) :], value, rev)
             elif key.startswith(CLASS_PREFIX):
-                known = core.objectives.with_objectives(msgspec.convert(value["j"], Job))
-                core.jobs.classes[known.job_class] = known
+                known = self.objectives.with_objectives(msgspec.convert(value["j"], Job))
+                self.jobs.classes[known.job_class] = known
             elif key.startswith(LIVE_PREFIX):
                 self.note_live(
-                    core.objectives.with_objectives(msgspec.convert(value["j"], Job)),
+                    self.objectives.with_objectives(msgspec.convert(value["j"], Job)),
                     rev,
                     self.since(value.get("t")),
                 )
@@ -226,109 +281,105 @@
         now = time.monotonic()
         if at is None:
             return now
-        return now - max(0.0, time.time() - at - self.core.settings.cluster.clock_error_ms / 500)
+        return now - max(0.0, time.time() - at - self.settings.cluster.clock_error_ms / 500)
 
     def note_live(self, job: Job, rev: int, submitted: float) -> None:
         """A job is accepted; its home sets to work."""
-        core = self.core
-        if job.id in core.jobs.live and rev > core.jobs.live[job.id][1]:
-            core.jobs.live[job.id] = (core.jobs.live[job.id][0], rev)  # written anew by a rebuild
-            if job.id in core.jobs.managed:
-                core.jobs.managed[job.id].live_rev = rev
-        if job.id in core.jobs.live or job.id in core.jobs.ended:
+        if job.id in self.jobs.live and rev > self.jobs.live[job.id][1]:
+            self.jobs.live[job.id] = (self.jobs.live[job.id][0], rev)  # written anew by a rebuild
+            if job.id in self.jobs.managed:
+                self.jobs.managed[job.id].live_rev = rev
+        if job.id in self.jobs.live or job.id in self.jobs.ended:
             return
-        changed = core.jobs.dependencies.add(job, submitted)
-        core.jobs.live[job.id] = (
-            core.jobs.dependencies.view(job.id, core.objectives.finish_limits),
+        changed = self.jobs.dependencies.add(job, submitted)
+        self.jobs.live[job.id] = (
+            self.jobs.dependencies.view(job.id, self.objectives.finish_limits),
             rev,
         )
-        core.placer.learn(core.jobs.live[job.id][0])
+        self.placer.learn(self.jobs.live[job.id][0])
         self._review(changed)
-        if core.jobs.dependencies.waiting(job.id):
-            core.routines.signal("prereqs")
-        elif core.membership.records_loaded:
-            core.arrivals.note(job, time.monotonic())
+        if self.jobs.dependencies.waiting(job.id):
+            self.routines.signal("prereqs")
+        elif self.membership.records_loaded:
+            self.arrivals.note(job, time.monotonic())
         if (
             job.gpus > 0
-            and job.job_class not in core.jobs.classes
-            and len(core.jobs.classes) < MAX_REMEMBERED_CLASSES
+            and job.job_class not in self.jobs.classes
+            and len(self.jobs.classes) < MAX_REMEMBERED_CLASSES
             and job.job_class.isascii()
             and job.job_class.replace("-", "").replace("_", "").isalnum()
         ):
-            core.jobs.classes[job.job_class] = job
-            core.routines.spawn(self._remember(job))
+            self.jobs.classes[job.job_class] = job
+            self.routines.spawn(self._remember(job))
         if (
-            core.membership.serving
-            and core.membership.epoch.place(job.id) == core.membership.label
-            and job.id not in core.jobs.managed
+            self.membership.serving
+            and self.membership.epoch.place(job.id) == self.membership.label
+            and job.id not in self.jobs.managed
         ):
-            core.failover.lead(core.jobs.live[job.id][0], rev, {}, "")
-            core.routines.signal("place")
+            self.failover.lead(self.jobs.live[job.id][0], rev, {}, "")
+            self.routines.signal("place")
 
     def _review(self, changed: Iterable[str]) -> None:
         """Jobs whose urgency has changed, by what needs them."""
-        core = self.core
         for name in changed:
-            if name in core.jobs.live:
-                job = core.jobs.dependencies.view(name, core.objectives.finish_limits)
-                core.jobs.live[name] = (job, core.jobs.live[name][1])
-                managed = core.jobs.managed.get(name)
+            if name in self.jobs.live:
+                job = self.jobs.dependencies.view(name, self.objectives.finish_limits)
+                self.jobs.live[name] = (job, self.jobs.live[name][1])
+                managed = self.jobs.managed.get(name)
                 if managed is not None:
                     managed.job = job
-                    core.queue.touch(name)
-                    core.routines.signal("place")
+                    self.queue.touch(name)
+                    self.routines.signal("place")
 
     def _ready(self, name: str) -> None:
         """All jobs that this one needs are done, as their final records say."""
-        core = self.core
-        job = core.jobs.live[name][0]
-        if core.membership.records_loaded:
-            core.arrivals.note(job, time.monotonic())
-        managed = core.jobs.managed.get(name)
+        job = self.jobs.live[name][0]
+        if self.membership.records_loaded:
+            self.arrivals.note(job, time.monotonic())
+        managed = self.jobs.managed.get(name)
         if managed is not None and not managed.ended:
-            managed.since = core.jobs.dependencies.nodes[name].ready
+            managed.since = self.jobs.dependencies.nodes[name].ready
             managed.blocked = False
-            core.queue.touch(name)
+            self.queue.touch(name)
             log.info("job=%s event=ready", name)
-            core.routines.signal("place")
+            self.routines.signal("place")
 
     async def keep_prereqs(self) -> None:
         """Look up jobs that others wait for and of which nothing is known here: ended
         before this process began, or accepted a moment ago. And ask again, many in one
         request, whether those that are taken to be live still are: a missed notice must
         not delay what waits for it for long."""
-        core = self.core
         again_at = 0.0
         while True:
-            await core.routines.wait(
+            await self.routines.wait(
                 "prereqs",
-                core.routines.jitter(
-                    core.membership.lease_ttl_s / 4
-                    if core.jobs.dependencies.missing
-                    else 2 * core.membership.lease_ttl_s
+                self.routines.jitter(
+                    self.membership.lease_ttl_s / 4
+                    if self.jobs.dependencies.missing
+                    else 2 * self.membership.lease_ttl_s
                 ),
             )
-            for name in list(core.jobs.dependencies.missing):
-                if name in core.jobs.ended:
-                    self._end_of(name, core.jobs.ended[name], time.monotonic())
+            for name in list(self.jobs.dependencies.missing):
+                if name in self.jobs.ended:
+                    self._end_of(name, self.jobs.ended[name], time.monotonic())
                     continue
                 try:
-                    entry = await core.store.get(end_key(name))
+                    entry = await self.store.get(end_key(name))
                 except (UnavailableError, OutcomeUnknownError):
                     break
                 if entry is not None:
                     self._note_end(name, entry.value, entry.rev)
-            await core.routines.flush()
+            await self.routines.flush()
             if time.monotonic() < again_at:
                 continue
-            again_at = time.monotonic() + 4 * core.membership.lease_ttl_s
+            again_at = time.monotonic() + 4 * self.membership.lease_ttl_s
             for name in sorted(self._awaited()):
-                known = core.jobs.live.get(name)
+                known = self.jobs.live.get(name)
                 try:
                     if (
                         known is not None
                         and known[1]
-                        and not await core.lookups.unchanged(live_key(name), known[1])
+                        and not await self.lookups.unchanged(live_key(name), known[1])
                     ):
                         self._gone_live(name)
                 except UnavailableError:
@@ -338,15 +389,15 @@
         """Live jobs that jobs at home here wait for."""
         return {
             need
-            for name, managed in self.core.jobs.managed.items()
-            if managed.blocked and name in self.core.jobs.dependencies.nodes
-            for need in self.core.jobs.dependencies.nodes[name].needs
+            for name, managed in self.jobs.managed.items()
+            if managed.blocked and name in self.jobs.dependencies.nodes
+            for need in self.jobs.dependencies.nodes[name].needs
         }
 
     async def _remember(self, job: Job) -> None:
         key = CLASS_PREFIX + job.job_class
         try:
-            await self.core.store.commit(
+            await self.store.commit(
                 Txn()
                 .require(key, 0)
                 .put(key, {"j": msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))})
@@ -355,9 +406,9 @@
             pass  # a hint only
 
     def _gone_live(self, job: str) -> None:
-        if job in self.core.jobs.live and job not in self.core.jobs.ended:
-            self.unresolved_ends.setdefault(job, (self.core.watermark.state_at, self.known_rev))
-            self.core.routines.spawn(self.learn(job))
+        if job in self.jobs.live and job not in self.jobs.ended:
+            self.unresolved_ends.setdefault(job, (self.watermark.state_at, self.known_rev))
+            self.routines.spawn(self.learn(job))
 
     async def learn(self, job: str) -> None:
         """How a job ended whose live record is gone."""
@@ -367,17 +418,16 @@
             self.unresolved_ends.pop(job, None)
 
     async def _learn(self, job: str) -> None:
-        core = self.core
-        while job in core.jobs.live:
+        while job in self.jobs.live:
             try:
-                entry = await core.store.get(end_key(job))
+                entry = await self.store.get(end_key(job))
             except (UnavailableError, OutcomeUnknownError):
-                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 6))
+                await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 6))
                 continue
             if entry is not None:
                 self._note_end(job, entry.value, entry.rev)
-            elif job in core.jobs.live:
-                core.rebuild.suspect(f"{job} is gone")
+            elif job in self.jobs.live:
+                self.rebuild.suspect(f"{job} is gone")
             return
 
     def _note_end(self, job: str, record: Any, rev: int) -> None:
@@ -389,47 +439,46 @@
 
     def _end_of(self, job: str, status: str, at: float) -> None:
         """What the end of a job means for those that need it, and for what it needed."""
-        ready, doomed, changed = self.core.jobs.dependencies.end(job, status, at)
+        ready, doomed, changed = self.jobs.dependencies.end(job, status, at)
         self._review(changed)
         for name in ready:
             self._ready(name)
         for name in doomed:
-            managed = self.core.jobs.managed.get(name)
+            managed = self.jobs.managed.get(name)
             if managed is not None:
-                self.core.routines.signal(managed.name)
+                self.routines.signal(managed.name)
 
     def note_end(self, job: str, status: str, at: float | None = None, rev: int = 0) -> None:
         """A job is over, as committed (at that time of day, with that revision)."""
-        core = self.core
         if status == "cancelled":
-            core.promises.ended(job, rev)
+            self.promises.ended(job, rev)
         self._end_of(job, status, self.since(at))
-        core.jobs.ended[job] = status
-        while len(core.jobs.ended) > MAX_ENDED_JOBS:
-            core.jobs.ended.popitem(last=False)
-        core.machines.ended(job, status)
-        known = core.jobs.live.pop(job, None)
-        managed = core.jobs.managed.get(job)
+        self.jobs.ended[job] = status
+        while len(self.jobs.ended) > MAX_ENDED_JOBS:
+            self.jobs.ended.popitem(last=False)
+        self.machines.ended(job, status)
+        known = self.jobs.live.pop(job, None)
+        managed = self.jobs.managed.get(job)
         if known is not None:
-            core.jobs.ended_descriptions[job] = known[0]
-            while len(core.jobs.ended_descriptions) > MAX_ENDED_JOBS // 10:
-                core.jobs.ended_descriptions.pop(next(iter(core.jobs.ended_descriptions)))
+            self.jobs.ended_descriptions[job] = known[0]
+            while len(self.jobs.ended_descriptions) > MAX_ENDED_JOBS // 10:
+                self.jobs.ended_descriptions.pop(next(iter(self.jobs.ended_descriptions)))
         if managed is not None and not managed.ended:
             managed.ended = status
             managed.kill_at = 0.0
-            core.queue.touch(job)
-            core.routines.signal(managed.name)
+            self.queue.touch(job)
+            self.routines.signal(managed.name)
 
     def tell_cancelled(self, job: str) -> None:
         """Have all peers acknowledge a cancellation that they don't know of yet."""
-        for label in self.core.promises.lacking(job):
+        for label in self.promises.lacking(job):
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
-                self.core.routines.spawn(self._tell_cancelled(label, job))
+                self.routines.spawn(self._tell_cancelled(label, job))
 
     async def _tell_cancelled(self, label: str, job: str) -> None:
-        core, peer = self.core, self.core.peers[label]
-        end = time.monotonic() + core.settings.cluster.workers.cancel_s
+        peer = self.peers[label]
+        end = time.monotonic() + self.settings.cluster.workers.cancel_s
         attempt = peer.begin()
         try:
             while time.monotonic() < end:
@@ -438,8 +487,8 @@
                 except peers.PeerError:
                     await peer.back_off(attempt)
                     continue
-                core.promises.acknowledge(label, job)
-                core.routines.signal(f"told {job}")
+                self.promises.acknowledge(label, job)
+                self.routines.signal(f"told {job}")
                 return
         finally:
             self.telling.pop((label, job), None)
@@ -447,31 +496,31 @@
     async def announced(self, job: str, deadline: Deadline) -> None:
         """Until users may be told that a job is cancelled (`cancellations`); UnavailableError if
         that isn't in time."""
-        core, name = self.core, f"told {job}"
-        while not core.promises.tell(job, time.monotonic()):
+        name = f"told {job}"
+        while not self.promises.tell(job, time.monotonic()):
             self.tell_cancelled(job)
             now = time.monotonic()
-            wait_s = core.promises.wait_s(job, now)
+            wait_s = self.promises.wait_s(job, now)
             if not deadline.allows(now):
-                core.routines.events.pop(name, None)
+                self.routines.events.pop(name, None)
                 raise UnavailableError("not everybody knows of it yet", wait_s)
             # (Who waits for the same at the same time may have taken the signal.)
-            await core.routines.wait(
+            await self.routines.wait(
                 name,
                 max(
                     0.001,
                     min(
                         wait_s,
-                        deadline.left(now, core.membership.lease_ttl_s / 16),
-                        core.membership.lease_ttl_s / 16,
+                        deadline.left(now, self.membership.lease_ttl_s / 16),
+                        self.membership.lease_ttl_s / 16,
                     ),
                 ),
             )
-        core.routines.events.pop(name, None)
+        self.routines.events.pop(name, None)
 
     def resend_cancellations(self, label: str) -> None:
         """A peer is heard again that was not told of everything."""
-        for job in self.core.promises.owed(label)[:RESEND_BATCH]:
+        for job in self.promises.owed(label)[:RESEND_BATCH]:
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
-                self.core.routines.spawn(self._tell_cancelled(label, job))
+                self.routines.spawn(self._tell_cancelled(label, job))
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -6,16 +6,24 @@
 import math
 import time
 from collections.abc import Sequence
-from typing import TYPE_CHECKING
 
 import curio
 
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.renewal import LeaseRenewal
+from clayport.machines.removal import MachineRemoval
+from clayport.machines.routing import Routing
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
 from clayport.model import RANKS, CloudMachine, MachineType, fits
-from clayport.scaling.cloud import RETURN_MOST, CloudError, NoCapacityError
+from clayport.routines import Routines
+from clayport.scaling.catalogue import Catalogue
+from clayport.scaling.cloud import RETURN_MOST, Cloud, CloudError, NoCapacityError
 from clayport.scaling.provisioning import (
     GIVE_UP,
     LATE,
     RENT_MOST,
+    Arrivals,
     BootingMachine,
     BootTimes,
     Demand,
@@ -28,13 +36,15 @@
     spare_room,
     urgent_demand,
 )
+from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import Policy, Room
+from clayport.scheduling.placer import Placer
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
 from clayport.transport import frames
 
-if TYPE_CHECKING:
-    from clayport.controller import Controller
-
 log = logging.getLogger(__name__)
 
 # The share of the fleet's CPUs that has to be free before replicas are moved to
@@ -49,11 +59,43 @@
 class Provisioner:
     """Renting and returning, on the one member of the epoch that does."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        arrivals: Arrivals,
+        cached_state: CachedState,
+        catalogue: Catalogue,
+        cloud: Cloud,
+        jobs: JobRegistry,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        placer: Placer,
+        removal: MachineRemoval,
+        renewal: LeaseRenewal,
+        routines: Routines,
+        routing: Routing,
+        settings: Settings,
+        stalls: StallDetector,
+        view: ClusterView,
+    ) -> None:
+        self.arrivals = arrivals
+        self.cached_state = cached_state
+        self.catalogue = catalogue
+        self.cloud = cloud
+        self.jobs = jobs
+        self.membership = membership
+        self.objectives = objectives
+        self.placer = placer
+        self.removal = removal
+        self.renewal = renewal
+        self.routines = routines
+        self.routing = routing
+        self.settings = settings
+        self.stalls = stalls
+        self.view = view
         self.boots: dict[str, BootingMachine] = {}
         self.own: set[str] = set()  # machines rented here that have not come up yet
-        self.took = BootTimes(20 * core.settings.cluster.workers.lease_s)
+        self.took = BootTimes(20 * settings.cluster.workers.lease_s)
         self.returned: dict[str, float] = {}
         self.refused: dict[Kind, float] = {}
         # Machines that their owners did not close, and until when they are not asked again.
@@ -66,19 +108,18 @@
         self.began_at = self.listed_at = self.evacuated_at = self.emptying_at = -1e9
 
     async def run(self) -> None:
-        core = self.core
-        attempt = core.cloud.begin()
+        attempt = self.cloud.begin()
         while True:
-            await core.routines.wait("demand", core.membership.lease_ttl_s / 3)
-            await curio.sleep(core.membership.lease_ttl_s / 12)
+            await self.routines.wait("demand", self.membership.lease_ttl_s / 3)
+            await curio.sleep(self.membership.lease_ttl_s / 12)
             if (
-                not core.membership.serving
-                or core.membership.epoch.provisioner != core.membership.label
-                or not core.catalogue.types
+                not self.membership.serving
+                or self.membership.epoch.provisioner != self.membership.label
+                or not self.catalogue.types
             ):
                 continue
             now = time.monotonic()
-            if not core.stalls.check(now) or core.membership.away or core.renewal.state_lost(now):
+            if not self.stalls.check(now) or self.membership.away or self.renewal.state_lost(now):
                 # Possibly evicted, or just awake after standing still: a return sent now may be
                 # held in the network and destroy, minutes later, machines that work.
                 continue
@@ -87,15 +128,14 @@
                 attempt.served()
             except CloudError as exc:
                 log.info("event=cloud-trouble cause=%s", exc)
-                await core.cloud.back_off(attempt)
+                await self.cloud.back_off(attempt)
 
     async def tick(self) -> None:
-        core = self.core
         now = time.monotonic()
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         fresh = self.began is not epoch
-        await core.cached_state.refresh_peers(changed_only=not fresh)
-        if fresh or now - self.listed_at > core.settings.cluster.cloud.list_lag_s:
+        await self.cached_state.refresh_peers(changed_only=not fresh)
+        if fresh or now - self.listed_at > self.settings.cluster.cloud.list_lag_s:
             await self._list(now)
         if fresh:
             # What a predecessor rented may not be listed yet: wait for the list
@@ -104,25 +144,25 @@
             self.began = epoch
             self.began_at = now
             first = epoch.number == 1 or epoch.number <= 3 and not self.listed
-            self.ready_at = now + (0.0 if first else 2 * core.settings.cluster.cloud.list_lag_s)
-        if core.membership.epoch is not epoch:
+            self.ready_at = now + (0.0 if first else 2 * self.settings.cluster.cloud.list_lag_s)
+        if self.membership.epoch is not epoch:
             return
         now = time.monotonic()
-        types = {t.name: t for t in core.catalogue.types}
+        types = {t.name: t for t in self.catalogue.types}
         await self._give_up(now, types)
-        index, policy = core.cached_state.index(), core.placer.policy()
+        index, policy = self.cached_state.index(), self.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
             self._describe(list(index.rooms.values()), types)
-        waiting = core.placer.all_demand()
+        waiting = self.placer.all_demand()
         demand = [n for n in waiting if not n.job.backfill]
         observed = self.took.observed(
-            core.catalogue.types, (b for n, b in self.boots.items() if n in self.own), now
+            self.catalogue.types, (b for n, b in self.boots.items() if n in self.own), now
         )
         spare = spare_room(
-            [j for j, _ in core.jobs.live.values()],
-            core.arrivals,
+            [j for j, _ in self.jobs.live.values()],
+            self.arrivals,
             observed,
-            core.objectives.urgent,
+            self.objectives.urgent,
             now,
         )
         self.refused = {k: t for k, t in self.refused.items() if t > now}
@@ -133,14 +173,14 @@
                 now,
             )
         await self._return_idle(types, demand, spare, policy, now)
-        if now - self.evacuated_at > core.settings.cluster.workers.lease_s / 2:
-            for room in list(core.cached_state.rooms().values()):
+        if now - self.evacuated_at > self.settings.cluster.workers.lease_s / 2:
+            for room in list(self.cached_state.rooms().values()):
                 kind = types.get(room.type)
                 if (
                     kind is not None
                     and room.open
                     and policy.blocked(room, kind) > 0
-                    and await core.routing.ask_owner(frames.EVACUATE, room.machine, False)
+                    and await self.routing.ask_owner(frames.EVACUATE, room.machine, False)
                 ):
                     # Replicas placed before a job that needs the GPUs was known.
                     self.evacuated_at = now
@@ -169,8 +209,7 @@
         now: float,
     ) -> list[Kind]:
         """Machines to rent, from what would not fit into what is there or on its way."""
-        core = self.core
-        boots = {t.name: t.boot_s for t in core.catalogue.types}
+        boots = {t.name: t.boot_s for t in self.catalogue.types}
         booting = self._booting(types, now)
         there = busy = lasting = 0.0
         for pool in index.pools.values():
@@ -182,7 +221,7 @@
                 busy += len(pool.rooms) * kind.cpus - totals.free
         cpus = there - lasting + sum(r.cpus for r in booting)
         boot_s = min(t.boot_s for t in observed)
-        needs = urgent_demand(demand, core.objectives.finish_limits, cpus, boot_s=boot_s)
+        needs = urgent_demand(demand, self.objectives.finish_limits, cpus, boot_s=boot_s)
         moving = self._on_dear(index, policy)
         if (
             not needs
@@ -204,12 +243,12 @@
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
         late = {
             n.job.id
-            for n in urgent_demand(demand, core.objectives.finish_limits, cpus, 1.0, 1.0, boot_s)
+            for n in urgent_demand(demand, self.objectives.finish_limits, cpus, 1.0, 1.0, boot_s)
         }
         left = {
             n.job.id: -math.inf
             if n.job.without_objective or n.job.id not in late
-            else remaining(n.job, n.age_s, core.objectives.finish_limits)
+            else remaining(n.job, n.age_s, self.objectives.finish_limits)
             for n in demand
         }
         wanted = plan_rentals(observed, missing, set(self.refused), busy, policy, left, boots)
@@ -252,10 +291,10 @@
     ) -> list[Kind]:
         """Machines for work without any aim: only once nothing else lacks any, within its
         share, and ordinary ones only if it can't be had otherwise. (Within a trial.)"""
-        placer = self.core.placer
+        placer = self.placer
         left: dict[int, float] = {}
         wanted: list[Kind] = []
-        ordinary = {(t.name, z, False) for t in self.core.catalogue.types for z in t.zones}
+        ordinary = {(t.name, z, False) for t in self.catalogue.types for z in t.zones}
         for need in waiting:
             if not need.job.backfill:
                 continue
@@ -274,7 +313,7 @@
                 lodger = True
             missing = short(index, [need._replace(tasks=tasks)], policy, lodger=lodger)
             wanted += plan_rentals(
-                self.core.catalogue.types, missing, refused, busy, policy, {need.job.id: -math.inf}
+                self.catalogue.types, missing, refused, busy, policy, {need.job.id: -math.inf}
             )
         return wanted
 
@@ -303,7 +342,7 @@
                 row[1] += types[room.type].cpus
                 row[2] += types[room.type].cpus - room.cpus
         waiting: dict[str, int] = {}
-        for need in self.core.placer.all_demand():
+        for need in self.placer.all_demand():
             name = need.job.job_class
             waiting[name] = waiting.get(name, 0) + need.tasks
         log.debug(
@@ -317,15 +356,14 @@
         )
 
     async def _list(self, now: float) -> None:
-        core = self.core
-        lag = core.settings.cluster.cloud.list_lag_s
-        found = await core.cloud.machines()
+        lag = self.settings.cluster.cloud.list_lag_s
+        found = await self.cloud.machines()
         self.listed_at = now
         self.listed = {m.id: m for m in found}
         self.returned = {
             n: t
             for n, t in self.returned.items()
-            if now - t < 4 * lag + core.membership.lease_ttl_s
+            if now - t < 4 * lag + self.membership.lease_ttl_s
         }
         failed = []
         for m in found:
@@ -333,16 +371,16 @@
                 continue
             if m.state == "failed":
                 failed.append(m.id)
-            elif m.id not in core.view.rooms:
+            elif m.id not in self.view.rooms:
                 self.boots.setdefault(
                     m.id, BootingMachine(m.id, (m.type, m.zone, m.spot), now - m.age_s)
                 )
         for name, boot in list(self.boots.items()):
             gone = (
-                name not in self.listed and now - boot.since > 4 * lag + core.membership.lease_ttl_s
+                name not in self.listed and now - boot.since > 4 * lag + self.membership.lease_ttl_s
             )
-            if name in core.view.rooms or name in self.returned or gone:
-                if name in core.view.rooms and name in self.own:
+            if name in self.view.rooms or name in self.returned or gone:
+                if name in self.view.rooms and name in self.own:
                     self._up(boot, now)
                 self.own.discard(name)
                 del self.boots[name]
@@ -350,7 +388,7 @@
             await self._return(failed[first : first + RETURN_MOST], now)
 
     def _up(self, boot: BootingMachine, now: float) -> None:
-        for kind in self.core.catalogue.types:
+        for kind in self.catalogue.types:
             if kind.name == boot.kind[0]:
                 self.took.note(kind, now - boot.since, now)
 
@@ -360,7 +398,7 @@
         Not right after a takeover: machines that work are unknown then until
         their reports have found their new owners.
         """
-        if now - self.began_at < 2 * self.core.settings.cluster.workers.lease_s:
+        if now - self.began_at < 2 * self.settings.cluster.workers.lease_s:
             return
         late = [
             b.name
@@ -375,29 +413,28 @@
             await self._return(late[:RETURN_MOST], now)
 
     async def _return(self, names: list[str], now: float) -> None:
-        await self.core.cloud.give_back(names)
+        await self.cloud.give_back(names)
         for name in names:
             self.returned[name] = now
             self.boots.pop(name, None)
             self.own.discard(name)
-        await self.core.removal.announce(names)
+        await self.removal.announce(names)
 
     async def _rent(self, wanted: list[Kind], types: dict[str, MachineType], now: float) -> None:
-        core = self.core
         counts: dict[Kind, int] = {}
         for kind in wanted:
             counts[kind] = counts.get(kind, 0) + 1
         for kind, count in counts.items():
             self.sequence += 1
-            name = f"r-{core.membership.epoch.number}-{core.membership.label}-{self.sequence}"
+            name = f"r-{self.membership.epoch.number}-{self.membership.label}-{self.sequence}"
             try:
-                got = await core.cloud.rent(name, *kind, min(count, RENT_MOST))
+                got = await self.cloud.rent(name, *kind, min(count, RENT_MOST))
             except NoCapacityError:
                 got = []
             log.info("event=rented kind=%s wanted=%d got=%d", kind, count, len(got))
             if len(got) < min(count, RENT_MOST):
                 self.refused[kind] = now + types[kind[0]].boot_s / 2
-                core.routines.signal("demand")
+                self.routines.signal("demand")
             for machine in got:
                 self.boots[machine] = BootingMachine(machine, kind, now)
                 self.own.add(machine)
@@ -411,14 +448,13 @@
         now: float,
     ) -> None:
         """Return machines idle for a while that are not needed as spare room."""
-        core = self.core
         names: list[str] = []
         needs = demand + spare
-        index = core.cached_state.index()
+        index = self.cached_state.index()
         # Cheap room that replicas on dear machines can still move to is kept.
         keep = sum(n.job.cpus * n.tasks for n in self._on_dear(index, policy))
         self.held = {n: until for n, until in self.held.items() if now < until}
-        hurried = [n for n in demand if not core.objectives.patient(n.job, n.age_s)]
+        hurried = [n for n in demand if not self.objectives.patient(n.job, n.age_s)]
         idle = [
             r
             for r in index.rooms.values()
@@ -435,7 +471,7 @@
         # Together first: where there is room to spare one look says so for all of them.
         # (On a fleet that shrinks, looks one by one were half of all processor time.)
         roomy = sum(r.open for r in few) > 1 and not self._lost(
-            core.cached_state.index(), [r.machine for r in few if r.open], needs, policy
+            self.cached_state.index(), [r.machine for r in few if r.open], needs, policy
         )
         for room in few:
             # A dear machine is not kept for what may come, or for what can wait.
@@ -447,18 +483,18 @@
                 room.open
                 and not roomy
                 and self._worse(
-                    core.cached_state.index(),
+                    self.cached_state.index(),
                     (room.machine, *names),
                     needs if cheap else hurried,
                     policy,
                 )
             ):
                 continue
-            if await core.routing.ask_owner(frames.DRAIN, room.machine):
+            if await self.routing.ask_owner(frames.DRAIN, room.machine):
                 names.append(room.machine)
             else:
                 # Four that are never closed would keep all others rented.
-                self.held[room.machine] = now + core.settings.cluster.workers.lease_s / 2
+                self.held[room.machine] = now + self.settings.cluster.workers.lease_s / 2
         if names:
             log.info("event=returned machines=%s cause=idle", names)
             await self._return(names, now)
@@ -495,8 +531,7 @@
         nine dear machines with replicas rented all day.) Replicas last, so without
         this a machine that has one stays rented, however little else there is for it.
         """
-        core = self.core
-        rooms = core.cached_state.rooms()
+        rooms = self.cached_state.rooms()
         self.emptied = {n: t for n, t in self.emptied.items() if n in rooms}
         total = sum(types[r.type].cpus for r in rooms.values() if r.type in types)
         offers: list[tuple[bool, float, str]] = []
@@ -511,7 +546,7 @@
             if (
                 lasting <= 0
                 or now - self.emptied.get(room.machine, -1e9)
-                < 2 * core.settings.cluster.workers.lease_s
+                < 2 * self.settings.cluster.workers.lease_s
             ):
                 continue  # empties by itself, or has just been tried
             dear = any(policy.dear(job, room) for job in policy.services)
@@ -525,7 +560,7 @@
             waiting = [
                 n
                 for n in demand
-                if fits(n.job, kind) and not (dear and core.objectives.patient(n.job, n.age_s))
+                if fits(n.job, kind) and not (dear and self.objectives.patient(n.job, n.age_s))
             ]
             if waiting and not dear:
                 continue
@@ -551,7 +586,7 @@
                 free < (2 * kind.cpus if dear else max(2 * kind.cpus, SLACK * total))
                 or not dear
                 and self._worse(
-                    core.cached_state.index(),
+                    self.cached_state.index(),
                     (name, *(r.machine for r in rooms.values() if r.spot and not room.spot)),
                     spare,
                     policy,
@@ -559,12 +594,12 @@
             ):
                 continue
             self.emptied[name] = now
-            if await core.routing.ask_owner(frames.EVACUATE, name, True):
+            if await self.routing.ask_owner(frames.EVACUATE, name, True):
                 # Each replica that moves is missed for about as long as a report takes.
                 share = lasting / max(lasting, total_lasting)
                 self.emptying_at = (
-                    now + max(2.0, share / MOVING) * core.settings.cluster.workers.report_s
+                    now + max(2.0, share / MOVING) * self.settings.cluster.workers.report_s
                 )
             return
         # The best few are the same a moment later.
-        self.emptying_at = now + 2 * core.settings.cluster.workers.report_s
+        self.emptying_at = now + 2 * self.settings.cluster.workers.report_s
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -6,19 +6,21 @@
 import math
 import time
 from collections.abc import Iterable, Mapping
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import curio
 
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
 from clayport.model import Job
+from clayport.routines import Routines
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import Room
 from clayport.scheduling.refresh import AdaptiveInterval
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
 from clayport.transport import frames
-from clayport.transport.peers import PeerError
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.transport.peers import Peer, PeerError
 
 log = logging.getLogger(__name__)
 
@@ -26,8 +28,22 @@
 class CachedState:
     """Rooms of all machines, as their owners' tables said when they were last pulled."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        routines: Routines,
+        settings: Settings,
+        view: ClusterView,
+    ) -> None:
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.routines = routines
+        self.settings = settings
+        self.view = view
         self.adaptive_interval = AdaptiveInterval()
         # Tasks that are placed and not committed yet: what they take is subtracted.
         self.inflight: dict[tuple[str, int], tuple[str, Job]] = {}
@@ -48,17 +64,17 @@
 
     def note_own_room(self) -> None:
         """Wake the placer if the room of our machines has changed since it was last read."""
-        if self.core.machines.room_rev != self.own_rev:
-            self.core.routines.signal("place")
+        if self.machines.room_rev != self.own_rev:
+            self.routines.signal("place")
 
     def index(self) -> Index:
         """The snapshot, indexed, as it is now."""
         self.rooms()
-        return self.core.view.index
+        return self.view.index
 
     def rooms(self) -> Mapping[str, Room]:
         """The snapshot; our own machines in it are always as their reports say."""
-        core, owner = self.core, self.core.machines
+        owner = self.machines
         ours = [n for n in self.stale if n in owner.machines]
         if owner.room_rev != self.own_rev or ours:
             changed = owner.changed(self.own_rev) if self.own_rev >= 0 else None
@@ -68,12 +84,12 @@
             now = time.monotonic()
             found = {n: owner.machines[n] for n in names if n in owner.machines}
             self._show(
-                core.membership.label,
-                [owner.room(m, core.membership.label, now) for m in found.values() if m.known],
+                self.membership.label,
+                [owner.room(m, self.membership.label, now) for m in found.values() if m.known],
                 changed is None,
                 [n for n in names if n not in found],
             )
-        return core.view.rooms
+        return self.view.rooms
 
     def unstale(self, names: Iterable[str]) -> None:
         for name in names:
@@ -81,50 +97,48 @@
 
     def _show(self, owner: str, rooms: Iterable[Room], whole: bool, removed: Iterable[str]) -> None:
         """Renew one owner's part of the snapshot, or what has changed of it."""
-        core = self.core
         if whole:
-            removed = [n for n, r in core.view.rooms.items() if r.owner == owner]
+            removed = [n for n, r in self.view.rooms.items() if r.owner == owner]
         for name in removed:
-            if name in core.view.rooms and core.view.rooms[name].owner == owner:
-                core.view.index.remove(name)
+            if name in self.view.rooms and self.view.rooms[name].owner == owner:
+                self.view.index.remove(name)
         shown = set()
         for room in rooms:
-            core.view.index.add(room)
-            core.view.zones[room.machine] = room.zone  # never changes
+            self.view.index.add(room)
+            self.view.zones[room.machine] = room.zone  # never changes
             shown.add(room.machine)
         # What was placed and isn't reserved yet stays subtracted.
         for machine, job in self.inflight.values():
             if machine in shown:
-                core.view.rooms[machine].take(job)
+                self.view.rooms[machine].take(job)
 
     async def refresh_peers(self, changed_only: bool) -> None:
         """Pull the peers' free-room tables; nothing is written to the state service."""
-        epoch = self.core.membership.epoch
+        epoch = self.membership.epoch
         for label in epoch.members:
-            peer = self.core.peers.get(label)
+            peer = self.peers.get(label)
             if (
                 peer is not None
-                and self.core.membership.epoch is epoch
+                and self.membership.epoch is epoch
                 and not (changed_only and self.pulled.get(label) == peer.room_rev)
             ):
                 await self._pull(label)
-        self.unstale([n for n in self.stale if n not in self.core.view.rooms])
+        self.unstale([n for n in self.stale if n not in self.view.rooms])
 
     async def _pull(self, label: str) -> None:
         """What has changed of a peer's table since the last time, and the machines whose
         rooms were charged or closed here meanwhile."""
-        core = self.core
-        epoch = core.membership.epoch
+        epoch = self.membership.epoch
         charged = [
-            n for n in self.stale if n in core.view.rooms and core.view.rooms[n].owner == label
+            n for n in self.stale if n in self.view.rooms and self.view.rooms[n].owner == label
         ]
         try:
-            ok, rev, whole, removed, rows, taken = await core.peers[label].call(
+            ok, rev, whole, removed, rows, taken = await self.peers[label].call(
                 frames.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
             )
         except (PeerError, KeyError):
             return
-        if not ok or core.membership.epoch is not epoch or rev < self.pulled.get(label, 0):
+        if not ok or self.membership.epoch is not epoch or rev < self.pulled.get(label, 0):
             return
         self.pulled[label] = rev
         self.unstale(charged)
@@ -165,16 +179,16 @@
         self.pulling.add(label)
         try:
             for _ in range(2):
-                await curio.sleep(self.core.settings.cluster.workers.report_s / 8)
+                await curio.sleep(self.settings.cluster.workers.report_s / 8)
                 await self._pull(label)
-                self.core.routines.signal("place")
-                await self.core.routines.flush()
+                self.routines.signal("place")
+                await self.routines.flush()
         finally:
             self.pulling.discard(label)
 
     def table(self, since: int, names: list[str]) -> tuple[Any, ...]:
         """Our own free-room table, or what has changed of it, as peers pull it."""
-        core, owner = self.core, self.core.machines
+        owner = self.machines
         now = time.monotonic()
         changed = owner.changed(since) if since else None
         wanted = list(owner.machines) if changed is None else [*dict.fromkeys([*changed, *names])]
@@ -183,7 +197,7 @@
         for name in wanted:
             m = owner.machines.get(name)
             if m is not None and m.known:
-                r = owner.room(m, core.membership.label, now)
+                r = owner.room(m, self.membership.label, now)
                 rows.append(
                     (
                         r.machine,
@@ -203,20 +217,19 @@
                 )
                 taken += [(r.machine, *key, *used) for key, used in r.used.items()]
         gone = [(n,) for n in wanted if n not in owner.machines]
-        return (core.membership.serving, owner.room_rev, changed is None, gone, rows, taken)
+        return (self.membership.serving, owner.room_rev, changed is None, gone, rows, taken)
 
     async def refresh(self) -> None:
         """The adaptive refresh; a lasting shortage also looks when a peer's table changed."""
-        core = self.core
         due = time.monotonic() + self.adaptive_interval.interval
         looked = -math.inf
         # Between two looks for want of room: what machines report in between comes together.
-        apart_s = max(self.adaptive_interval.least, core.settings.cluster.workers.report_s) / 2
+        apart_s = max(self.adaptive_interval.least, self.settings.cluster.workers.report_s) / 2
         while True:
-            await core.routines.wait(
+            await self.routines.wait(
                 "starved", min(self.adaptive_interval.least, max(0.01, due - time.monotonic()))
             )
-            if not core.membership.serving:
+            if not self.membership.serving:
                 continue
             now = time.monotonic()
             if now < min(due, looked + apart_s):
@@ -232,15 +245,15 @@
                 )
                 due = now + interval
                 await self.refresh_peers(changed_only=False)
-                core.routines.signal("place")
+                self.routines.signal("place")
             elif self.starved and any(
                 self.pulled.get(p.label) != p.room_rev
-                for p in core.peers.values()
-                if p.label in core.membership.epoch.members
+                for p in self.peers.values()
+                if p.label in self.membership.epoch.members
             ):
                 # True shortage: the interval is left alone, but room that a
                 # peer has since announced is looked at.
                 looked = now
                 await self.refresh_peers(changed_only=True)
-                core.routines.signal("place")
-            await core.routines.flush()
+                self.routines.signal("place")
+            await self.routines.flush()
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -2,14 +2,36 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.fleet import Fleet
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.records.store import StateStore
+from clayport.records.upgrade import UpgradeState
+from clayport.routines import Routines
+from clayport.scaling.catalogue import Catalogue
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.queueing import JobQueue
+from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
+
+if TYPE_CHECKING:
+    from clayport.jobs.dispatcher import Dispatcher
+
 import itertools
 import logging
 import math
 import time
-from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
+from collections.abc import Callable, Collection, Iterable, Iterator
 from functools import partial
 from heapq import heappop, heappush
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import curio
 
@@ -32,15 +54,12 @@
     shape,
     takes,
 )
-from clayport.scheduling.queueing import Group, JobQueue, Shares
+from clayport.scheduling.queueing import Group, Shares
 from clayport.scheduling.queueing.shares import Name, Owed, names, names_of
 from clayport.settings import Team
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
-if TYPE_CHECKING:
-    from clayport.controller import Controller
-
 log = logging.getLogger(__name__)
 
 # The share of the fleet's CPUs that work without any aim may hold beside work that has one.
@@ -141,8 +160,40 @@
 class Placer:
     """Order, room made for others, and the starts that homes are to carry out."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        catalogue: Catalogue,
+        fleet: Fleet,
+        jobs: JobRegistry,
+        machines: MachineTable,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        peers: Mapping[str, Peer],
+        queue: JobQueue,
+        quotas: TeamQuotas,
+        routines: Routines,
+        settings: Settings,
+        store: StateStore,
+        upgrade: UpgradeState,
+        view: ClusterView,
+    ) -> None:
+        self.cached_state = cached_state
+        self.catalogue = catalogue
+        self.fleet = fleet
+        self.jobs = jobs
+        self.machines = machines
+        self.membership = membership
+        self.objectives = objectives
+        self.peers = peers
+        self.queue = queue
+        self.quotas = quotas
+        self.routines = routines
+        self.settings = settings
+        self.store = store
+        self.upgrade = upgrade
+        self.view = view
         self.demands: dict[str, list[tuple[str, int, float, str]]] = {}  # what peers told
         self.cut_logged_at = -1e9
         self.known: Policy | None = None
@@ -150,7 +201,6 @@
         self.known_until = -1e9
         self.kept: Kept | None = None
         self.missed: dict[Name, Job] = {}  # who is owed a share: a job that found no room
-        self.queue = core.queue
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[Name, Owed] = {}
         self.given: dict[Name, float] = {}  # CPUs begun for them since they were looked up
@@ -160,7 +210,11 @@
         self.looked_until = -math.inf
         # Work without any aim that has waited so long is placed, and has machines rented,
         # like any other (within its share).
-        self.long_s = 20 * core.settings.cluster.workers.lease_s
+        self.long_s = 20 * settings.cluster.workers.lease_s
+
+    def connect(self, *, dispatcher: Dispatcher) -> None:
+        """Set the parts that are built later than this one."""
+        self.dispatcher = dispatcher
 
     def begin(self) -> None:
         """A new epoch: other homes, and nothing told by peers."""
@@ -190,7 +244,7 @@
         for name in (n for g in groups for subqueue in g.subqueues.values() for n in subqueue):
             if len(found) >= MAX_DEMAND_ROWS:
                 if now >= self.cut_logged_at:
-                    self.cut_logged_at = now + 20 * self.core.membership.lease_ttl_s
+                    self.cut_logged_at = now + 20 * self.membership.lease_ttl_s
                     log.info(
                         "event=demand-bounded told=%d jobs=%d",
                         MAX_DEMAND_ROWS,
@@ -205,20 +259,19 @@
     def _row(self, managed: ManagedJob, now: float) -> tuple[str, int, float, str]:
         zones = ""
         if managed.job.spread or managed.job.one_zone:
-            zones = " ".join(self.core.view.zones.get(m, "") for _, _, m in managed.assignments())
+            zones = " ".join(self.view.zones.get(m, "") for _, _, m in managed.assignments())
         return managed.job.id, managed.pending + len(managed.placing), now - managed.since, zones
 
     def all_demand(self) -> list[Demand]:
         """Demand of the whole epoch, most urgent first."""
-        core = self.core
         rows = self.demand()
-        for label in core.membership.epoch.members:
-            if label != core.membership.label:
+        for label in self.membership.epoch.members:
+            if label != self.membership.label:
                 rows += self.demands.get(label, [])
         found = [
-            Demand(core.jobs.live[job][0], count, age, tuple(zones.split()))
+            Demand(self.jobs.live[job][0], count, age, tuple(zones.split()))
             for job, count, age, zones in rows
-            if job in core.jobs.live
+            if job in self.jobs.live
         ]
         found.sort(key=lambda need: (need.job.backfill, -need.job.rank, -need.age_s))
         return found
@@ -227,17 +280,16 @@
 
     async def place_all(self) -> None:
         """The placer: one pass over the waiting jobs whenever something changed."""
-        core = self.core
-        pause_s = core.settings.cluster.workers.report_s / PASSES
+        pause_s = self.settings.cluster.workers.report_s / PASSES
         while True:
-            await core.routines.wait("place", core.membership.lease_ttl_s / 2)
-            if core.membership.serving:
+            await self.routines.wait("place", self.membership.lease_ttl_s / 2)
+            if self.membership.serving:
                 now = time.monotonic()
-                if now - self.swept_at > core.settings.cluster.workers.lease_s:
+                if now - self.swept_at > self.settings.cluster.workers.lease_s:
                     self.swept_at = now
                     self.queue.sweep()
                 self._pass(now)
-                await core.routines.flush()
+                await self.routines.flush()
             # Changes come one by one, and a pass takes them all.
             await curio.sleep(pause_s)
 
@@ -249,14 +301,14 @@
         nothing sleep, and of one that is awake no more is looked at once it has found less
         than it wants.
         """
-        core, queue = self.core, self.queue
+        queue = self.queue
         queue.catch_up(now)
         if not queue.entries:
-            core.cached_state.starved = False
+            self.cached_state.starved = False
             return
         look = Look(
             now,
-            core.cached_state.index(),
+            self.cached_state.index(),
             self.policy(),
             self._owed_now(now),
             self.kept,
@@ -271,7 +323,7 @@
             awake += [g for g in asleep if not self._sleeps(g, look, False)]
         for managed in self._in_order(awake, look):
             if look.work >= MAX_PASS_WORK:
-                core.routines.signal("place")
+                self.routines.signal("place")
                 break
             self._serve(managed, look)
         for key, rev in look.full.items():
@@ -279,28 +331,28 @@
             # Replicas are missed every second: they are looked at each time.
             if full is not None and full.example.job.kind != SERVICE:
                 gather_s = (
-                    core.settings.cluster.workers.report_s * GATHER
+                    self.settings.cluster.workers.report_s * GATHER
                     if full.example.job.kind == ARRAY
                     else 0.0
                 )
                 full.nap = Nap(
                     rev,
                     now + gather_s,
-                    now + core.membership.lease_ttl_s / 6,
+                    now + self.membership.lease_ttl_s / 6,
                     look.policy,
                     look.kept,
                 )
                 full.fresh = False
         self._keep(look)
-        if look.starved and not core.cached_state.starved:
-            core.routines.signal("starved")
-            core.routines.signal("demand")
-        core.cached_state.starved = look.starved
+        if look.starved and not self.cached_state.starved:
+            self.routines.signal("starved")
+            self.routines.signal("demand")
+        self.cached_state.starved = look.starved
 
     def _owed_now(self, now: float) -> dict[Name, Owed]:
         """Who is owed a share, looked up anew a few times between two reports."""
         if now >= self.owed_until:
-            self.owed_until = now + self.core.settings.cluster.workers.report_s / OWED_LOOKS
+            self.owed_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
             self.owed = self.queue.shares.owed(now)
             self.given = {}
         return self.owed
@@ -426,7 +478,7 @@
         wanted = min(
             managed.pending,
             managed.size
-            * max(self.core.upgrade.limits.txn_ops // 4, min(3, self.core.dispatcher.start_chunks)),
+            * max(self.upgrade.limits.txn_ops // 4, min(3, self.dispatcher.start_chunks)),
         )
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
@@ -443,16 +495,16 @@
     def _seek(self, managed: ManagedJob, wanted: int, look: Look) -> tuple[list[Room], int]:
         """Room that is free, and room made by stopping others; and for how many it was
         looked for in the end (fewer, where some is being made)."""
-        core, job, now, index, policy = self.core, managed.job, look.now, look.index, look.policy
+        job, now, index, policy = managed.job, look.now, look.index, look.policy
         without: Collection[str] = (
             {*managed.avoided(), *managed.left} if managed.errors or managed.left else ()
         )
         age = now - managed.since
         # Not on ordinary machines that it alone would keep rented.
         lodger = job.backfill and age < self.long_s and self.hinders(job)
-        patient, fragile = core.objectives.patient(job, age), core.objectives.fragile(job, age)
+        patient, fragile = self.objectives.patient(job, age), self.objectives.fragile(job, age)
         spread = self.spread(managed)
-        limit = core.objectives.wait_limits.get(job.job_class)
+        limit = self.objectives.wait_limits.get(job.job_class)
         most = self._spared(job, self._stops(job, age, patient), look)
         find = partial(
             place,
@@ -517,10 +569,10 @@
                 spread,
             )
             # A look at all machines: not with each pass.
-            managed.claim_at = now + core.membership.lease_ttl_s / 6
+            managed.claim_at = now + self.membership.lease_ttl_s / 6
             if machines:
-                managed.preempt_at = now + core.membership.lease_ttl_s
-                core.routines.spawn(self._claim(job, machines))
+                managed.preempt_at = now + self.membership.lease_ttl_s
+                self.routines.spawn(self._claim(job, machines))
         return chosen, wanted
 
     def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
@@ -529,7 +581,7 @@
             if room.machine in managed.made:
                 left, until = managed.made[room.machine]
                 managed.made[room.machine] = (max(0, left - 1), until)
-        numbers = managed.take(len(chosen), self.core.dispatcher.start_chunks)
+        numbers = managed.take(len(chosen), self.dispatcher.start_chunks)
         for which in names_of(managed.job):
             look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
         for room in chosen[len(numbers) :]:
@@ -537,8 +589,8 @@
         managed.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
-            self.core.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
-        self.core.routines.signal(managed.name)
+            self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
+        self.routines.signal(managed.name)
 
     def _order(self, managed: ManagedJob, look: Look) -> tuple[float, ...]:
         """By rank, but for who is owed a share and hasn't had it: these come after replicas
@@ -578,7 +630,7 @@
         """
         cpus = filled = 0.0
         for pool in index.pools.values():
-            kind = self.core.machines.types.get(pool.type)
+            kind = self.machines.types.get(pool.type)
             totals = pool.count()
             cpus += totals.machines * kind.cpus if kind is not None else 0.0
             filled += totals.filled
@@ -602,21 +654,21 @@
         now = time.monotonic()
         if found or now >= self.looked_until:
             # The newest of each rank is likely to stay longest.
-            self.looked_until = now + self.core.settings.cluster.workers.report_s / OWED_LOOKS
+            self.looked_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
             self.disturbers = {
                 (other.gpus > 0, other.rank): name
-                for name, (other, _) in self.core.jobs.live.items()
+                for name, (other, _) in self.jobs.live.items()
                 if self._disturbs(name)
             }
         return any(same(kind) for kind in self.disturbers)
 
     def _disturbs(self, name: str) -> bool:
-        known = self.core.jobs.live.get(name)
+        known = self.jobs.live.get(name)
         return (
             known is not None
             and known[0].kind != SERVICE
             and not known[0].without_objective
-            and not self.core.jobs.dependencies.waiting(name)
+            and not self.jobs.dependencies.waiting(name)
         )
 
     def _in_guarantee(self, job: Job) -> bool:
@@ -625,9 +677,9 @@
         if not self._guaranteed(job):
             return True
         which = 1 if job.gpus > 0 else 0
-        used = self.core.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
+        used = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
         need = amounts(job, 1 if job.kind != GANG else job.tasks)[which]
-        return used + need <= self.core.quotas.guarantees[job.team][which] + 1e-6
+        return used + need <= self.quotas.guarantees[job.team][which] + 1e-6
 
     def policy(self) -> Policy:
         """What keeps work off machines, from all jobs known, those just ended included.
@@ -635,25 +687,25 @@
         It is made anew when a job comes that it has no place for, or prices change, and
         now and then, since jobs go; as long as it says the same, it is the same object.
         """
-        core, now = self.core, time.monotonic()
+        now = time.monotonic()
         if (
             self.known is not None
             and now < self.known_until
-            and self.known_types is core.catalogue.types
+            and self.known_types is self.catalogue.types
         ):
             return self.known
         found = Policy(
             [
-                *(j for j, _ in core.jobs.live.values()),
-                *core.jobs.ended_descriptions.values(),
-                *core.jobs.classes.values(),
+                *(j for j, _ in self.jobs.live.values()),
+                *self.jobs.ended_descriptions.values(),
+                *self.jobs.classes.values(),
             ],
-            core.catalogue.types,
+            self.catalogue.types,
         )
         if self.known is None or not found.same(self.known):
             self.known = found
-        self.known_types = core.catalogue.types
-        self.known_until = now + core.settings.cluster.workers.report_s
+        self.known_types = self.catalogue.types
+        self.known_until = now + self.settings.cluster.workers.report_s
         return self.known
 
     def learn(self, job: Job) -> None:
@@ -690,27 +742,23 @@
             spread.copy(),
             look.policy,
             most,
-            self.core.objectives.fragile(job, now - managed.since),
+            self.objectives.fragile(job, now - managed.since),
             patient,
             {*without, *managed.made} if managed.made else without,
             uncached,
         )
         shows = (
             now
-            + self.core.membership.lease_ttl_s / 3
-            + (
-                0.0
-                if grace_s <= 0
-                else min(grace_s, self.core.settings.cluster.workers.gang_peer_s)
-            )
+            + self.membership.lease_ttl_s / 3
+            + (0.0 if grace_s <= 0 else min(grace_s, self.settings.cluster.workers.gang_peer_s))
         )
         if found:
             # Only then: where no lower rank can be stopped, a higher one, or what other
             # teams borrow, is to be asked for in the same pass.
-            managed.preempt_at = now + self.core.membership.lease_ttl_s / 6
+            managed.preempt_at = now + self.membership.lease_ttl_s / 6
         for room, count in found:
             managed.made[room.machine] = (count, shows)
-            self.core.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
+            self.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
         return bool(found) or coming > 0
 
     def _stops(self, job: Job, age_s: float, patient: bool) -> int:
@@ -721,8 +769,8 @@
         fleet a tenth were stopped for pipelines that had a minute to spare. (Not even the
         lowest was tried: they then took all free room, and made other work late.)
         """
-        own = self.core.jobs.dependencies.own_rank(job)
-        limit = self.core.objectives.wait_limits.get(job.job_class)
+        own = self.jobs.dependencies.own_rank(job)
+        limit = self.objectives.wait_limits.get(job.job_class)
         if own < job.rank and patient and (limit is None or age_s < limit / 2):
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
@@ -742,12 +790,12 @@
         """How long victims may take to save: as they need, but not while it may make a
         start late that is to be soon (six seconds of saving and a fetch did). A replica
         that is down is missed every second."""
-        limit = self.core.objectives.wait_limits.get(job.job_class)
+        limit = self.objectives.wait_limits.get(job.job_class)
         return 0.0 if job.kind == SERVICE or limit is not None and age_s < limit else math.inf
 
     def _guaranteed(self, job: Job) -> bool:
         """Whether the job's team has a guarantee that may be claimed for it."""
-        cpus, gpus = self.core.quotas.guarantees.get(job.team, (0.0, 0.0))
+        cpus, gpus = self.quotas.guarantees.get(job.team, (0.0, 0.0))
         return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
 
     @staticmethod
@@ -774,15 +822,14 @@
         Only teams with limits have their use counted; the others can't be shown
         to borrow, and their work is left alone.
         """
-        core = self.core
         try:
-            entries, _ = await core.store.scan("quota/")
+            entries, _ = await self.store.scan("quota/")
         except (UnavailableError, OutcomeUnknownError):
             return
         used = {
             e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
         }
-        own, have = core.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
+        own, have = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
         need = amounts(job, 1 if job.kind != GANG else job.tasks)
         which = 1 if job.gpus > 0 else 0
         if have[which] + need[which] > own[which] + 1e-6:
@@ -791,7 +838,7 @@
             team
             for team, use in used.items()
             if team != job.team
-            and use[which] > core.quotas.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
+            and use[which] > self.quotas.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
         ]
         for machine in machines if over else ():
             if await self._preempt(machine, job, math.inf, over):
@@ -799,7 +846,7 @@
 
     def _fetch_from_s(self, job: Job, type: str) -> float:
         """How long the image takes on machines without it; rates differ by up to a third."""
-        kind = self.core.machines.types.get(type)
+        kind = self.machines.types.get(type)
         if kind is None or kind.fetch_gb_per_s <= 0:
             return 0.0
         return job.image_gb / kind.fetch_gb_per_s * 4 / 3
@@ -808,19 +855,18 @@
         self, machine: str, job: Job, grace_s: float, over: Iterable[str] = (), count: int = 1
     ) -> bool:
         """Ask a machine's owner to make room for tasks of the job."""
-        core = self.core
-        owner = core.membership.epoch.place(machine)
-        if owner == core.membership.label:
-            done = core.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
-            core.fleet.poke(machine)
+        owner = self.membership.epoch.place(machine)
+        if owner == self.membership.label:
+            done = self.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
+            self.fleet.poke(machine)
             return done
         try:
             done = bool(
                 (
-                    await core.peers[owner].call(
+                    await self.peers[owner].call(
                         frames.PREEMPT,
                         (
-                            core.membership.epoch.number,
+                            self.membership.epoch.number,
                             machine,
                             job.id,
                             count,
@@ -833,14 +879,14 @@
         except (PeerError, KeyError):
             return False
         if done and grace_s <= 0:
-            core.routines.spawn(core.cached_state.pull_soon(owner))
+            self.routines.spawn(self.cached_state.pull_soon(owner))
         return done
 
     def spread(self, managed: ManagedJob) -> Spread:
         zones = []
         if managed.job.one_zone or managed.job.spread:
             for _, _, machine in managed.assignments():
-                zones.append(self.core.view.zones.get(machine))
+                zones.append(self.view.zones.get(machine))
         return Spread(managed.job, zones)
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
@@ -849,22 +895,22 @@
         It is stopped before it starts elsewhere, so its image must be there, or be
         fetched in less time than passes between two reports.
         """
-        managed = self.core.jobs.managed.get(job)
-        room = self.core.cached_state.rooms().get(machine)
+        managed = self.jobs.managed.get(job)
+        room = self.cached_state.rooms().get(machine)
         if (
             managed is None
             or managed.pending
             or room is None
             or (managed.assignment(number) or (0, ""))[1] != machine
             or time.monotonic() - managed.moved_at
-            < self.core.settings.cluster.workers.lease_s
+            < self.settings.cluster.workers.lease_s
             * (3.0 if drain and not self.policy().dear(managed.job, room) else 0.3)
         ):
             return False
-        zones = [self.core.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
-        policy, index = self.policy(), self.core.cached_state.index()
+        zones = [self.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
+        policy, index = self.policy(), self.cached_state.index()
         dear = policy.dear(managed.job, room)
-        soon = self._soon(managed.job, self.core.settings.cluster.workers.report_s)
+        soon = self._soon(managed.job, self.settings.cluster.workers.report_s)
         with index.trial():
             found = bool(
                 place(
@@ -904,10 +950,8 @@
     def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
         """Types whose machines have the job's image in time when they begin to fetch it now;
         None: all."""
-        found = frozenset(
-            t for t in self.core.machines.types if self._fetch_from_s(job, t) < within_s
-        )
-        return None if len(found) == len(self.core.machines.types) else found
+        found = frozenset(t for t in self.machines.types if self._fetch_from_s(job, t) < within_s)
+        return None if len(found) == len(self.machines.types) else found
 
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Tasks that the team's limit leaves room for, as far as known here.
@@ -915,9 +959,9 @@
         What was read long ago is not believed: other homes may have released
         some since, and nothing else would ever make us look again.
         """
-        limit = self.core.quotas.limits.get(job.team, (0.0, 0.0))
-        used, _, at = self.core.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
-        if time.monotonic() - at > self.core.settings.cluster.workers.report_s:
+        limit = self.quotas.limits.get(job.team, (0.0, 0.0))
+        used, _, at = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
+        if time.monotonic() - at > self.settings.cluster.workers.report_s:
             return wanted
         for cap, have, need in zip(limit, used, amounts(job, 1)):
             if cap > 0 and need > 0:
