--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -5,29 +5,43 @@
 import logging
 import math
 import time
-from typing import TYPE_CHECKING, Any
+from collections.abc import Mapping
+from typing import Any
 from urllib.parse import unquote
 
 import msgspec
 
+from clayport.jobs.dispatcher import Dispatcher
 from clayport.jobs.managed_job import can_be_placed, can_ever_run
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.renewal import LeaseRenewal
 from clayport.limits import AdmissionControl, Deadline
+from clayport.machines.fleet import Fleet
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
 from clayport.model import SERVICE, Description, Job, valid_id
+from clayport.rebuild.support import RebuildSupport
 from clayport.records.keys import end_key, live_key
+from clayport.records.replica import RecordReplica
 from clayport.records.store import (
     CANCEL_S,
     URGENT_S,
     ConflictError,
+    Lookups,
     OutcomeUnknownError,
+    StateStore,
     Txn,
     UnavailableError,
 )
+from clayport.records.upgrade import UpgradeState
 from clayport.records.values import end_value, live_value, parse_end, truncate_end
+from clayport.routines import Routines
+from clayport.scaling.catalogue import Catalogue
+from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.settings import Settings
 from clayport.transport import frames
-from clayport.transport.peers import PeerError
-
-if TYPE_CHECKING:
-    from clayport.controller import Controller
+from clayport.transport.peers import Peer, PeerError
 
 log = logging.getLogger(__name__)
 
@@ -47,9 +61,44 @@
 class Api:
     """Requests on the address that users, workers and health checks share."""
 
-    def __init__(self, core: Controller) -> None:
-        self.core = core
-        self.lookups = core.lookups
+    def __init__(
+        self,
+        *,
+        catalogue: Catalogue,
+        dispatcher: Dispatcher,
+        fleet: Fleet,
+        jobs: JobRegistry,
+        lookups: Lookups,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        peers: Mapping[str, Peer],
+        quotas: TeamQuotas,
+        rebuild: RebuildSupport,
+        record_replica: RecordReplica,
+        renewal: LeaseRenewal,
+        routines: Routines,
+        settings: Settings,
+        stalls: StallDetector,
+        store: StateStore,
+        upgrade: UpgradeState,
+    ) -> None:
+        self.catalogue = catalogue
+        self.dispatcher = dispatcher
+        self.fleet = fleet
+        self.jobs = jobs
+        self.lookups = lookups
+        self.membership = membership
+        self.objectives = objectives
+        self.peers = peers
+        self.quotas = quotas
+        self.rebuild = rebuild
+        self.record_replica = record_replica
+        self.renewal = renewal
+        self.routines = routines
+        self.settings = settings
+        self.stalls = stalls
+        self.store = store
+        self.upgrade = upgrade
         # What can't be written while its user waits is refused before anything is asked.
         self.admission = AdmissionControl(IN_TIME * SUBMIT_S, RETRY_MOST_S)
         # With less processor time than all ask for, submissions are refused while polls, reports
@@ -71,7 +120,7 @@
             # A malformed value or answer costs this request, not the process.
             log.error("path=%s event=malformed cause=%r", path, exc)
             status, value = 503, {"error": "malformed data"}
-        await self.core.routines.flush()
+        await self.routines.flush()
         headers: Headers = []
         if status == 503 and path.startswith("/api/"):
             headers.append(("Retry-After", str(after_s)))
@@ -81,11 +130,9 @@
         if path == "/v1/report":
             if method != "POST":
                 return 405, {}
-            return await self.core.fleet.report(body)
+            return await self.fleet.report(body)
         if path == "/up":
-            return (
-                (405, {}) if method != "GET" else (200 if self.core.renewal.healthy() else 503, {})
-            )
+            return (405, {}) if method != "GET" else (200 if self.renewal.healthy() else 503, {})
         if path == "/api/jobs":
             return await self._submit(body) if method == "POST" else (405, {})
         if path.startswith("/api/jobs/"):
@@ -103,10 +150,9 @@
         The live record is read first: it only ever turns into the final one, so
         that finding neither means that the job was never accepted.
         """
-        core = self.core
-        if job in core.jobs.ended:
-            return core.jobs.ended[job]
-        live = core.jobs.live.get(job)
+        if job in self.jobs.ended:
+            return self.jobs.ended[job]
+        live = self.jobs.live.get(job)
         if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
             return "live"
         if not valid_id(job):
@@ -114,54 +160,53 @@
             if live is not None:
                 raise UnavailableError("the record is just changing")
             return None
-        entry = await core.store.get(live_key(job), deadline)
+        entry = await self.store.get(live_key(job), deadline)
         if entry is not None:
             await self._guard({live_key(job): entry.rev}, deadline)
             return "live"
-        entry = await core.store.get(end_key(job), deadline)
+        entry = await self.store.get(end_key(job), deadline)
         await self._guard({live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline)
-        if entry is None and job in core.jobs.live:
-            core.rebuild.suspect(f"{job} is gone")
+        if entry is None and job in self.jobs.live:
+            self.rebuild.suspect(f"{job} is gone")
             raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
-        core.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+        self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
         return str(entry.value["s"])
 
     async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
         """That what was read is from the history of the records that we act on: a read by
         itself says nothing of that."""
-        if self.core.rebuild.recovery is None:
+        if self.rebuild.recovery is None:
             return
         txn = Txn()
         for key, rev in revs.items():
             txn.require(key, rev)
         try:
-            await self.core.store.commit(txn, deadline)
+            await self.store.commit(txn, deadline)
         except ConflictError:
             raise UnavailableError("the record is just changing") from None
 
     async def _answer(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
         """The body of an answer about a job; UnavailableError if it is cancelled and its user can't
         be told of that in time."""
-        core = self.core
         if status != "live":
-            known = core.jobs.live.get(job)
+            known = self.jobs.live.get(job)
             done = known[0].tasks if status == "done" and known else 0
             return {**await self._over(job, status, deadline), "done": done, "running": 0}
-        counts = core.dispatcher.counts(job)
-        leader = core.membership.epoch.place(job)
-        if counts is None and leader in core.peers and core.membership.is_member:
+        counts = self.dispatcher.counts(job)
+        leader = self.membership.epoch.place(job)
+        if counts is None and leader in self.peers and self.membership.is_member:
             try:
-                ok, done, running = await core.peers[leader].call(
-                    frames.COUNTS, (core.membership.epoch.number, job), POLL_S / 4
+                ok, done, running = await self.peers[leader].call(
+                    frames.COUNTS, (self.membership.epoch.number, job), POLL_S / 4
                 )
                 counts = (done, running) if ok else None
             except PeerError:
                 counts = None
-        if job in core.jobs.ended:
+        if job in self.jobs.ended:
             # It ended while the home was asked: that has been told to somebody by now.
-            return await self._answer(job, core.jobs.ended[job], deadline)
+            return await self._answer(job, self.jobs.ended[job], deadline)
         # For display only: a home out of reach must not cost the user its answer.
         done, running = counts or (0, 0)
         return {
@@ -181,12 +226,11 @@
         return 200, await self._answer(job, status, deadline)
 
     async def _submit(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        core = self.core
         try:
-            job = core.objectives.with_objectives(msgspec.json.decode(body, type=Description))
+            job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return 400, {"error": str(exc)}
-        if not core.stalls.check(time.monotonic()):
+        if not self.stalls.check(time.monotonic()):
             # It may have waited since before we stood still, and its user have left.
             raise UnavailableError("just awake")
         deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
@@ -196,21 +240,21 @@
         value = live_value(job, submitted)
         if (
             len(msgspec.json.encode(value))
-            > core.settings.cluster.state.least().value_kb * 1024 - END_BYTES
+            > self.settings.cluster.state.least().value_kb * 1024 - END_BYTES
         ):
             return await self._refuse(job, 400, "description too large", deadline)
-        limit = core.quotas.limits.get(job.team)
-        if not core.catalogue.types and job.id not in core.jobs.ended:
+        limit = self.quotas.limits.get(job.team)
+        if not self.catalogue.types and job.id not in self.jobs.ended:
             return 503, {"error": "machine types not known yet"}
         if (
             limit is None
-            or not can_be_placed(job, core.catalogue.types)
+            or not can_be_placed(job, self.catalogue.types)
             or not can_ever_run(job, limit)
         ):
             return await self._refuse(job, 422, "can never run", deadline)
-        if job.id in core.jobs.ended:
-            return 200, await self._answer(job.id, core.jobs.ended[job.id], deadline)
-        if job.id in core.jobs.live:
+        if job.id in self.jobs.ended:
+            return 200, await self._answer(job.id, self.jobs.ended[job.id], deadline)
+        if job.id in self.jobs.live:
             known = await self._known(job.id, deadline)
             if known is not None:
                 return 200, await self._answer(job.id, known, deadline)
@@ -219,15 +263,15 @@
             wrong = await self._unsuitable(job.prereqs, deadline)
             if wrong:
                 return await self._refuse(job, 422, wrong, deadline)
-            if not core.upgrade.complete:
+            if not self.upgrade.complete:
                 # The version in production would start it at once.
                 raise UnavailableError("not all controllers can take prereqs yet")
         txn = Txn().require(live_key(job.id), 0).require(end_key(job.id), 0)
         txn.put(live_key(job.id), value)
-        attempt = core.store.begin(deadline)
+        attempt = self.store.begin(deadline)
         while True:
             try:
-                rev = await core.store.commit(txn, deadline, URGENT_S)
+                rev = await self.store.commit(txn, deadline, URGENT_S)
                 break
             except ConflictError:
                 known = await self._known(job.id, deadline)
@@ -237,7 +281,7 @@
             except OutcomeUnknownError:
                 # It may have been applied: the same transaction again either
                 # succeeds or shows the job.
-                if not await core.store.back_off(attempt):
+                if not await self.store.back_off(attempt):
                     raise
         log.info(
             "job=%s event=accepted class=%s kind=%s tasks=%d",
@@ -246,9 +290,9 @@
             job.kind,
             job.tasks,
         )
-        core.record_replica.note_live(job, rev, core.record_replica.since(submitted))
-        if core.rebuild.recovery is not None:
-            await core.rebuild.recovery.second(rev, deadline)
+        self.record_replica.note_live(job, rev, self.record_replica.since(submitted))
+        if self.rebuild.recovery is not None:
+            await self.rebuild.recovery.second(rev, deadline)
         return 201, {"id": job.id, "status": "queued"}
 
     async def _refuse(
@@ -265,8 +309,8 @@
         """UnavailableError, with when to come back, if what waits for the state service, or for the
         processor, can't be worked off in time."""
         after_s = max(
-            self.admission.retry_after_s(self.core.store.backlog(ahead_s)),
-            self.processor_admission.retry_after_s(TURNS * self.core.stalls.timer_delay_s),
+            self.admission.retry_after_s(self.store.backlog(ahead_s)),
+            self.processor_admission.retry_after_s(TURNS * self.stalls.timer_delay_s),
         )
         if after_s:
             raise UnavailableError("too much is waiting", after_s)
@@ -275,23 +319,22 @@
         """Why a job can't wait for these; empty if it can: each was accepted, and ends by
         itself. What isn't known here may have been accepted a moment ago by a controller
         whose watch is ahead of ours, so the state service is asked."""
-        core = self.core
         unknown = []
         for name in dict.fromkeys(names):
-            known = core.jobs.live.get(name)
-            if known is None and name not in core.jobs.ended:
+            known = self.jobs.live.get(name)
+            if known is None and name not in self.jobs.ended:
                 unknown.append(name)
             elif known is not None and known[0].kind == SERVICE:
                 return f"{name} is a service"
         # Of many at once, which records there are: a comparison names those that exist.
-        most = max(1, core.upgrade.limits.txn_ops * 2 - core.store.beside)
+        most = max(1, self.upgrade.limits.txn_ops * 2 - self.store.beside)
         for first in range(0, len(unknown), most):
             part = unknown[first : first + most]
             txn = Txn()
             for name in part:
                 txn.require(live_key(name), 0).require(end_key(name), 0)
             try:
-                await core.store.commit(txn, deadline)
+                await self.store.commit(txn, deadline)
                 return f"{part[0]} was never accepted"
             except ConflictError as exc:
                 for name in part:
@@ -299,7 +342,7 @@
                         continue
                     if live_key(name) not in exc.failed:
                         return f"{name} was never accepted"
-                    entry = await core.store.get(live_key(name), deadline)
+                    entry = await self.store.get(live_key(name), deadline)
                     if entry is not None and entry.value["j"]["shape"] == SERVICE:
                         return f"{name} is a service"
         return ""
@@ -307,19 +350,18 @@
     async def _over(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
         """The answer to a cancellation."""
         if status == "cancelled":
-            await self.core.record_replica.announced(job, deadline)
+            await self.record_replica.announced(job, deadline)
         return {"id": job, "status": status}
 
     async def _abort(self, job: str) -> tuple[int, dict[str, Any]]:
-        core = self.core
         if not valid_id(job):
             return 404, {"error": "no such job"}
         deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
-        attempt = core.store.begin(deadline)
+        attempt = self.store.begin(deadline)
         while deadline.allows(time.monotonic()):
-            if job in core.jobs.ended:
-                return 200, await self._over(job, core.jobs.ended[job], deadline)
-            entry = await core.store.get(live_key(job), deadline)
+            if job in self.jobs.ended:
+                return 200, await self._over(job, self.jobs.ended[job], deadline)
+            entry = await self.store.get(live_key(job), deadline)
             if entry is None:
                 known = await self._known(job, deadline)
                 if known is None:
@@ -332,18 +374,18 @@
             txn.put(
                 end_key(job),
                 truncate_end(
-                    end_value("cancelled", at, entry.value["j"]), core.upgrade.limits.value_kb
+                    end_value("cancelled", at, entry.value["j"]), self.upgrade.limits.value_kb
                 ),
             )
             try:
-                rev = await core.store.commit(txn, deadline, CANCEL_S)
+                rev = await self.store.commit(txn, deadline, CANCEL_S)
             except ConflictError:
                 continue
             except OutcomeUnknownError:
-                if not await core.store.back_off(attempt):
+                if not await self.store.back_off(attempt):
                     break
                 continue
             log.info("job=%s event=cancelled", job)
-            core.record_replica.note_end(job, "cancelled", at, rev)
+            self.record_replica.note_end(job, "cancelled", at, rev)
             return 200, await self._over(job, "cancelled", deadline)
         raise UnavailableError("not settled in time")
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from types import SimpleNamespace
 from typing import Any
 
 import curio
@@ -20,11 +19,16 @@
     """What fences use of a controller; the cloud takes a request each second."""
 
     def __init__(self) -> None:
-        self.cloud = self.epoch = self
+        self.epoch: object = self
         self.sent: list[list[str]] = []
         self.told: list[str] = []
         self.fails: set[int] = set()  # numbers of the requests that are refused
 
+    def fencing(self) -> MachineFencing:
+        """The routine under test, with this in place of all parts that it uses."""
+        parts: Any = self
+        return MachineFencing(cloud=parts, membership=parts, removal=parts)
+
     async def turn(self) -> None:
         await curio.sleep(0)
 
@@ -34,7 +38,7 @@
         if len(self.sent) in self.fails:
             raise CloudError("503")
 
-    async def announce_gone(self, names: list[str]) -> None:
+    async def announce(self, names: list[str]) -> None:
         self.told += names
 
 
@@ -63,7 +67,7 @@
 def test_many_fences_go_together(count: int, fails: set[int], requests: list[int]) -> None:
     core = Core()
     core.fails = fails
-    fences = MachineFencing(core)  # type: ignore[arg-type]
+    fences = core.fencing()
     names = [f"i-{n:06d}" for n in range(count)]
     found = curio.run(fence_all, fences, [*names, names[-1]])  # asked for twice, sent once
     assert [len(s) for s in core.sent] == requests and [
@@ -79,7 +83,7 @@
 def test_what_waits_is_not_returned_in_a_later_epoch() -> None:
     """Its new owner may have heard the machine meanwhile: it works, and is full again."""
     core = Core()
-    fences = MachineFencing(core)  # type: ignore[arg-type]
+    fences = core.fencing()
 
     async def turn() -> None:
         core.epoch = object()  # type: ignore[assignment]
@@ -96,7 +100,7 @@
         raise ValueError("malformed")
 
     core.return_now = fail  # type: ignore[method-assign]
-    fences = MachineFencing(core)  # type: ignore[arg-type]
+    fences = core.fencing()
     assert all(curio.run(fence_all, fences, ["i-000001"]))
     assert not fences.waiting and not fences.sending
 
@@ -122,13 +126,11 @@
             return (self.says,)
 
     fleet: Any = object.__new__(Fleet)
-    fleet.core = SimpleNamespace(
-        peers={
-            "out": Asked(True),
-            "c1": Asked(None if theirs is None else theirs),
-            "c2": Asked(False),
-        }
-    )
+    fleet.peers = {
+        "out": Asked(True),
+        "c1": Asked(None if theirs is None else theirs),
+        "c2": Asked(False),
+    }
     fleet.command_s = 3.0
 
     async def inspect(*_: Any) -> bool:
