--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -3,46 +3,35 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import TYPE_CHECKING
-
-from clayport.jobs.registry import JobRegistry
-from clayport.leases.cancellations import CancellationWatermark
-from clayport.leases.renewal import LeaseRenewal
-from clayport.machines.table import MachineTable
-from clayport.membership.stalls import StallDetector
-from clayport.membership.state import MembershipState
-from clayport.rebuild.support import RebuildSupport
-from clayport.routines import Routines
-from clayport.scheduling.cached_state import CachedState
-from clayport.scheduling.view import ClusterView
-from clayport.settings import Settings
-from clayport.transport.peers import Peer
-
-if TYPE_CHECKING:
-    from clayport.jobs.dispatcher import Dispatcher
-    from clayport.machines.routing import Routing
-    from clayport.scaling.renting import Provisioner
-    from clayport.scheduling.placer import Placer
-
 import logging
 import time
 from collections import OrderedDict
-from collections.abc import Container
-from typing import Any
+from collections.abc import Container, Iterable, Mapping
+from typing import Any, Protocol
 
 import curio
 import msgspec
 
 from clayport.jobs.managed_job import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.cancellations import CancellationWatermark
+from clayport.leases.renewal import LeaseRenewal
 from clayport.machines.fencing import MachineFencing
-from clayport.machines.table import GONE, MAX_COMMANDS, Key, Machine
+from clayport.machines.routing import Routing
+from clayport.machines.table import GONE, MAX_COMMANDS, Key, Machine, MachineTable
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
-from clayport.model import Job, WorkerHeartbeat, split_task
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
+from clayport.model import CloudMachine, Job, WorkerHeartbeat, split_task
+from clayport.rebuild.support import RebuildSupport
+from clayport.routines import Routines
 from clayport.scaling.cloud import CloudError
-from clayport.settings import ConfigError, endpoint
+from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.placement import Policy
+from clayport.scheduling.view import ClusterView
+from clayport.settings import ConfigError, Settings, endpoint
 from clayport.transport import frames, http
-from clayport.transport.peers import PeerError
+from clayport.transport.peers import Peer, PeerError
 
 log = logging.getLogger(__name__)
 
@@ -63,6 +52,32 @@
     return max(token, epoch.first_token | 1 << (TOKEN_COUNTER_BITS - 1))
 
 
+class EventHandler(Protocol):
+    """Takes in what owners tell of tasks, where this controller leads the job itself."""
+
+    def told(self, events: Iterable[Told]) -> list[int]:
+        """Judge the events in order; a verdict for each."""
+        ...
+
+
+class ReplicaPlacement(Protocol):
+    """Knows where a replica would find another place."""
+
+    def policy(self) -> Policy:
+        """What keeps work off machines, from all jobs known."""
+        ...
+
+    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+        """Whether a replica would find another place where it starts soon."""
+        ...
+
+
+class CloudListing(Protocol):
+    """Knows the machines as the cloud last listed them, by name."""
+
+    listed: dict[str, CloudMachine]
+
+
 class Fleet:
     """Everything between this controller and the machines."""
 
@@ -109,7 +124,12 @@
         self.command_s = 0.2 * w.lease_s
 
     def connect(
-        self, *, dispatcher: Dispatcher, placer: Placer, provisioner: Provisioner, routing: Routing
+        self,
+        *,
+        dispatcher: EventHandler,
+        placer: ReplicaPlacement,
+        provisioner: CloudListing,
+        routing: Routing,
     ) -> None:
         """Set the parts that are built later than this one."""
         self.dispatcher = dispatcher
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -2,8 +2,12 @@
 
 from __future__ import annotations
 
+import logging
+import time
 from collections.abc import Mapping
-from typing import TYPE_CHECKING
+from typing import Protocol
+
+import curio
 
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
@@ -12,14 +16,6 @@
 from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
-if TYPE_CHECKING:
-    from clayport.scaling.renting import Provisioner
-
-import logging
-import time
-
-import curio
-
 log = logging.getLogger(__name__)
 
 # The pause between two checks, and the gap that counts as a stall, in report intervals.
@@ -27,6 +23,16 @@
 STALL_INTERVALS = 1.5
 
 
+class Restartable(Protocol):
+    """A routine that waits a while after it has begun anew.
+
+    Attributes:
+        began_at: When that was, on the steady clock.
+    """
+
+    began_at: float
+
+
 class StallDetector:
     """Notices stalls, and whether membership has been confirmed since the last one.
 
@@ -64,7 +70,7 @@
         self.timer_delay_s = 0.0
         self.stall_s = STALL_INTERVALS * settings.cluster.workers.report_s
 
-    def connect(self, *, provisioner: Provisioner) -> None:
+    def connect(self, *, provisioner: Restartable) -> None:
         """Set the parts that are built later than this one."""
         self.provisioner = provisioner
 
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -10,7 +10,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
 
 # A frame's share of it, and the most that a whole may unpack to.
 PART, WHOLE_MOST = 1024 * 1024, 512 * 1024 * 1024
@@ -47,41 +47,41 @@
     machine: str
 
 
-def gather(core: Controller, loaded: bool) -> Evidence:
+def gather(ports: RebuildParts, loaded: bool) -> Evidence:
     """This controller's own evidence."""
     now, day = time.monotonic(), time.time()
     found = Evidence(
-        core.membership.label,
-        core.membership.incarnation,
-        core.membership.epoch.number,
-        dict(core.membership.epoch.members),
+        ports.membership.label,
+        ports.membership.incarnation,
+        ports.membership.epoch.number,
+        dict(ports.membership.epoch.members),
         loaded,
     )
-    for name, (job, _) in core.jobs.live.items():
-        node = core.jobs.dependencies.nodes.get(name)
+    for name, (job, _) in ports.jobs.live.items():
+        node = ports.jobs.dependencies.nodes.get(name)
         found.live[name] = (
             msgspec.to_builtins(node.job if node else job),
             round(day - (now - node.submitted), 3) if node else day,
         )
-    for name, status in core.jobs.ended.items():
-        at = core.jobs.dependencies.ends.get(name, ("", 0.0))[1]
-        desc = core.jobs.ended_descriptions.get(name)
+    for name, status in ports.jobs.ended.items():
+        at = ports.jobs.dependencies.ends.get(name, ("", 0.0))[1]
+        desc = ports.jobs.ended_descriptions.get(name)
         found.ended[name] = (
             status,
             round(day - (now - at), 3) if at else 0.0,
             msgspec.to_builtins(desc) if desc is not None else None,
         )
-    for managed in core.jobs.managed.values():
+    for managed in ports.jobs.managed.values():
         for index, chunk in managed.chunks.items():
             found.chunks[managed.key(index)] = chunk.value()
-    found.versions = {label: number for label, (number, _) in core.upgrade.formats.items()}
+    found.versions = {label: number for label, (number, _) in ports.upgrade.formats.items()}
     found.classes = {
         name: msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))
-        for name, job in core.jobs.classes.items()
+        for name, job in ports.jobs.classes.items()
     }
-    found.machines = {name: room.address for name, room in core.view.rooms.items()}
+    found.machines = {name: room.address for name, room in ports.view.rooms.items()}
     found.machines.update(
-        {name: m.address for name, m in core.machines.machines.items() if m.address}
+        {name: m.address for name, m in ports.machines.machines.items() if m.address}
     )
     return found
 
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -22,7 +22,7 @@
 from clayport.transport import http
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
 
 log = logging.getLogger(__name__)
 
@@ -42,9 +42,9 @@
     """
 
     def __init__(
-        self, core: Controller, parts: dict[str, Evidence], machines: dict[str, str]
+        self, ports: RebuildParts, parts: dict[str, Evidence], machines: dict[str, str]
     ) -> None:
-        self.core = core
+        self.ports = ports
         self.machines = machines
         self.known_jobs = {n for e in parts.values() for n in (*e.live, *e.ended)}
         self.token = max((e.epoch for e in parts.values()), default=0) + 1 << TOKEN_COUNTER_BITS
@@ -55,8 +55,8 @@
 
     async def take(self) -> tuple[list[Task], int]:
         """Return what runs on every machine, and the highest token seen."""
-        core = self.core
-        lag_s = core.settings.cluster.cloud.list_lag_s
+        ports = self.ports
+        lag_s = ports.settings.cluster.cloud.list_lag_s
         await self._read_known_jobs()
         began = time.monotonic()
         while True:
@@ -79,10 +79,10 @@
                     len(self.silent),
                     len(self.returned),
                 )
-            await curio.sleep(core.settings.cluster.workers.report_s / 2)
+            await curio.sleep(ports.settings.cluster.workers.report_s / 2)
 
     async def _read_known_jobs(self) -> None:
-        store = self.core.store
+        store = self.ports.store
         entries = [
             *(await store.scan("c/live/", doubtful=True))[0],
             *(await store.scan("end/", doubtful=True))[0],
@@ -93,7 +93,7 @@
         """Add what the cloud lists; on an error it is asked again with the next round."""
         self.listed_at = now
         try:
-            listed = await self.core.cloud.machines()
+            listed = await self.ports.cloud.machines()
             self.machines.update({m.id: m.address for m in listed if m.state != "failed"})
         except CloudError as exc:
             log.info("event=cloud-trouble cause=%s", exc)
@@ -120,7 +120,7 @@
         """The highest token that a machine has seen (0: no answer), and what it holds once
         ours is the highest and nothing unknown is on it."""
         known = self.known_jobs
-        client = self.core.fleet.client(address)
+        client = self.ports.fleet.client(address)
         if client is None:
             return 0, None
         try:
@@ -156,18 +156,18 @@
 
     async def _report(self, client: Any, method: str, path: str, body: Any) -> WorkerHeartbeat:
         raw = None if body is None else msgspec.json.encode(body)
-        _, answer = await client.request(method, path, raw, self.core.fleet.command_s)
+        _, answer = await client.request(method, path, raw, self.ports.fleet.command_s)
         return msgspec.json.decode(answer, type=WorkerHeartbeat)
 
     async def _give_up(self) -> None:
         """Return machines that stay silent; not most of them at once, which would be us."""
-        core, silent, now = self.core, self.silent, time.monotonic()
+        ports, silent, now = self.ports, self.silent, time.monotonic()
         most = len(silent) > 2 and len(silent) > len(self.held)
-        circuit = core.settings.cluster.workers.cancel_s / 2 if most else core.fleet.silent_s
+        circuit = ports.settings.cluster.workers.cancel_s / 2 if most else ports.fleet.silent_s
         names = [n for n, since in silent.items() if now - since > circuit][:RETURN_MOST]
         if names:
             try:
-                await core.cloud.give_back(names)
+                await ports.cloud.give_back(names)
             except CloudError as exc:
                 log.info("event=not-fenced machines=%d cause=%s", len(names), exc)
                 return
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -13,7 +13,7 @@
 from clayport.records.values import end_value
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
 
 log = logging.getLogger(__name__)
 
@@ -21,14 +21,14 @@
 class LateEvidence:
     """Adds live and final records that are missing from a history that was just joined."""
 
-    def __init__(self, core: Controller, history: History) -> None:
-        self.core, self.history = core, history
+    def __init__(self, parts: RebuildParts, history: History) -> None:
+        self.parts, self.history = parts, history
 
     async def add(self, known: Evidence) -> None:
         """Write what is missing, one record after the other, while the history stands."""
-        core = self.core
-        attempt = core.store.begin()
-        todo = [(name, *row) for name, row in known.live.items() if name not in core.jobs.ended]
+        parts = self.parts
+        attempt = parts.store.begin()
+        todo = [(name, *row) for name, row in known.live.items() if name not in parts.jobs.ended]
         ends = list(known.ended.items())
         while (todo or ends) and not self.history.doubt:
             try:
@@ -37,31 +37,31 @@
                     txn = Txn().require(live_key(name), 0).require(end_key(name), 0)
                     txn.put(live_key(name), {"j": desc, "t": at})
                     if not await self._once(txn, "job", name):
-                        await core.record_replica.learn(name)
+                        await parts.record_replica.learn(name)
                     todo.pop()
                 else:
                     name, (status, at, desc) = ends[-1]
                     await self._end(name, status, at, desc)
                     ends.pop()
             except (UnavailableError, OutcomeUnknownError):
-                await core.store.back_off(attempt)
+                await parts.store.back_off(attempt)
 
     async def _once(self, txn: Txn, what: str, name: str) -> bool:
         """Write what nobody else had; False if something else is there instead."""
         try:
-            await self.core.store.commit(Txn().require(*next(iter(txn.when.items()))))
+            await self.parts.store.commit(Txn().require(*next(iter(txn.when.items()))))
         except ConflictError:
             return True  # it is there: one comparison, and no write
         try:
-            await self.core.store.commit(txn)
+            await self.parts.store.commit(txn)
             log.info("event=late-evidence %s=%s", what, name)
             return True
         except ConflictError:
             return False
 
     async def _end(self, name: str, status: str, at: float, desc: Any) -> None:
-        core = self.core
-        live = await core.store.get(live_key(name))
+        parts = self.parts
+        live = await parts.store.get(live_key(name))
         txn = Txn().require(end_key(name), 0)
         if live is not None:
             txn.require(live_key(name), live.rev).delete(live_key(name))
--- /dev/null
+++ b/clayport/rebuild/ports.py
@@ -0,0 +1,39 @@
+"""What rebuilding uses of a controller: the parts by their names, and nothing of the whole."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.fleet import Fleet
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.rebuild.support import RebuildSupport
+from clayport.records.replica import RecordReplica
+from clayport.records.store import StateStore
+from clayport.records.upgrade import UpgradeState
+from clayport.routines import Routines
+from clayport.scaling.cloud import Cloud
+from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
+
+
+class RebuildParts(Protocol):
+    """The parts of a controller that hold, read or write records."""
+
+    settings: Settings
+    membership: MembershipState
+    routines: Routines
+    store: StateStore
+    cloud: Cloud
+    peers: dict[str, Peer]
+    jobs: JobRegistry
+    quotas: TeamQuotas
+    upgrade: UpgradeState
+    view: ClusterView
+    machines: MachineTable
+    fleet: Fleet
+    record_replica: RecordReplica
+    rebuild: RebuildSupport
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -43,7 +43,7 @@
 from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
     """Carries out the rebuilds of one controller.
 
     Args:
-        core: The controller.
+        ports: The controller.
         history: The history that it acts on.
         own_evidence: Returns what this controller still knows of the records.
         join: Acts on a history, given its head and the revisions of its anchors.
@@ -70,12 +70,12 @@
 
     def __init__(
         self,
-        core: Controller,
+        ports: RebuildParts,
         history: History,
         own_evidence: Callable[[], Evidence],
         join: Callable[[Entry, dict[str, int]], Awaitable[None]],
     ) -> None:
-        self.core, self.history = core, history
+        self.ports, self.history = ports, history
         self.own_evidence, self.join = own_evidence, join
 
     async def rebuild(self, head: Entry | None, records: dict[str, Entry], number: int) -> None:
@@ -85,7 +85,7 @@
             ConcurrentChangeError: Another controller has changed the records meanwhile.
             UnavailableError: The state service doesn't answer.
         """
-        store = self.core.store
+        store = self.ports.store
         store.shared_by(1)
         try:
             await self._put_together(head, records, number)
@@ -95,9 +95,9 @@
     async def _put_together(
         self, head: Entry | None, records: dict[str, Entry], number: int
     ) -> None:
-        core, h = self.core, self.history
+        ports, h = self.ports, self.history
         began = time.monotonic()
-        name = f"{core.routines.rng.getrandbits(64):016x}"
+        name = f"{ports.routines.rng.getrandbits(64):016x}"
         anchor = await self._begin(head, records, name, number)
         log.info("event=rebuild-began history=%s cause=%r", name, h.doubt)
         parts = await self._gather(name)
@@ -108,15 +108,15 @@
         highest_token = 0
         if missing or not members:
             log.info("event=rebuild-asks machines=%d missing=%s", len(machines), ",".join(missing))
-            listed, highest_token = await Inventory(core, parts, machines).take()
-        records_now, _ = await core.store.scan_all(PREFIXES, doubtful=True)
+            listed, highest_token = await Inventory(ports, parts, machines).take()
+        records_now, _ = await ports.store.scan_all(PREFIXES, doubtful=True)
         found = {key: row for key, row in records_now.items() if not is_anchor(key)}
         merged = merge(
             found,
             parts,
             listed,
-            core.quotas.limits,
-            chunk_size(core.settings.cluster.state.value_kb),
+            ports.quotas.limits,
+            chunk_size(ports.settings.cluster.state.value_kb),
         )
         log.info(
             "event=rebuild-found jobs=%d restored=%d ended=%d changes=%d unknown=%d "
@@ -131,7 +131,7 @@
         )
         written = 0
         for txn in plan.transactions(
-            merged.changes, found, anchor, core.settings.cluster.state.least().txn_ops
+            merged.changes, found, anchor, ports.settings.cluster.state.least().txn_ops
         ):
             await self._write(txn)
             written += len(txn.writes)
@@ -149,13 +149,13 @@
     ) -> tuple[str, int]:
         """End the history that was: nothing that was sent under it is applied from here on,
         since it names the anchor under `c/`. The others follow, each with its predecessors."""
-        core = self.core
+        ports = self.ports
         olds = {
             self.history.name,
             head.value["id"] if head is not None else "",
             *(k[len("c/~") :] for k in records if k.startswith("c/~")),
         } - {""}
-        there = {old: await read_anchors(core.store, old) for old in sorted(olds)}
+        there = {old: await read_anchors(ports.store, old) for old in sorted(olds)}
 
         def renew(txn: Txn, prefix: str) -> Txn:
             for old, revs in there.items():
@@ -167,7 +167,7 @@
 
         txn = renew(Txn().require(HEAD_KEY, head.rev if head is not None else 0), "c/")
         txn.put(
-            HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": core.membership.label}
+            HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": ports.membership.label}
         )
         anchor = anchor_key("c/", name), await self._write(txn)
         for prefix in PREFIXES:
@@ -177,12 +177,12 @@
 
     async def _write(self, txn: Txn) -> int:
         """Commit until it is known whether; ConcurrentChangeError if somebody else came first."""
-        core = self.core
-        attempt = core.store.begin()
+        ports = self.ports
+        attempt = ports.store.begin()
         unsure = False
         while True:
             try:
-                return await core.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
+                return await ports.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
             except ConflictError as exc:
                 log.info("event=rebuild-overtaken keys=%s", exc.failed[:3])
                 raise ConcurrentChangeError from None
@@ -191,29 +191,29 @@
             except UnavailableError:
                 if not unsure:
                     raise
-            await core.store.back_off(attempt)
+            await ports.store.back_off(attempt)
 
     async def _gather(self, name: str) -> dict[str, Evidence]:
         """The evidence of all controllers that answer, ours included."""
-        core = self.core
-        parts = {core.membership.label: self.own_evidence()}
+        ports = self.ports
+        parts = {ports.membership.label: self.own_evidence()}
         for _ in range(3):
-            for label in core.peers:
+            for label in ports.peers:
                 if label not in parts:
                     found = await self._evidence_of(label, name)
                     if found is not None:
-                        evidence.only_news(found, parts[core.membership.label])
+                        evidence.only_news(found, parts[ports.membership.label])
                         parts[label] = found
-            if len(parts) == len(core.settings.labels):
+            if len(parts) == len(ports.settings.labels):
                 break
-            await curio.sleep(core.membership.lease_ttl_s / 8)
+            await curio.sleep(ports.membership.lease_ttl_s / 8)
         for found in list(parts.values()):
             if found.remembered is not None:
                 parts[found.remembered.label] = found.remembered
         return parts
 
     async def _evidence_of(self, label: str, name: str) -> Evidence | None:
-        peer, parts = self.core.peers[label], []
+        peer, parts = self.ports.peers[label], []
         try:
             count, part = await peer.call(frames.EVIDENCE, (name, 0))
             parts.append(part)
@@ -236,7 +236,7 @@
     ) -> None:
         """The history is whole, and an epoch begins under it, above all that anybody has
         seen."""
-        core = self.core
+        ports = self.ports
         stored = found.get(EPOCH_KEY)
         later = 1 + max(
             highest_token >> TOKEN_COUNTER_BITS,
@@ -247,9 +247,9 @@
         present = await self._present(members)
         txn = Txn().require(*anchor).require(EPOCH_KEY, stored[1] if stored else 0)
         txn.put(EPOCH_KEY, Epoch(later, present, 0).value())
-        head = {"id": name, "n": number, "state": WHOLE, "by": core.membership.label}
+        head = {"id": name, "n": number, "state": WHOLE, "by": ports.membership.label}
         rev = await self._write(txn.put(HEAD_KEY, head).put(anchor[0], anchor_value(name)))
-        anchors = await read_anchors(core.store, name)
+        anchors = await read_anchors(ports.store, name)
         if len(anchors) < len(PREFIXES):
             raise ConcurrentChangeError  # lost in the very moment
         await self.join(Entry(HEAD_KEY, head, rev), anchors)
@@ -257,12 +257,12 @@
     async def _present(self, members: dict[str, str]) -> dict[str, str]:
         """Of those whose evidence is there, who has a key: all others would have to be taken
         out again at once. Everybody, if nobody has one yet."""
-        core = self.core
-        end = time.monotonic() + core.membership.lease_ttl_s
+        ports = self.ports
+        end = time.monotonic() + ports.membership.lease_ttl_s
         while True:
-            entries, _ = await core.store.scan("c/node/", doubtful=True)
+            entries, _ = await ports.store.scan("c/node/", doubtful=True)
             keys = {e.key[len("c/node/") :]: str(e.value["inc"]) for e in entries}
             found = {label: inc for label, inc in members.items() if keys.get(label) == inc}
             if len(found) == len(members) or time.monotonic() >= end:
                 return found or members
-            await curio.sleep(core.membership.lease_ttl_s / 8)
+            await curio.sleep(ports.membership.lease_ttl_s / 8)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -18,7 +18,7 @@
 from clayport.records.store import Change, CompactedError, OutcomeUnknownError, UnavailableError
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
 
 log = logging.getLogger(__name__)
 
@@ -54,8 +54,8 @@
 class Recorder:
     """One controller's snapshots: a base, then every change, synced as it comes."""
 
-    def __init__(self, core: Controller, directory: Path) -> None:
-        self.core, self.directory = core, directory
+    def __init__(self, parts: RebuildParts, directory: Path) -> None:
+        self.parts, self.directory = parts, directory
         self.records: dict[str, tuple[Any, int]] = {}
         self.rev = 0
         self.synced = 0  # up to this revision all is on the disk
@@ -65,23 +65,23 @@
     def load(self) -> Evidence | None:
         """What was on the disk when this process began; None if nothing of use is."""
         try:
-            found = files.newest(self.directory, self.core.settings.labels)
+            found = files.newest(self.directory, self.parts.settings.labels)
         except (SnapshotError, OSError) as exc:
             log.info("event=no-snapshot cause=%r", str(exc))
             return None
         for why in found.refused:
             log.info("event=snapshot-refused cause=%r", why)
         log.info("event=snapshot-read revision=%d records=%d", found.rev, len(found.records))
-        return remembered(found, self.core.membership.label)
+        return remembered(found, self.parts.membership.label)
 
     async def run(self) -> None:
         """Follow the records as long as there is no doubt of them."""
-        core = self.core
-        attempt = core.store.begin()
+        parts = self.parts
+        attempt = parts.store.begin()
         while True:
-            recovery = core.rebuild.recovery
+            recovery = parts.rebuild.recovery
             if recovery is None or recovery.history.doubt or not recovery.history.name:
-                await curio.sleep(core.membership.lease_ttl_s / 2)
+                await curio.sleep(parts.membership.lease_ttl_s / 2)
                 continue
             name, number = recovery.history.name, recovery.history.number
             try:
@@ -93,21 +93,21 @@
                 log.info("event=snapshot-anew cause='too far behind'")
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=snapshot-waits cause=%s", exc)
-                await core.store.back_off(attempt)
+                await parts.store.back_off(attempt)
             except (OSError, msgspec.MsgspecError) as exc:
                 log.error("event=snapshot-failed cause=%r", exc)
-                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s * 4))
+                await curio.sleep(parts.routines.jitter(parts.membership.lease_ttl_s * 4))
 
     async def _base(self, name: str, number: int) -> None:
         """Read all records once, and write them."""
         # What has changed while the pages were read comes with the first changes once more.
-        self.records, self.rev = await self.core.store.scan_all(PREFIXES)
+        self.records, self.rev = await self.parts.store.scan_all(PREFIXES)
         await self._write(name, number)
 
     async def _write(self, name: str, number: int) -> None:
         """A base of what is known, and a log for what comes."""
         header = Header(
-            "base", list(self.core.settings.labels), name, number, self.rev, time.time()
+            "base", list(self.parts.settings.labels), name, number, self.rev, time.time()
         )
         if self.log is not None:
             self.log.close()
@@ -130,8 +130,10 @@
         return after, path.stat().st_size
 
     async def _follow(self, name: str, number: int) -> None:
-        core = self.core
-        changes, rev = await core.store.watch("", self.rev, core.membership.lease_ttl_s, apart=True)
+        parts = self.parts
+        changes, rev = await parts.store.watch(
+            "", self.rev, parts.membership.lease_ttl_s, apart=True
+        )
         rows = self.note(changes, rev)
         if rows and self.log is not None:
             await curio.run_in_thread(self.log.append, rows)
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -33,7 +33,7 @@
 from clayport.transport.peers import PeerError
 
 if TYPE_CHECKING:
-    from clayport.controller import Controller
+    from clayport.rebuild.ports import RebuildParts
     from clayport.rebuild.recorder import Recorder
 
 log = logging.getLogger(__name__)
@@ -52,19 +52,19 @@
 class Recovery:
     """Notices that records are gone, stands still, and puts them together again."""
 
-    def __init__(self, core: Controller, directory: str = "", second_copy: bool = False) -> None:
-        self.core, self.second_copy = core, second_copy
+    def __init__(self, ports: RebuildParts, directory: str = "", second_copy: bool = False) -> None:
+        self.ports, self.second_copy = ports, second_copy
         self.recorder: Recorder | None = None
         self.remembered: Evidence | None = None
         if directory:
             from clayport.rebuild.recorder import Recorder  # imported only where there is a disk
 
-            self.recorder = Recorder(core, Path(directory))
+            self.recorder = Recorder(ports, Path(directory))
             self.remembered = self.recorder.load()
         self.history = History(self._stand_still)
-        self.rebuilder = Rebuilder(core, self.history, self._own, self._join)
-        core.store.history = self.history
-        core.store.check_in = self.check_in
+        self.rebuilder = Rebuilder(ports, self.history, self._own, self._join)
+        ports.store.history = self.history
+        ports.store.check_in = self.check_in
         # Nobody acts before it is known whether the records are those that were left.
         self.history.suspect("just begun")
         self.loaded = False  # this epoch's share was taken over when doubt came
@@ -76,12 +76,12 @@
     # -- noticing --------------------------------------------------------
 
     def _stand_still(self) -> None:
-        core = self.core
-        self.loaded, self.since = core.membership.serving, time.monotonic()
-        core.membership.serving = False
+        ports = self.ports
+        self.loaded, self.since = ports.membership.serving, time.monotonic()
+        ports.membership.serving = False
         self.packed = ("", [])
         log.info("event=doubt cause=%r", self.history.doubt)
-        core.routines.signal("history")
+        ports.routines.signal("history")
 
     async def check_in(self) -> None:
         """Ask the peers what they have seen, and then the state service, before anything is
@@ -94,15 +94,15 @@
         if self.asking is not None:
             await self.asking.wait()
             return
-        h, core, now = self.history, self.core, time.monotonic()
+        h, ports, now = self.history, self.ports, time.monotonic()
         self.asking = curio.Event()
         try:
             async with curio.TaskGroup(wait=all) as group:
-                for label, peer in core.peers.items():
-                    if now - peer.heard < core.membership.lease_ttl_s and self._understands(label):
+                for label, peer in ports.peers.items():
+                    if now - peer.heard < ports.membership.lease_ttl_s and self._understands(label):
                         await group.spawn(self._exchange, label)
             floor = h.floor
-            _, rev = await core.store.scan(HEAD_KEY, doubtful=True)
+            _, rev = await ports.store.scan(HEAD_KEY, doubtful=True)
             h.unsure = False
             h.answered(rev, floor)
         except OutcomeUnknownError as exc:
@@ -113,13 +113,13 @@
 
     async def _exchange(self, label: str) -> Said | None:
         """What a peer has seen; None without an answer."""
-        h, core = self.history, self.core
+        h, ports = self.history, self.ports
         try:
             said = Said(
-                *await core.peers[label].call(
+                *await ports.peers[label].call(
                     frames.HISTORY,
-                    (h.name, h.number, h.floor, bool(h.doubt), core.record_replica.seen),
-                    core.membership.lease_ttl_s / 4,
+                    (h.name, h.number, h.floor, bool(h.doubt), ports.record_replica.seen),
+                    ports.membership.lease_ttl_s / 4,
                 )
             )
         except (PeerError, KeyError):
@@ -133,12 +133,14 @@
         asks again, and is told of the job as it is)."""
         if not self.second_copy or not self.history.name:
             return
-        core, name = self.core, self.history.name
-        pause_s = core.membership.lease_ttl_s / 256  # a watch tells of a change within milliseconds
+        ports, name = self.ports, self.history.name
+        pause_s = (
+            ports.membership.lease_ttl_s / 256
+        )  # a watch tells of a change within milliseconds
         while deadline.allows(time.monotonic(), pause_s):
             if self.recorder is not None and self.recorder.synced >= rev:
                 return
-            for label in sorted(core.peers, key=lambda x: -core.peers[x].heard):
+            for label in sorted(ports.peers, key=lambda x: -ports.peers[x].heard):
                 if self._understands(label):
                     said = await self._exchange(label)
                     if said is not None and said.name == name and said.seen >= rev:
@@ -149,7 +151,7 @@
         raise UnavailableError("no second copy in time")
 
     def _understands(self, label: str) -> bool:
-        return understands_histories(self.core.upgrade.formats.get(label, (0, 0))[0])
+        return understands_histories(self.ports.upgrade.formats.get(label, (0, 0))[0])
 
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """What peers ask."""
@@ -162,7 +164,7 @@
                 h.number,
                 h.floor,
                 bool(h.doubt),
-                self.core.record_replica.seen,
+                self.ports.record_replica.seen,
             )
         name, part = values
         if self.packed[0] != name:
@@ -180,17 +182,17 @@
 
     async def run(self) -> None:
         """Watch over the history, and rebuild when it is in doubt."""
-        core = self.core
+        ports = self.ports
         while True:
-            await core.routines.wait("history", core.membership.lease_ttl_s / 4)
+            await ports.routines.wait("history", ports.membership.lease_ttl_s / 4)
             if self.history.doubt:
                 await self._settle()
                 continue
             if not self.history.name:
-                if core.membership.records_loaded and self._all_understand():
+                if ports.membership.records_loaded and self._all_understand():
                     self.history.suspect("no history yet")
                 continue
-            for label in core.peers:
+            for label in ports.peers:
                 if self._understands(label):
                     await self._exchange(label)
             if not self.history.doubt:
@@ -199,62 +201,62 @@
     async def _look(self) -> None:
         """Whether the anchors and the epoch stand: a loss of these alone, or of one
         prefix, shows nowhere else."""
-        core = self.core
+        ports = self.ports
         txn = Txn().require(HEAD_KEY, self.head_rev)
         for prefix in PREFIXES:
             txn.require(prefix, 0)  # no such key: so that all anchors are compared
-        if core.membership.epoch.rev:
-            txn.require(EPOCH_KEY, core.membership.epoch.rev)
+        if ports.membership.epoch.rev:
+            txn.require(EPOCH_KEY, ports.membership.epoch.rev)
         try:
             try:
-                await core.store.commit(txn)
+                await ports.store.commit(txn)
             except ConflictError as exc:
                 if HEAD_KEY in exc.failed:
                     self.history.suspect("the head has moved")
                     return
-                entry = await core.store.get(EPOCH_KEY)
-                if entry is None or int(entry.value["number"]) < core.membership.epoch.number:
+                entry = await ports.store.get(EPOCH_KEY)
+                if entry is None or int(entry.value["number"]) < ports.membership.epoch.number:
                     self.history.suspect("the epoch is gone")
         except (UnavailableError, OutcomeUnknownError):
             pass
 
     def _all_understand(self) -> bool:
-        return all(self._understands(label) for label in self.core.settings.labels)
+        return all(self._understands(label) for label in self.ports.settings.labels)
 
     async def _settle(self) -> None:
         """Until there is no doubt any more."""
-        core = self.core
-        attempt = core.store.begin()
+        ports = self.ports
+        attempt = ports.store.begin()
         while self.history.doubt:
             try:
                 await self._step()
                 attempt.served()
             except ConcurrentChangeError:
-                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 16))
+                await curio.sleep(ports.routines.jitter(ports.membership.lease_ttl_s / 16))
             except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
                 log.debug("event=rebuild-waits cause=%s", exc)
-                await core.store.back_off(attempt)
+                await ports.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-                await curio.sleep(core.routines.jitter(core.membership.lease_ttl_s / 4))
-            await core.routines.flush()
+                await curio.sleep(ports.routines.jitter(ports.membership.lease_ttl_s / 4))
+            await ports.routines.flush()
 
     async def _step(self) -> None:
         """Look at what holds, and join it, wait for who rebuilds it, or rebuild it."""
-        core, h = self.core, self.history
-        entries, _ = await core.store.scan("c/", doubtful=True)
+        ports, h = self.ports, self.history
+        entries, _ = await ports.store.scan("c/", doubtful=True)
         records = {e.key: e for e in entries}
         for entry in entries:
             # Who is there, and understands what: also for who has only just begun.
             if entry.key.startswith("c/version/"):
-                core.record_replica.note_version(
+                ports.record_replica.note_version(
                     entry.key[len("c/version/") :], entry.value, entry.rev
                 )
         head = records.get(HEAD_KEY)
         # Whoever is there with no record at all has none of before.
         told = [
             t
-            for label in core.peers
+            for label in ports.peers
             if (head is not None or EPOCH_KEY not in records or self._understands(label))
             and (t := await self._exchange(label)) is not None
         ]
@@ -271,13 +273,13 @@
             self._rejoin()
             return
         if head is not None and self._holds(head, told):
-            anchors = await read_anchors(core.store, str(head.value["id"]))
+            anchors = await read_anchors(ports.store, str(head.value["id"]))
             if len(anchors) == len(PREFIXES):
                 await self._join(head, anchors)
                 return
             # Whole when it was written, and not any more.
-        if core.membership.away or self._somebody_else(head):
-            await curio.sleep(core.membership.lease_ttl_s / 16)
+        if ports.membership.away or self._somebody_else(head):
+            await curio.sleep(ports.membership.lease_ttl_s / 16)
             return
         await self.rebuilder.rebuild(
             head,
@@ -301,44 +303,44 @@
     def _somebody_else(self, head: Entry | None) -> bool:
         """Whether a peer is at it, or goes first: who has begun, and of all that may begin
         the first by name. (Two at once can't both win; they would only hinder each other.)"""
-        core, now = self.core, time.monotonic()
+        ports, now = self.ports, time.monotonic()
         heard = [
-            p.label for p in core.peers.values() if now - p.heard < core.membership.lease_ttl_s
+            p.label for p in ports.peers.values() if now - p.heard < ports.membership.lease_ttl_s
         ]
         if (
             head is not None
             and head.value["state"] == REBUILDING
-            and head.value["by"] != core.membership.label
+            and head.value["by"] != ports.membership.label
         ):
             return head.value["by"] in heard
-        early = now - self.since < core.membership.lease_ttl_s / 2
-        return early and any(label < core.membership.label for label in heard)
+        early = now - self.since < ports.membership.lease_ttl_s / 2
+        return early and any(label < ports.membership.label for label in heard)
 
     # -- joining ---------------------------------------------------------
 
     async def _join(self, head: Entry, revs: dict[str, int]) -> None:
         """Act on the history that the head names."""
-        core, name = self.core, str(head.value["id"])
-        late = evidence.gather(core, self.loaded)
+        ports, name = self.ports, str(head.value["id"])
+        late = evidence.gather(ports, self.loaded)
         self.head_rev = head.rev
         self.history.join(name, int(head.value["n"]), revs, max(head.rev, *revs.values()))
         log.info("event=joined history=%s seconds=%.1f", name, time.monotonic() - self.since)
         self._rejoin()
-        core.routines.spawn(LateEvidence(core, self.history).add(late))
+        ports.routines.spawn(LateEvidence(ports, self.history).add(late))
 
     def _rejoin(self) -> None:
         """Read the records anew, and wait for an epoch that began under this history."""
-        core = self.core
-        core.membership.epoch = Epoch(core.membership.epoch.number, {}, 0)
-        core.membership.serving = False
+        ports = self.ports
+        ports.membership.epoch = Epoch(ports.membership.epoch.number, {}, 0)
+        ports.membership.serving = False
         # Without a revision until its record has been seen under this history: none of them
         # is worked on, or answered for, before that.
-        core.jobs.live = {name: (job, 0) for name, (job, _) in core.jobs.live.items()}
-        core.membership.rescan = True
-        core.routines.signal("members")
-        core.routines.signal("lease")
+        ports.jobs.live = {name: (job, 0) for name, (job, _) in ports.jobs.live.items()}
+        ports.membership.rescan = True
+        ports.routines.signal("members")
+        ports.routines.signal("lease")
 
     def _own(self) -> Evidence:
-        found = evidence.gather(self.core, self.loaded)
+        found = evidence.gather(self.ports, self.loaded)
         found.remembered = self.remembered
         return found
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -3,40 +3,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import TYPE_CHECKING
-
-from clayport.jobs.registry import JobRegistry
-from clayport.leases.cancellations import CancellationWatermark, Promises
-from clayport.machines.table import MachineTable
-from clayport.membership.stalls import StallDetector
-from clayport.membership.state import MembershipState
-from clayport.rebuild.support import RebuildSupport
-from clayport.records.store import Lookups, StateStore
-from clayport.records.upgrade import UpgradeState
-from clayport.routines import Routines
-from clayport.scaling.provisioning import Arrivals
-from clayport.scheduling.queueing import JobQueue
-from clayport.scheduling.urgency import SchedulingObjectives
-from clayport.settings import Settings
-from clayport.transport.peers import Peer
-
-if TYPE_CHECKING:
-    from clayport.membership.failover import Failover
-    from clayport.membership.transition import EpochTransition
-    from clayport.scheduling.placer import Placer
-
 import logging
 import time
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Iterable, Mapping
+from typing import Any, Protocol
 
 import curio
 import msgspec
 
+from clayport.jobs.registry import JobRegistry
+from clayport.leases.cancellations import CancellationWatermark, Promises
 from clayport.limits import Deadline
+from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
+from clayport.membership.stalls import StallDetector
+from clayport.membership.state import MembershipState
 from clayport.model import Job
+from clayport.rebuild.support import RebuildSupport
+from clayport.records.chunk import Chunk
 from clayport.records.formats import FORMAT, PROMISES_FORMAT
 from clayport.records.keys import (
     CLASS_PREFIX,
@@ -52,12 +36,21 @@
     Change,
     CompactedError,
     ConflictError,
+    Lookups,
     OutcomeUnknownError,
+    StateStore,
     Txn,
     UnavailableError,
 )
+from clayport.records.upgrade import UpgradeState
 from clayport.records.values import parse_end
+from clayport.routines import Routines
+from clayport.scaling.provisioning import Arrivals
+from clayport.scheduling.queueing import JobQueue
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.settings import Settings
 from clayport.transport import frames, peers
+from clayport.transport.peers import Peer
 
 log = logging.getLogger(__name__)
 
@@ -69,6 +62,30 @@
 MAX_REMEMBERED_CLASSES = 100
 
 
+class EpochListener(Protocol):
+    """Acts on a new epoch."""
+
+    def begin(self, epoch: Epoch) -> None:
+        """Act under the epoch from now on."""
+        ...
+
+
+class JobListener(Protocol):
+    """Is told of accepted jobs, since what keeps work off machines depends on them."""
+
+    def learn(self, job: Job) -> None:
+        """A job has been accepted."""
+        ...
+
+
+class JobLeader(Protocol):
+    """Schedules the jobs that are this controller's."""
+
+    def lead(self, job: Job, rev: int, chunks: dict[tuple[int, int], Chunk], ended: str) -> None:
+        """Become the leader of a job."""
+        ...
+
+
 class RecordReplica:
     """The routines that keep the controller's cached state of the records."""
 
@@ -114,7 +131,9 @@
         self.unresolved_ends: dict[str, tuple[float, int]] = {}
         self.telling: dict[tuple[str, str], None] = {}  # peers that are being told, of what
 
-    def connect(self, *, failover: Failover, placer: Placer, transition: EpochTransition) -> None:
+    def connect(
+        self, *, failover: JobLeader, placer: JobListener, transition: EpochListener
+    ) -> None:
         """Set the parts that are built later than this one."""
         self.failover = failover
         self.placer = placer
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -2,45 +2,31 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import TYPE_CHECKING
-
-from clayport.jobs.registry import JobRegistry
-from clayport.machines.fleet import Fleet
-from clayport.machines.table import MachineTable
-from clayport.membership.state import MembershipState
-from clayport.records.store import StateStore
-from clayport.records.upgrade import UpgradeState
-from clayport.routines import Routines
-from clayport.scaling.catalogue import Catalogue
-from clayport.scheduling.cached_state import CachedState
-from clayport.scheduling.queueing import JobQueue
-from clayport.scheduling.quotas import TeamQuotas
-from clayport.scheduling.urgency import SchedulingObjectives
-from clayport.scheduling.view import ClusterView
-from clayport.settings import Settings
-from clayport.transport.peers import Peer
-
-if TYPE_CHECKING:
-    from clayport.jobs.dispatcher import Dispatcher
-
 import itertools
 import logging
 import math
 import time
-from collections.abc import Callable, Collection, Iterable, Iterator
+from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
 from functools import partial
 from heapq import heappop, heappush
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 import curio
 
 from clayport.jobs.managed_job import ManagedJob, amounts
+from clayport.jobs.registry import JobRegistry
+from clayport.machines.fleet import Fleet
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
 from clayport.records.keys import is_anchor
-from clayport.records.store import OutcomeUnknownError, UnavailableError
+from clayport.records.store import OutcomeUnknownError, StateStore, UnavailableError
+from clayport.records.upgrade import UpgradeState
 from clayport.records.values import parse_quota
+from clayport.routines import Routines
+from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.provisioning import Demand
+from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.index import Index
 from clayport.scheduling.objectives import Objectives
 from clayport.scheduling.placement import (
@@ -54,11 +40,14 @@
     shape,
     takes,
 )
-from clayport.scheduling.queueing import Group, Shares
+from clayport.scheduling.queueing import Group, JobQueue, Shares
 from clayport.scheduling.queueing.shares import Name, Owed, names, names_of
-from clayport.settings import Team
+from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings, Team
 from clayport.transport import frames
-from clayport.transport.peers import PeerError
+from clayport.transport.peers import Peer, PeerError
 
 log = logging.getLogger(__name__)
 
@@ -157,6 +146,15 @@
     )
 
 
+class TransactionBounds(Protocol):
+    """Knows how much one transaction may change."""
+
+    @property
+    def start_chunks(self) -> int:
+        """Chunks that a transaction of starts may change, beside the quota."""
+        ...
+
+
 class Placer:
     """Order, room made for others, and the starts that homes are to carry out."""
 
@@ -212,7 +210,7 @@
         # like any other (within its share).
         self.long_s = 20 * settings.cluster.workers.lease_s
 
-    def connect(self, *, dispatcher: Dispatcher) -> None:
+    def connect(self, *, dispatcher: TransactionBounds) -> None:
         """Set the parts that are built later than this one."""
         self.dispatcher = dispatcher
 
