--- a/clayport/rebuild/support.py
+++ b/clayport/rebuild/support.py
@@ -4,19 +4,53 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
+from clayport.limits import Deadline
+from clayport.rebuild.history import History
 from clayport.records.formats import PROMISES_FORMAT
 from clayport.routines import Routines
 
-if TYPE_CHECKING:
-    from clayport.rebuild.recovery import Recovery
-
 log = logging.getLogger(__name__)
 
+
+class Recorder(Protocol):
+    """Keeps snapshots of the records on a disk."""
+
+    async def run(self) -> None:
+        """Write what changes, for as long as the process runs."""
+
+
+class Recovery(Protocol):
+    """The recovery of records (`rebuild.recovery.Recovery`), as the other parts see it."""
+
+    @property
+    def history(self) -> History:
+        """The history that the records belong to."""
+        ...
+
+    @property
+    def recorder(self) -> Recorder | None:
+        """Where a directory for snapshots was given."""
+        ...
+
+    async def run(self) -> None:
+        """Look after the records, for as long as the process runs."""
+
+    async def second(self, rev: int, deadline: Deadline) -> None:
+        """Wait until a second place has what was committed at the revision."""
+
+    def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+        """Answer what a peer asks of the history or the evidence."""
+        ...
+
+    def note_head(self, value: Any) -> None:
+        """The records say which history they belong to."""
+
+
 # Makes the recovery of records, given a directory for snapshots and whether a second copy of
 # each accepted job is waited for.
-RecoveryFactory = Callable[[str, bool], "Recovery"]
+RecoveryFactory = Callable[[str, bool], Recovery]
 
 
 class RebuildSupport:
