--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-import importlib
 import re
 from pathlib import Path
-from typing import Any
 
 import pytest
 
+from tests.code_names import resolve
+
 PAGE = Path(__file__).parent.parent / "docs" / "glossary.md"
 ROWS = [
     [cell.strip() for cell in line.strip("|").split("|")]
@@ -18,19 +18,6 @@
 NAMED = sorted({name for row in ROWS for name in re.findall(r"`([\w.]+)`", row[2])})
 
 
-def resolve(name: str) -> Any:
-    """The module, or what stands in it; a field of a structure counts by its annotation."""
-    parts = name.split(".")
-    found: Any = importlib.import_module(f"clayport.{parts[0]}")
-    for number, part in enumerate(parts[1:], 2):
-        if part in getattr(found, "__annotations__", {}):
-            return found.__annotations__[part]
-        if not hasattr(found, part):
-            importlib.import_module("clayport." + ".".join(parts[:number]))
-        found = getattr(found, part)
-    return found
-
-
 def test_each_concept_stands_once() -> None:
     terms = [row[0] for row in ROWS]
     assert len(terms) > 50 and len(set(terms)) == len(terms)
