--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -8,10 +8,11 @@
 
 import pytest
 
-from clayport.leases import cancellations
-from clayport.leases.cancellations import MAX_MISSED_CANCELLATIONS, CancellationWatermark, Promises
+from clayport.leases import watermark
+from clayport.leases.promises import MAX_MISSED_CANCELLATIONS, Promises
+from clayport.leases.watermark import CancellationWatermark
 
-FOR_S = 10.0
+DURATION_S = 10.0
 DRIFT = 1.008  # the teller's clock runs so much faster than the other's: more than any may
 
 
@@ -31,11 +32,11 @@
     def begin_teller(self) -> None:
         self.incarnation += 1
         self.aware: set[str] = set()  # of these the one that tells knows
-        self.teller = Promises(["renewer"], FOR_S, self.now * DRIFT)
+        self.teller = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
     def begin_renewer(self) -> None:
         self.known.clear()
-        self.watermark = CancellationWatermark(["teller"], FOR_S)
+        self.watermark = CancellationWatermark(["teller"], DURATION_S)
 
     def commit(self) -> None:
         self.jobs += 1
@@ -136,15 +137,15 @@
 def a_new_one_has_promised_nothing(patch: pytest.MonkeyPatch) -> None:
     before = Promises.__init__
 
-    def init(self: Any, peers: Any, for_s: float, now: float) -> None:
-        before(self, peers, for_s, now - for_s)
+    def init(self: Any, peers: Any, duration_s: float, now: float) -> None:
+        before(self, peers, duration_s, now - duration_s)
 
     patch.setattr(Promises, "__init__", init)
 
 
 def it_promises_whatever_was_told(patch: pytest.MonkeyPatch) -> None:
     def promise(self: Any, peer: str, now: float) -> bool:
-        self.until[peer] = now + self.for_s
+        self.expires_at[peer] = now + self.duration_s
         return True
 
     patch.setattr(Promises, "promise", promise)
@@ -165,7 +166,7 @@
 
 def promises_count_without_the_records(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        CancellationWatermark, "known", lambda self: max(self.state_at, *self.until.values())
+        CancellationWatermark, "known", lambda self: max(self.state_at, *self.valid_until.values())
     )
 
 
@@ -179,7 +180,7 @@
 
 
 def clocks_do_not_drift(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cancellations, "PROMISE_CERTAINTY", 1.0)
+    patch.setattr(watermark, "PROMISE_CERTAINTY", 1.0)
 
 
 def a_revision_that_is_not_known_is_any(patch: pytest.MonkeyPatch) -> None:
@@ -209,7 +210,7 @@
 
 def test_who_hears_us_but_is_not_heard_keeps_no_user_waiting_for_ever() -> None:
     """Its heartbeats had the promise renewed again and again, and nobody was ever told."""
-    promises = Promises(["a", "b"], FOR_S, 0.0)
+    promises = Promises(["a", "b"], DURATION_S, 0.0)
     assert all(promises.promise(p, 20.0) for p in "ab")
     promises.acknowledge("a", "j-1")
     assert not promises.tell("j-1", 21.0)
@@ -224,11 +225,11 @@
 
 
 def test_what_one_that_is_away_has_missed_is_bounded() -> None:
-    promises = Promises(["a"], FOR_S, 0.0)
+    promises = Promises(["a"], DURATION_S, 0.0)
     for number in range(MAX_MISSED_CANCELLATIONS + 5):
         promises.ended(f"j-{number}", number + 1)
         assert promises.tell(f"j-{number}", 50.0)
-    assert len(promises.missed["a"]) == MAX_MISSED_CANCELLATIONS
+    assert len(promises.unacknowledged["a"]) == MAX_MISSED_CANCELLATIONS
     for number in range(5, MAX_MISSED_CANCELLATIONS + 5):
         promises.acknowledge("a", f"j-{number}")
     assert not promises.promise("a", 51.0)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -390,7 +390,7 @@
     ):
         c.watermark.state_at = read
         for label in c.peers:
-            c.watermark.until[label] = -1e9
+            c.watermark.valid_until[label] = -1e9
             c.watermark.promised(label, "a", promised, promised)
         assert ask() == status, (now - read, now - promised)
 
