--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -1,9 +1,11 @@
-"""Jobs that wait for others: what is ready, what is cancelled with another, and how urgent
-each job is for what needs it. Pure: no I/O, no clock; times are the caller's.
+"""The graph of jobs that depend on others: what is ready, what is cancelled, what is urgent.
 
-A job is ready once the final record of every job that it names says `done`, and doomed
-once one of them, or of those that they name, says `cancelled`. Final records never change,
-so neither is ever taken back.
+A job is ready once the final record of every prerequisite (each job that it names) says `done`.
+It is doomed, that is to be cancelled, once the final record of a prerequisite, or of one of
+theirs, says `cancelled`. Final records never change, so neither is ever taken back.
+
+A job inherits the urgency (priority and due time) of the jobs that depend on it. There is no
+I/O and no clock here; times are seconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -11,189 +13,243 @@
 import math
 from collections import OrderedDict
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
 from clayport.model import RANKS, Job
 
-NAMES = {rank: name for name, rank in RANKS.items()}
-# Ended jobs whose end is remembered for those that name them later.
+PRIORITY_NAMES = {rank: name for name, rank in RANKS.items()}
+# Ended jobs whose end is remembered for jobs that name them later.
 MAX_REMEMBERED_ENDS = 5_000
+# A bound on the steps of one propagation of urgency, for each live job.
+MAX_STEPS_PER_JOB = 10
 
 
 class DependencyNode:
-    """A live job in its pipelines."""
+    """A live job in the graph.
+
+    Attributes:
+        job: The job as submitted.
+        submitted: When it was.
+        needs: The prerequisites that are not known to be done.
+        ready: When the last prerequisite was done, as far as known.
+        due_at: When the job has to end, for itself or for the jobs that depend on it.
+        rank: The highest rank of the job and of those that depend on it.
+    """
 
-    __slots__ = ("due", "job", "needs", "rank", "ready", "submitted")
+    __slots__ = ("due_at", "job", "needs", "rank", "ready", "submitted")
 
     def __init__(self, job: Job, submitted: float) -> None:
         self.job, self.submitted = job, submitted
-        self.needs: set[str] = set()  # prereqs not yet known to be done
-        self.ready = submitted  # when the last of them was done, as far as known
-        self.due = math.inf if job.deadline_s is None else submitted + job.deadline_s
+        self.needs: set[str] = set()
+        self.ready = submitted
+        self.reset_urgency()
+
+    def reset_urgency(self) -> None:
+        """Set the urgency to the job's own, without what it inherits."""
+        job = self.job
+        self.due_at = math.inf if job.deadline_s is None else self.submitted + job.deadline_s
         self.rank = job.rank
 
 
+class EndEffects(NamedTuple):
+    """What the end of a job means for the others."""
+
+    ready: list[str]  # may start now
+    to_cancel: list[str]  # can't run any more
+    urgency_changed: set[str]
+
+
 class DependencyGraph:
     """The live jobs and what they wait for.
 
-    `aside_s` is what a job takes besides its run and its image: to be placed, to be told
-    of. An event costs work for the jobs that it touches and for what they need, never for
-    all jobs.
+    An event costs work for the jobs that it touches and for their prerequisites, never for all
+    jobs.
+
+    Attributes:
+        nodes: The live jobs by id.
+        dependents: The live jobs that name a job, by that job's id.
+        ends: Status and time of the latest ended jobs, by id.
+        doomed: The live jobs that are to be cancelled.
+        missing: Prerequisites of live jobs of which nothing is known here (a set in order).
     """
 
-    def __init__(self, fetch_gb_per_s: float, aside_s: float) -> None:
-        self.fetch_gb_per_s, self.aside_s = fetch_gb_per_s, aside_s
+    def __init__(self, fetch_gb_per_s: float, overhead_s: float) -> None:
+        """Begin with no jobs.
+
+        Args:
+            fetch_gb_per_s: How fast images are fetched.
+            overhead_s: What a job takes besides its run and its image: to be placed, and for
+                its end to be reported.
+        """
+        self.fetch_gb_per_s, self.overhead_s = fetch_gb_per_s, overhead_s
         self.nodes: dict[str, DependencyNode] = {}
-        # Live jobs by the jobs that they name.
         self.dependents: dict[str, set[str]] = {}
         self.ends: OrderedDict[str, tuple[str, float]] = OrderedDict()
         self.doomed: set[str] = set()
-        # Jobs that others wait for and of which nothing is known here.
         self.missing: dict[str, None] = {}
 
-    def takes(self, job: Job) -> float:
-        """How long a job is expected to take once it is ready."""
-        return job.estimate_s + job.image_gb / self.fetch_gb_per_s + self.aside_s
+    def expected_duration_s(self, job: Job) -> float:
+        """Return how long a job is expected to take once it is ready."""
+        return job.estimate_s + job.image_gb / self.fetch_gb_per_s + self.overhead_s
 
     def add(self, job: Job, submitted: float) -> set[str]:
-        """A job is accepted; the jobs that have become more urgent by it."""
+        """Add an accepted job; return the jobs that have become more urgent by it."""
         if job.id in self.nodes or job.id in self.ends:
             return set()
         node = self.nodes[job.id] = DependencyNode(job, submitted)
         self.missing.pop(job.id, None)
-        for name in dict.fromkeys(job.prereqs or ()):
-            status, at = self.ends.get(name, ("", 0.0))
-            self.dependents.setdefault(name, set()).add(job.id)
+        for prerequisite in dict.fromkeys(job.prereqs or ()):
+            status, ended_at = self.ends.get(prerequisite, ("", 0.0))
+            self.dependents.setdefault(prerequisite, set()).add(job.id)
             if status == "done":
-                node.ready = max(node.ready, at)
+                node.ready = max(node.ready, ended_at)
             else:
-                node.needs.add(name)
-                if not status and name not in self.nodes:
-                    self.missing[name] = None
-                if status or name in self.doomed:
+                node.needs.add(prerequisite)
+                if not status and prerequisite not in self.nodes:
+                    self.missing[prerequisite] = None
+                if status or prerequisite in self.doomed:
                     self.doomed.add(job.id)
         changed: set[str] = set()
-        # Known before what it needs, or before what needs it: they come in any order.
-        for follower in self.dependents.get(job.id, ()):
-            if follower in self.nodes:
-                self._raise(node, self.nodes[follower])
+        # Jobs become known in any order, so there may be dependents already.
+        for dependent in self.dependents.get(job.id, ()):
+            if dependent in self.nodes:
+                self._inherit(node, self.nodes[dependent])
                 if job.id in self.doomed:
-                    self._doom(follower)
-        self._up(job.id, changed)
+                    self._doom(dependent)
+        self._propagate_urgency(job.id, changed)
         return changed
 
-    def _raise(self, node: DependencyNode, follower: DependencyNode) -> bool:
-        """What a follower asks of a job that it needs; whether that changes anything."""
-        due = min(node.due, follower.due - self.takes(follower.job))
-        rank = max(node.rank, follower.rank)
-        changed = (due, rank) != (node.due, node.rank)
-        node.due, node.rank = due, rank
+    def _inherit(self, node: DependencyNode, dependent: DependencyNode) -> bool:
+        """Raise a job's urgency by that of a dependent; return whether it has changed."""
+        due_at = min(node.due_at, dependent.due_at - self.expected_duration_s(dependent.job))
+        rank = max(node.rank, dependent.rank)
+        changed = (due_at, rank) != (node.due_at, node.rank)
+        node.due_at, node.rank = due_at, rank
         return changed
 
-    def _up(self, name: str, changed: set[str]) -> None:
-        """Hand a job's urgency to all that it needs."""
+    def _propagate_urgency(self, name: str, changed: set[str]) -> None:
+        """Raise the urgency of all prerequisites of a job; add those changed to `changed`."""
         todo, steps = [name], 0
         while todo:
             # Records that named each other in a ring, which no user can make, would
             # otherwise raise each other for ever.
             steps += 1
-            if steps > 10 * len(self.nodes):
+            if steps > MAX_STEPS_PER_JOB * len(self.nodes):
                 return
-            follower = self.nodes[todo.pop()]
-            for need in follower.needs:
-                node = self.nodes.get(need)
-                if node is not None and self._raise(node, follower):
-                    changed.add(need)
-                    todo.append(need)
-
-    def _down(self, names: Iterable[str], changed: set[str]) -> None:
-        """Urgency anew, after a follower has gone."""
+            dependent = self.nodes[todo.pop()]
+            for prerequisite in dependent.needs:
+                node = self.nodes.get(prerequisite)
+                if node is not None and self._inherit(node, dependent):
+                    changed.add(prerequisite)
+                    todo.append(prerequisite)
+
+    def _recompute_urgency(self, names: Iterable[str], changed: set[str]) -> None:
+        """Compute the urgency of jobs that have lost a dependent, and of their prerequisites.
+
+        Adds those whose urgency has changed to `changed`.
+        """
         todo, steps = list(names), 0
         while todo:
             steps += 1
-            if steps > 10 * len(self.nodes):
+            if steps > MAX_STEPS_PER_JOB * len(self.nodes):
                 return
             node = self.nodes.get(todo.pop())
             if node is None:
                 continue
-            before, own = (node.due, node.rank), DependencyNode(node.job, node.submitted)
-            node.due, node.rank = own.due, own.rank
-            for follower in self.dependents.get(node.job.id, ()):
-                if follower in self.nodes:
-                    self._raise(node, self.nodes[follower])
-            if (node.due, node.rank) != before:
+            before = (node.due_at, node.rank)
+            node.reset_urgency()
+            for dependent in self.dependents.get(node.job.id, ()):
+                if dependent in self.nodes:
+                    self._inherit(node, self.nodes[dependent])
+            if (node.due_at, node.rank) != before:
                 changed.add(node.job.id)
                 todo += node.needs
 
     def _doom(self, name: str) -> list[str]:
-        """A job is to be cancelled, and all live ones that need it."""
-        found, todo = [], [name]
+        """Mark a job and all live jobs that depend on it; return those newly marked."""
+        marked, todo = [], [name]
         while todo:
             job = todo.pop()
             if job in self.nodes and job not in self.doomed:
                 self.doomed.add(job)
-                found.append(job)
+                marked.append(job)
                 todo += self.dependents.get(job, ())
-        return found
+        return marked
 
-    def end(self, name: str, status: str, at: float) -> tuple[list[str], list[str], set[str]]:
-        """A job is over: those that are ready now, those that are to be cancelled with it,
-        and those whose urgency has changed."""
+    def end(self, name: str, status: str, at: float) -> EndEffects:
+        """Record that a job has ended with a status; return what that means for the others.
+
+        Further ends of the same job have no effect.
+        """
         if name in self.ends:
-            return [], [], set()
+            return EndEffects([], [], set())
         self.ends[name] = (status, at)
         while len(self.ends) > MAX_REMEMBERED_ENDS:
             self.ends.popitem(last=False)
         node = self.nodes.pop(name, None)
         self.missing.pop(name, None)
         self.doomed.discard(name)
+        effects = self._end_for_dependents(name, status, at)
+        if node is not None:
+            self._forget_as_dependent(node)
+            self._recompute_urgency(node.needs, effects.urgency_changed)
+        return effects
+
+    def _end_for_dependents(self, name: str, status: str, at: float) -> EndEffects:
         ready: list[str] = []
         doomed: list[str] = []
-        for follower in sorted(self.dependents.get(name, ())):
-            waiting = self.nodes.get(follower)
-            if waiting is None or name not in waiting.needs:
+        for dependent in sorted(self.dependents.get(name, ())):
+            node = self.nodes.get(dependent)
+            if node is None or name not in node.needs:
                 continue
             if status != "done":
-                doomed += self._doom(follower)
+                doomed += self._doom(dependent)
                 continue
-            waiting.needs.discard(name)
-            waiting.ready = max(waiting.ready, at)
-            if not waiting.needs:
-                ready.append(follower)
-        changed: set[str] = set(ready)
-        if node is not None:
-            for need in dict.fromkeys(node.job.prereqs or ()):
-                self.dependents.get(need, set()).discard(name)
-                if not self.dependents.get(need):
-                    self.dependents.pop(need, None)
-                    self.missing.pop(need, None)
-            self._down(node.needs, changed)
-        return ready, doomed, changed
+            node.needs.discard(name)
+            node.ready = max(node.ready, at)
+            if not node.needs:
+                ready.append(dependent)
+        return EndEffects(ready, doomed, set(ready))
+
+    def _forget_as_dependent(self, node: DependencyNode) -> None:
+        name = node.job.id
+        for prerequisite in dict.fromkeys(node.job.prereqs or ()):
+            self.dependents.get(prerequisite, set()).discard(name)
+            if not self.dependents.get(prerequisite):
+                self.dependents.pop(prerequisite, None)
+                self.missing.pop(prerequisite, None)
 
     def waiting(self, name: str) -> bool:
-        """Whether a live job must not start yet."""
+        """Return whether a live job must not start yet."""
         node = self.nodes.get(name)
         return node is not None and bool(node.needs)
 
     def own_rank(self, job: Job) -> int:
-        """The rank that its user gave it."""
+        """Return the rank that the job's user gave it, without what it inherits."""
         node = self.nodes.get(job.id)
         return node.job.rank if node is not None else job.rank
 
     def view(self, name: str, limits: dict[str, float]) -> Job:
-        """The job as it is to be scheduled: with the rank of all that need it, and with the
-        time that they leave it, counted from when it was ready."""
+        """Return a live job as it is to be scheduled, with the urgency that it inherits.
+
+        Its deadline is the time that its dependents leave it, counted from when it was ready.
+
+        Args:
+            name: The job's id.
+            limits: The time within which jobs of a class are to finish, in seconds.
+        """
         node = self.nodes[name]
         job = node.job
-        if node.due == math.inf and node.rank == job.rank:
+        if node.due_at == math.inf and node.rank == job.rank:
             return job
-        left = None if node.due == math.inf else node.due - node.ready
-        if left is not None and job.deadline_s is None and job.job_class in limits:
-            left = min(left, limits[job.job_class])
+        deadline_s = None if node.due_at == math.inf else node.due_at - node.ready
+        if deadline_s is not None and job.deadline_s is None and job.job_class in limits:
+            deadline_s = min(deadline_s, limits[job.job_class])
         return msgspec.structs.replace(
             job,
-            priority=NAMES[node.rank],
-            deadline_s=left,
-            without_objective=job.without_objective and left is None,
+            priority=PRIORITY_NAMES[node.rank],
+            deadline_s=deadline_s,
+            without_objective=job.without_objective and deadline_s is None,
         )
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -140,7 +140,7 @@
     dependencies = DependencyGraph(1.0, 0.0)
     dependencies.add(made(1, 2, due_s=9.0), 0.0)
     dependencies.add(made(2, 1), 0.0)
-    assert math.isfinite(dependencies.nodes[name(2)].due)
+    assert math.isfinite(dependencies.nodes[name(2)].due_at)
 
 
 # -- what users may name -----------------------------------------------------
