--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -1,4 +1,8 @@
-"""Signals between the routines of one process, and short-lived routines."""
+"""Signals between the routines of one process, and short-lived routines.
+
+A routine is a coroutine that runs as a task of curio; the word keeps it apart from the tasks
+of jobs.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +16,16 @@
 
 
 class Routines:
-    """Named signals and routines to be started, collected by code that does no I/O.
+    """Signals to be set and routines to be started, recorded by code that does no I/O.
+
+    `signal` and `spawn` only record what is to be done, and may be called from synchronous
+    code; `flush` carries it out. Both are kept in order, so that a simulated day repeats
+    exactly.
 
-    `signal` and `spawn` only record what is to be done; `flush` carries it out. Both are kept
-    in order, so that a simulated day repeats exactly.
+    Attributes:
+        events: The event of each signal that was set or waited for, by the signal's name.
+        signalled: The signals to be set at the next flush (a set in order).
+        coros: The coroutines to be started at the next flush.
     """
 
     def __init__(self) -> None:
@@ -24,15 +34,18 @@
         self.coros: list[Coroutine[Any, Any, Any]] = []
 
     def signal(self, name: str) -> None:
-        """Wake the routine that waits for `name`, at the next flush."""
+        """Set the signal `name` at the next flush."""
         self.signalled[name] = None
 
     def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
-        """Start a short-lived routine at the next flush."""
+        """Start a short-lived routine at the next flush.
+
+        An exception that it raises is logged and goes no further.
+        """
         self.coros.append(coro)
 
     async def flush(self) -> None:
-        """Start the routines and set the signals recorded so far."""
+        """Start the routines and set the signals recorded, also while this goes on."""
         while self.coros or self.signalled:
             coros, self.coros = self.coros, []
             signalled, self.signalled = self.signalled, {}
@@ -42,7 +55,11 @@
                 await self._event(name).set()
 
     async def wait(self, name: str, timeout_s: float | None = None) -> None:
-        """Wait until `name` is signalled, or for `timeout_s` seconds at most."""
+        """Flush, then wait until `name` is signalled, or for `timeout_s` seconds at most.
+
+        A signal wakes all that wait for its name; one that is set while none does ends the
+        next wait at once.
+        """
         await self.flush()
         event = self._event(name)
         if timeout_s is None:
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -15,29 +15,29 @@
         (96, 4, 10.0),  # between the thresholds: left alone
         (97, 3, 10.0),  # exactly 3 %: left alone
         (98, 2, 11.0),  # below 3 %: grows
-        (4, 1, 10.0),  # one refusal of five attempts: too few to judge
+        (4, 1, 10.0),  # one declined of five attempts: too few to judge
     ],
 )
 def test_step(placed: int, declined: int, expected: float) -> None:
-    asc = AdaptiveInterval(10.0, 1.0, 60.0)
-    asc.count(placed, declined)
-    assert asc.step() == pytest.approx(expected)
+    interval = AdaptiveInterval(10.0, 1.0, 60.0)
+    interval.count(placed, declined)
+    assert interval.step() == pytest.approx(expected)
 
 
 def test_bounds() -> None:
-    asc = AdaptiveInterval(10.0, 1.0, 60.0)
+    interval = AdaptiveInterval(10.0, 1.0, 60.0)
     for _ in range(10):
-        asc.count(0, 100)
-        asc.step()
-    assert asc.interval == 1.0
+        interval.count(0, 100)
+        interval.step()
+    assert interval.interval == 1.0
     for _ in range(100):
-        asc.step()
-    assert asc.interval == 60.0
+        interval.step()
+    assert interval.interval == 60.0
 
 
 def test_sparse_window_is_carried_over() -> None:
-    asc = AdaptiveInterval(10.0, 1.0, 60.0)
+    interval = AdaptiveInterval(10.0, 1.0, 60.0)
     for _ in range(4):
-        asc.count(4, 1)
-        asc.step()
-    assert asc.interval == 5.0
+        interval.count(4, 1)
+        interval.step()
+    assert interval.interval == 5.0
