--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -1,8 +1,8 @@
 """The graph of jobs that depend on others: what is ready, what is cancelled, what is urgent.
 
 A job is ready once the final record of every prerequisite (each job that it names) says `done`.
-It is doomed, that is to be cancelled, once the final record of a prerequisite, or of one of
-theirs, says `cancelled`. Final records never change, so neither is ever taken back.
+It is to be cancelled once the final record of a prerequisite, or of one of theirs, says
+`cancelled`. Final records never change, so neither is ever taken back.
 
 A job inherits the urgency (priority and due time) of the jobs that depend on it. There is no
 I/O and no clock here; times are seconds of the caller's clock.
@@ -72,7 +72,7 @@
         dependents: The live jobs that name a job, by that job's id.
         ends: Status and time of the latest ended jobs, by id.
         doomed: The live jobs that are to be cancelled.
-        missing: Prerequisites of live jobs of which nothing is known here (a set in order).
+        missing: Prerequisites of live jobs that are not known here (a set in order).
     """
 
     def __init__(self, fetch_gb_per_s: float, overhead_s: float) -> None:
@@ -117,7 +117,7 @@
             if dependent in self.nodes:
                 self._inherit(node, self.nodes[dependent])
                 if job.id in self.doomed:
-                    self._doom(dependent)
+                    self._mark_to_cancel(dependent)
         self._propagate_urgency(job.id, changed)
         return changed
 
@@ -167,7 +167,7 @@
                 changed.add(node.job.id)
                 todo += node.needs
 
-    def _doom(self, name: str) -> list[str]:
+    def _mark_to_cancel(self, name: str) -> list[str]:
         """Mark a job and all live jobs that depend on it; return those newly marked."""
         marked, todo = [], [name]
         while todo:
@@ -199,19 +199,19 @@
 
     def _end_for_dependents(self, name: str, status: str, at: float) -> EndEffects:
         ready: list[str] = []
-        doomed: list[str] = []
+        to_cancel: list[str] = []
         for dependent in sorted(self.dependents.get(name, ())):
             node = self.nodes.get(dependent)
             if node is None or name not in node.needs:
                 continue
             if status != "done":
-                doomed += self._doom(dependent)
+                to_cancel += self._mark_to_cancel(dependent)
                 continue
             node.needs.discard(name)
             node.ready = max(node.ready, at)
             if not node.needs:
                 ready.append(dependent)
-        return EndEffects(ready, doomed, set(ready))
+        return EndEffects(ready, to_cancel, set(ready))
 
     def _forget_as_dependent(self, node: DependencyNode) -> None:
         name = node.job.id
