--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -13,25 +13,28 @@
 from clayport.leases.watermark import CancellationWatermark
 
 DURATION_S = 10.0
-DRIFT = 1.008  # the teller's clock runs so much faster than the other's: more than any may
+DRIFT = 1.008  # the teller's clock runs faster than the other's by more than clocks may
 
 
-class Meeting:
-    """One that tells users, one that renews leases, each of which may end and begin anew,
-    the records, and messages that are lost or late. Told and known are kept by true time."""
+class Simulation:
+    """A controller that tells users and one that renews leases, each of which may restart.
+
+    Between them are the records, and messages that are lost or late. When users were told and
+    what the renewer knows is kept by true time.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.jobs = rng, 1000.0, 0
         self.committed: list[str] = []
-        self.told: dict[str, float] = {}
-        self.known: set[str] = set()  # of these the one that renews knows
+        self.told: dict[str, float] = {}  # when users were told of a job's cancellation
+        self.known: set[str] = set()  # the jobs whose cancellation the renewer knows
         self.incarnation = self.acks = 0
         self.begin_teller()
         self.begin_renewer()
 
     def begin_teller(self) -> None:
         self.incarnation += 1
-        self.aware: set[str] = set()  # of these the one that tells knows
+        self.aware: set[str] = set()  # the jobs whose cancellation the teller knows
         self.teller = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
     def begin_renewer(self) -> None:
@@ -51,8 +54,8 @@
             self.aware.add(job)
             self.teller.ended(job, self.rng.choice((0, int(job[2:]))))
 
-    def word(self) -> None:
-        """The peer is told of a job and says that it knows."""
+    def acknowledge(self) -> None:
+        """The renewer hears of a job's end; its acknowledgement may be lost."""
         if self.aware:
             job = self.rng.choice(sorted(self.aware))
             self.known.add(job)
@@ -83,7 +86,7 @@
 
     @property
     def seen(self) -> int:
-        """Up to which revision the one that renews knows all."""
+        """The revision up to which the renewer knows all cancellations."""
         count = 0
         while count < len(self.committed) and self.committed[count] in self.known:
             count += 1
@@ -93,10 +96,10 @@
         self.now += self.rng.choice((0.2, 1.0, 4.0, 9.8, 9.95, 10.0, 15.0))
 
     def step(self) -> None:
-        what: list[Callable[[], None]] = [
+        actions: list[Callable[[], None]] = [
             self.commit,
             self.look_up,
-            self.word,
+            self.acknowledge,
             self.tell,
             self.beat,
             self.beat,
@@ -104,34 +107,34 @@
             self.wait,
         ]
         if self.rng.random() < 0.15:
-            what = [self.begin_teller, self.begin_renewer]
-        self.rng.choice(what)()
+            actions = [self.begin_teller, self.begin_renewer]
+        self.rng.choice(actions)()
         if self.rng.random() < 0.3:
             self.tell()
 
     @property
     def holds(self) -> bool:
-        """Who counts on knowing all until a moment knows all that was told before it."""
+        """Whether the renewer knows all that users were told of before its watermark."""
         return all(
             job in self.known for job, at in self.told.items() if at < self.watermark.known()
         )
 
 
-def broken(days: int) -> int:
-    """In how many days something was told unknown to who counts on knowing it."""
-    found = 0
-    for seed in range(days):
-        meeting = Meeting(random.Random(seed))
+def count_violations(runs: int) -> int:
+    """In how many runs a user was told of what the renewer counts on knowing and does not."""
+    violations = 0
+    for seed in range(runs):
+        simulation = Simulation(random.Random(seed))
         for _ in range(60):
-            meeting.step()
-            if not meeting.holds:
-                found += 1
+            simulation.step()
+            if not simulation.holds:
+                violations += 1
                 break
-    return found
+    return violations
 
 
 def test_nobody_renews_leases_unaware_of_what_users_were_told() -> None:
-    assert broken(4000) == 0
+    assert count_violations(4000) == 0
 
 
 def a_new_one_has_promised_nothing(patch: pytest.MonkeyPatch) -> None:
@@ -205,7 +208,7 @@
     monkeypatch: pytest.MonkeyPatch, part: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     part(monkeypatch)
-    assert broken(4000) > 0
+    assert count_violations(4000) > 0
 
 
 def test_who_hears_us_but_is_not_heard_keeps_no_user_waiting_for_ever() -> None:
