--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -8,34 +8,38 @@
 
 import pytest
 
-from clayport.leases import cancellations
-from clayport.leases.cancellations import MAX_MISSED_CANCELLATIONS, CancellationWatermark, Promises
+from clayport.leases import watermark
+from clayport.leases.promises import MAX_MISSED_CANCELLATIONS, Promises
+from clayport.leases.watermark import CancellationWatermark
 
-FOR_S = 10.0
-DRIFT = 1.008  # the teller's clock runs so much faster than the other's: more than any may
+DURATION_S = 10.0
+DRIFT = 1.008  # the teller's clock runs faster than the other's by more than clocks may
 
 
-class Meeting:
-    """One that tells users, one that renews leases, each of which may end and begin anew,
-    the records, and messages that are lost or late. Told and known are kept by true time."""
+class Simulation:
+    """A controller that tells users and one that renews leases, each of which may restart.
+
+    Between them are the records, and messages that are lost or late. When users were told and
+    what the renewer knows is kept by true time.
+    """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.jobs = rng, 1000.0, 0
         self.committed: list[str] = []
-        self.told: dict[str, float] = {}
-        self.known: set[str] = set()  # of these the one that renews knows
+        self.told: dict[str, float] = {}  # when users were told of a job's cancellation
+        self.known: set[str] = set()  # the jobs whose cancellation the renewer knows
         self.incarnation = self.acks = 0
         self.begin_teller()
         self.begin_renewer()
 
     def begin_teller(self) -> None:
         self.incarnation += 1
-        self.aware: set[str] = set()  # of these the one that tells knows
-        self.teller = Promises(["renewer"], FOR_S, self.now * DRIFT)
+        self.aware: set[str] = set()  # the jobs whose cancellation the teller knows
+        self.teller = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
     def begin_renewer(self) -> None:
         self.known.clear()
-        self.watermark = CancellationWatermark(["teller"], FOR_S)
+        self.watermark = CancellationWatermark(["teller"], DURATION_S)
 
     def commit(self) -> None:
         self.jobs += 1
@@ -50,8 +54,8 @@
             self.aware.add(job)
             self.teller.ended(job, self.rng.choice((0, int(job[2:]))))
 
-    def word(self) -> None:
-        """The peer is told of a job and says that it knows."""
+    def acknowledge(self) -> None:
+        """The renewer hears of a job's end; its acknowledgement may be lost."""
         if self.aware:
             job = self.rng.choice(sorted(self.aware))
             self.known.add(job)
@@ -82,7 +86,7 @@
 
     @property
     def seen(self) -> int:
-        """Up to which revision the one that renews knows all."""
+        """The revision up to which the renewer knows all cancellations."""
         count = 0
         while count < len(self.committed) and self.committed[count] in self.known:
             count += 1
@@ -92,10 +96,10 @@
         self.now += self.rng.choice((0.2, 1.0, 4.0, 9.8, 9.95, 10.0, 15.0))
 
     def step(self) -> None:
-        what: list[Callable[[], None]] = [
+        actions: list[Callable[[], None]] = [
             self.commit,
             self.look_up,
-            self.word,
+            self.acknowledge,
             self.tell,
             self.beat,
             self.beat,
@@ -103,48 +107,48 @@
             self.wait,
         ]
         if self.rng.random() < 0.15:
-            what = [self.begin_teller, self.begin_renewer]
-        self.rng.choice(what)()
+            actions = [self.begin_teller, self.begin_renewer]
+        self.rng.choice(actions)()
         if self.rng.random() < 0.3:
             self.tell()
 
     @property
     def holds(self) -> bool:
-        """Who counts on knowing all until a moment knows all that was told before it."""
+        """Whether the renewer knows all that users were told of before its watermark."""
         return all(
             job in self.known for job, at in self.told.items() if at < self.watermark.known()
         )
 
 
-def broken(days: int) -> int:
-    """In how many days something was told unknown to who counts on knowing it."""
-    found = 0
-    for seed in range(days):
-        meeting = Meeting(random.Random(seed))
+def count_violations(runs: int) -> int:
+    """In how many runs a user was told of what the renewer counts on knowing and does not."""
+    violations = 0
+    for seed in range(runs):
+        simulation = Simulation(random.Random(seed))
         for _ in range(60):
-            meeting.step()
-            if not meeting.holds:
-                found += 1
+            simulation.step()
+            if not simulation.holds:
+                violations += 1
                 break
-    return found
+    return violations
 
 
 def test_nobody_renews_leases_unaware_of_what_users_were_told() -> None:
-    assert broken(4000) == 0
+    assert count_violations(4000) == 0
 
 
 def a_new_one_has_promised_nothing(patch: pytest.MonkeyPatch) -> None:
     before = Promises.__init__
 
-    def init(self: Any, peers: Any, for_s: float, now: float) -> None:
-        before(self, peers, for_s, now - for_s)
+    def init(self: Any, peers: Any, duration_s: float, now: float) -> None:
+        before(self, peers, duration_s, now - duration_s)
 
     patch.setattr(Promises, "__init__", init)
 
 
 def it_promises_whatever_was_told(patch: pytest.MonkeyPatch) -> None:
     def promise(self: Any, peer: str, now: float) -> bool:
-        self.until[peer] = now + self.for_s
+        self.expires_at[peer] = now + self.duration_s
         return True
 
     patch.setattr(Promises, "promise", promise)
@@ -165,7 +169,7 @@
 
 def promises_count_without_the_records(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        CancellationWatermark, "known", lambda self: max(self.state_at, *self.until.values())
+        CancellationWatermark, "known", lambda self: max(self.state_at, *self.valid_until.values())
     )
 
 
@@ -179,7 +183,7 @@
 
 
 def clocks_do_not_drift(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(cancellations, "PROMISE_CERTAINTY", 1.0)
+    patch.setattr(watermark, "PROMISE_CERTAINTY", 1.0)
 
 
 def a_revision_that_is_not_known_is_any(patch: pytest.MonkeyPatch) -> None:
@@ -204,12 +208,12 @@
     monkeypatch: pytest.MonkeyPatch, part: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
     part(monkeypatch)
-    assert broken(4000) > 0
+    assert count_violations(4000) > 0
 
 
 def test_who_hears_us_but_is_not_heard_keeps_no_user_waiting_for_ever() -> None:
     """Its heartbeats had the promise renewed again and again, and nobody was ever told."""
-    promises = Promises(["a", "b"], FOR_S, 0.0)
+    promises = Promises(["a", "b"], DURATION_S, 0.0)
     assert all(promises.promise(p, 20.0) for p in "ab")
     promises.acknowledge("a", "j-1")
     assert not promises.tell("j-1", 21.0)
@@ -224,11 +228,11 @@
 
 
 def test_what_one_that_is_away_has_missed_is_bounded() -> None:
-    promises = Promises(["a"], FOR_S, 0.0)
+    promises = Promises(["a"], DURATION_S, 0.0)
     for number in range(MAX_MISSED_CANCELLATIONS + 5):
         promises.ended(f"j-{number}", number + 1)
         assert promises.tell(f"j-{number}", 50.0)
-    assert len(promises.missed["a"]) == MAX_MISSED_CANCELLATIONS
+    assert len(promises.unacknowledged["a"]) == MAX_MISSED_CANCELLATIONS
     for number in range(5, MAX_MISSED_CANCELLATIONS + 5):
         promises.acknowledge("a", f"j-{number}")
     assert not promises.promise("a", 51.0)
