--- a/bench/capacity/fixtures.py
+++ b/bench/capacity/fixtures.py
@@ -18,7 +18,7 @@
     """One that serves alone and may renew leases: its records are always just read."""
     core = passes.controller()
     core.membership.serving = core.membership.records_loaded = True
-    core.watermark.known = time.monotonic  # type: ignore[method-assign]
+    core.watermark.known_until = time.monotonic  # type: ignore[method-assign]
     return core
 
 
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -13,7 +13,8 @@
 
 from bench import passes, placement
 from clayport.controller import Controller
-from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.leases.promises import Promises
+from clayport.leases.watermark import CancellationWatermark
 from clayport.membership.epoch import Epoch
 from clayport.transport import frames
 from clayport.transport.peers import Peer
@@ -161,11 +162,11 @@
         labels = [f"host-{number}" for number in range(controllers)]
         watermark = CancellationWatermark(labels, 15.0)
         for label in labels:
-            watermark.promised(label, "x", 1.0, 1.0)
-        watermark.read(2.0)
+            watermark.note_promise(label, "x", 1.0, 1.0)
+        watermark.note_records_read(2.0)
         found[f"may_renew.{controllers}_controllers.seconds"] = repeated(
             lambda watermark=watermark: spent(
-                lambda: [watermark.known() for _ in range(3000)], 3000
+                lambda: [watermark.known_until() for _ in range(3000)], 3000
             )
         )
     return found
@@ -194,7 +195,7 @@
     numbers = (
         number
         for number in itertools.count()
-        if owner.epoch.place(f"i-{number:06d}") == owner.label
+        if owner.epoch.member_for(f"i-{number:06d}") == owner.label
     )
     return [fixtures.Reporter(owner, number, 8) for number in itertools.islice(numbers, count)]
 
@@ -296,7 +297,7 @@
         make(core, number)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    for routine in core.routines.coros:
+    for routine in core.routines.coroutines:
         routine.close()
     return held / units
 
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -93,9 +93,9 @@
         managed.again.clear()
         managed.cursor = 0
     core.cached_state.inflight.clear()
-    for coro in core.routines.coros:
+    for coro in core.routines.coroutines:
         coro.close()
-    core.routines.coros.clear()
+    core.routines.coroutines.clear()
     core.routines.signalled.clear()
     return took
 
--- a/bench/rebuild.py
+++ b/bench/rebuild.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from clayport.membership.epoch import rendezvous
+from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
 from clayport.rebuild import files
 from clayport.rebuild.evidence import Evidence, only_news, pack, unpack
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -17,8 +17,9 @@
 
 from clayport.jobs.dispatcher import Dispatcher
 from clayport.jobs.registry import JobRegistry
-from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.leases.promises import Promises
 from clayport.leases.renewal import LeaseRenewal
+from clayport.leases.watermark import CancellationWatermark
 from clayport.machines.fencing import MachineFencing
 from clayport.machines.fleet import Fleet
 from clayport.machines.removal import MachineRemoval
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -168,7 +168,7 @@
         if self.upgrade.complete and managed.narrow(self.upgrade.chunk_size) or managed.wide:
             await self._move(managed)
             return True
-        if not managed.ended and managed.job.id in self.jobs.dependencies.doomed:
+        if not managed.ended and managed.job.id in self.jobs.dependencies.to_cancel:
             await self._cancel(managed)
             return True
         if managed.starts:
@@ -392,7 +392,7 @@
     def _by_owner(self, items: Iterable[tuple[Any, ...]]) -> dict[str, list[tuple[Any, ...]]]:
         found: dict[str, list[tuple[Any, ...]]] = {}
         for item in items:
-            found.setdefault(self.membership.epoch.place(item[0]), []).append(item)
+            found.setdefault(self.membership.epoch.member_for(item[0]), []).append(item)
         return found
 
     async def _charge(self, job: Job, count: int) -> dict[str, tuple[dict[str, float], int]] | None:
--- a/clayport/leases/promises.py
+++ b/clayport/leases/promises.py
@@ -48,7 +48,7 @@
         self.disclosed: dict[str, None] = {}
         self.waiting_since: dict[str, float] = {}
 
-    def ended(self, job: str, rev: int) -> None:
+    def note_end(self, job: str, rev: int) -> None:
         """Record the revision of a cancelled job's final record; 0 if it is not known."""
         if rev:
             self._note(self.end_revs, job, float(rev))
@@ -59,10 +59,10 @@
             if job not in self.acknowledged_by:
                 self._note(self.acknowledged_by, job, set())
             self.acknowledged_by[job].add(peer)
-            if not self.lacking(job):
+            if not self.unacknowledged_peers(job):
                 self.waiting_since.pop(job, None)
 
-    def seen(self, peer: str, rev: int) -> None:
+    def note_records_read(self, peer: str, rev: int) -> None:
         """Record that the peer has read the records up to the revision."""
         unacknowledged = self.unacknowledged[peer]
         for job in [job for job, end_rev in unacknowledged.items() if end_rev <= rev]:
@@ -70,7 +70,7 @@
         if self.required_rev[peer] <= rev:
             self.required_rev[peer] = 0.0
 
-    def promise(self, peer: str, now: float) -> bool:
+    def renew(self, peer: str, now: float) -> bool:
         """Renew the promise to the peer, if it may be renewed; return whether it was.
 
         It may not while the peer lacks a cancellation that users were told of, nor when a user
@@ -90,27 +90,29 @@
         self.expires_at[peer] = now + self.duration_s
         return True
 
-    def owed(self, peer: str) -> list[str]:
+    def unacknowledged_jobs(self, peer: str) -> list[str]:
         """Return the jobs that the peer has to acknowledge before its promise is renewed."""
         return [
             *self.unacknowledged[peer],
             *(job for job in self.waiting_since if peer not in self.acknowledged_by.get(job, ())),
         ]
 
-    def lacking(self, job: str) -> list[str]:
+    def unacknowledged_peers(self, job: str) -> list[str]:
         """Return the peers that have not acknowledged the job's end."""
         acknowledged_by = self.acknowledged_by.get(job, ())
         return [peer for peer in self.expires_at if peer not in acknowledged_by]
 
-    def wait_s(self, job: str, now: float) -> float:
+    def disclosure_delay_s(self, job: str, now: float) -> float:
         """Return for how long the user of a job may not be told yet, unless more peers
         acknowledge its end.
 
         For jobs that nobody was told of; 0 or less means that users may be told now.
         """
-        return max((self.expires_at[peer] - now for peer in self.lacking(job)), default=0.0)
+        return max(
+            (self.expires_at[peer] - now for peer in self.unacknowledged_peers(job)), default=0.0
+        )
 
-    def tell(self, job: str, now: float) -> bool:
+    def try_disclose(self, job: str, now: float) -> bool:
         """Return whether users may be told that the job is cancelled, and record it if so.
 
         Once they may, they always may: a peer that has not acknowledged the job's end holds no
@@ -118,11 +120,11 @@
         """
         if job in self.disclosed:
             return True
-        if self.wait_s(job, now) > 0:
+        if self.disclosure_delay_s(job, now) > 0:
             if job not in self.waiting_since:
                 self._note(self.waiting_since, job, now)
             return False
-        for peer in self.lacking(job):
+        for peer in self.unacknowledged_peers(job):
             unacknowledged = self.unacknowledged[peer]
             if len(unacknowledged) >= MAX_MISSED_CANCELLATIONS:
                 oldest = next(iter(unacknowledged))
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Mapping
 
-from clayport.leases.cancellations import CancellationWatermark
+from clayport.leases.watermark import CancellationWatermark
 from clayport.membership.state import MembershipState
 from clayport.records.store import StateStore
 from clayport.settings import WorkerSettings
@@ -74,4 +74,4 @@
         """
         if self.state_lost(now) and self.superseded(now):
             return False
-        return now - self.watermark.known() < self.renewing_s
+        return now - self.watermark.known_until() < self.renewing_s
--- a/clayport/leases/watermark.py
+++ b/clayport/leases/watermark.py
@@ -17,10 +17,10 @@
 
     Attributes:
         duration_s: How long a promise is counted on.
-        state_at: When the records were read that are known here; they may be newer.
+        records_read_at: When the records were read that are known here; they may be newer.
         valid_until: By peer, until when its promises are counted on.
         incarnations: By peer, the process that last promised.
-        asked_at: By peer, when the request was sent that its last promise answered.
+        promise_requested_at: By peer, when the request was sent that its last promise answered.
         required_read_at: By peer, the moment after which the records must have been read for
             its promises to count.
     """
@@ -28,17 +28,17 @@
     def __init__(self, peers: Iterable[str], duration_s: float) -> None:
         """Begin without any knowledge; `duration_s` is the promises' duration at their givers."""
         self.duration_s = duration_s * PROMISE_CERTAINTY
-        self.state_at = -math.inf
+        self.records_read_at = -math.inf
         self.valid_until = dict.fromkeys(peers, -math.inf)
         self.incarnations = dict.fromkeys(self.valid_until, "")
-        self.asked_at = dict.fromkeys(self.valid_until, -math.inf)
+        self.promise_requested_at = dict.fromkeys(self.valid_until, -math.inf)
         self.required_read_at = dict.fromkeys(self.valid_until, math.inf)
 
-    def read(self, at: float) -> None:
+    def note_records_read(self, at: float) -> None:
         """Record that all that was committed before the moment is known here."""
-        self.state_at = max(self.state_at, at)
+        self.records_read_at = max(self.records_read_at, at)
 
-    def promised(self, peer: str, incarnation: str, sent: float, received: float) -> None:
+    def note_promise(self, peer: str, incarnation: str, sent: float, received: float) -> None:
         """Record the promise that a peer's process has given in answer to a request.
 
         No cancellation unknown here was disclosed if the promise before still holds, or if the
@@ -54,15 +54,15 @@
         """
         if received > self.valid_until[peer] and incarnation != self.incarnations[peer]:
             self.required_read_at[peer] = received
-        self.incarnations[peer], self.asked_at[peer] = incarnation, sent
+        self.incarnations[peer], self.promise_requested_at[peer] = incarnation, sent
         self.valid_until[peer] = max(self.valid_until[peer], sent + self.duration_s)
 
-    def known(self) -> float:
+    def known_until(self) -> float:
         """Return the moment up to which every cancellation that a user was told of is known."""
         # Clocks advance in steps: records read at the very moment required may have been read
         # before it, so the two being equal is not enough.
-        if self.state_at == -math.inf or any(
-            self.state_at <= required for required in self.required_read_at.values()
+        if self.records_read_at == -math.inf or any(
+            self.records_read_at <= required for required in self.required_read_at.values()
         ):
-            return self.state_at
-        return max(self.state_at, min(self.valid_until.values(), default=math.inf))
+            return self.records_read_at
+        return max(self.records_read_at, min(self.valid_until.values(), default=math.inf))
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -14,8 +14,8 @@
 
 from clayport.jobs.managed_job import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
 from clayport.jobs.registry import JobRegistry
-from clayport.leases.cancellations import CancellationWatermark
 from clayport.leases.renewal import LeaseRenewal
+from clayport.leases.watermark import CancellationWatermark
 from clayport.machines.fencing import MachineFencing
 from clayport.machines.routing import Routing
 from clayport.machines.table import GONE, MAX_COMMANDS, Key, Machine, MachineTable
@@ -182,13 +182,13 @@
     def _before_us(self, report: WorkerHeartbeat) -> bool:
         epoch, number = self.membership.epoch, report.token >> TOKEN_COUNTER_BITS
         return number < epoch.number or (
-            number == epoch.number and epoch.place(report.machine) == self.membership.label
+            number == epoch.number and epoch.member_for(report.machine) == self.membership.label
         )
 
     async def _report(self, report: WorkerHeartbeat, body: bytes) -> tuple[int, dict[str, Any]]:
         now = time.monotonic()
         epoch = self.membership.epoch
-        owner = epoch.place(report.machine)
+        owner = epoch.member_for(report.machine)
         if self.renewal.superseded(now) and self.renewal.state_lost(now):
             return 421, {}
         if not self.renewal.may_renew(now):
@@ -234,7 +234,7 @@
         return (
             epoch is self.membership.epoch
             and bool(named and heard and named != heard)
-            and watermark.asked_at[owner] > self.membership.epoch_started_at
+            and watermark.promise_requested_at[owner] > self.membership.epoch_started_at
         )
 
     def _unsure(self, report: WorkerHeartbeat) -> bool:
@@ -372,7 +372,7 @@
     # -- telling homes ---------------------------------------------------
 
     def emit(self, job: str, event: Told) -> None:
-        leader = self.membership.epoch.place(job)
+        leader = self.membership.epoch.member_for(job)
         box = self.outboxes.setdefault(leader, OrderedDict())
         box[event[:3]] = event
         self.routines.signal(f"outbox {leader}")
@@ -481,7 +481,7 @@
 
     async def _movable(self, m: Machine, key: Key, job: Job, drain: bool) -> bool:
         number = split_task(key[0])[1]
-        leader = self.membership.epoch.place(job.id)
+        leader = self.membership.epoch.member_for(job.id)
         if leader == self.membership.label:
             return self.placer.movable(job.id, number, m.name, drain)
         try:
--- a/clayport/machines/routing.py
+++ b/clayport/machines/routing.py
@@ -52,7 +52,7 @@
     async def ask_owner(self, kind: int, machine: str, *more: bool) -> bool:
         """Send DRAIN or EVACUATE for a machine; whether its owner has agreed."""
         epoch = self.membership.epoch
-        owner = epoch.place(machine)
+        owner = epoch.member_for(machine)
         if owner == self.membership.label:
             return (
                 self.machines.drain(machine)
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -133,7 +133,7 @@
         take work again at once; that they are settled is not.
         """
         self.epoch = epoch
-        for name in [n for n in self.machines if epoch.place(n) != me]:
+        for name in [n for n in self.machines if epoch.member_for(n) != me]:
             del self.machines[name]
         for m in self.machines.values():
             m.token = epoch.first_token + 1
--- a/clayport/membership/epoch.py
+++ b/clayport/membership/epoch.py
@@ -11,21 +11,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from clayport.membership.flap_damping import FlapDamping
-from clayport.membership.isolation import should_leave
 from clayport.membership.rendezvous import rendezvous
 
-__all__ = [
-    "NO_EPOCH",
-    "TOKEN_COUNTER_BITS",
-    "Epoch",
-    "FlapDamping",
-    "may_propose",
-    "rendezvous",
-    "should_leave",
-    "successor",
-]
-
 # A token is the epoch's number above the owner's own counter for the machine.
 TOKEN_COUNTER_BITS = 24
 # Keys (jobs and machines) of which an epoch remembers the member.
@@ -68,7 +55,7 @@
         """The least fencing token of this epoch; the machines' counters are added to it."""
         return self.number << TOKEN_COUNTER_BITS
 
-    def place(self, key: str) -> str:
+    def member_for(self, key: str) -> str:
         """Return the member that a job (its home) or a machine (its owner) belongs to.
 
         Args:
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -102,7 +102,11 @@
         if self.membership.epoch is not epoch or self.rebuild.in_doubt:
             return
         for job, (desc, rev) in self.jobs.live.items():
-            if rev and epoch.place(job) == self.membership.label and job not in share.unreadable:
+            if (
+                rev
+                and epoch.member_for(job) == self.membership.label
+                and job not in share.unreadable
+            ):
                 self.lead(desc, rev, share.chunks.get(job, {}), "")
         for job, (desc, status) in orphans.items():
             self.jobs.ended_descriptions[job] = desc
@@ -121,7 +125,7 @@
                 continue
             try:
                 job, size, index = parse_chunk_key(entry.key)
-                if epoch.place(job) == self.membership.label:
+                if epoch.member_for(job) == self.membership.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
                     share.chunks.setdefault(job, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
@@ -168,8 +172,8 @@
         managed.load_all(chunks)
         node = self.jobs.dependencies.nodes.get(job.id)
         if node is not None:
-            managed.blocked = bool(node.needs)
-            managed.since = node.ready
+            managed.blocked = bool(node.unfinished_prerequisites)
+            managed.since = node.ready_at
         self.jobs.managed[job.id] = managed
         self.queue.touch(job.id)
         self.routines.spawn(self.dispatcher.drive(managed))
--- a/clayport/membership/flap_damping.py
+++ b/clayport/membership/flap_damping.py
@@ -32,7 +32,7 @@
         self.window_s, self.pause_s, self.max_pause_s = window_s, pause_s, max_pause_s
         self.last_incarnations: dict[str, str] = {}
         self.restarts: dict[str, list[float]] = {}  # the times of those within the window
-        self.until: dict[str, float] = {}  # when the pause ends
+        self.paused_until: dict[str, float] = {}  # when the pause ends
 
     def observe(self, present: Mapping[str, str], now: float) -> list[str]:
         """Record the incarnations of those present; return who is left out from now on."""
@@ -46,7 +46,9 @@
             self.restarts[label] = [*recent, now]
             doublings = len(recent) - RESTARTS_WITHOUT_PAUSE
             if doublings >= 0:
-                self.until[label] = now + min(self.max_pause_s, self.pause_s * 2.0**doublings)
+                self.paused_until[label] = now + min(
+                    self.max_pause_s, self.pause_s * 2.0**doublings
+                )
                 left_out.append(label)
         return left_out
 
@@ -61,6 +63,6 @@
         admitted = {
             label: incarnation
             for label, incarnation in present.items()
-            if members.get(label) == incarnation or now >= self.until.get(label, now)
+            if members.get(label) == incarnation or now >= self.paused_until.get(label, now)
         }
         return admitted or dict(present)
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -9,10 +9,11 @@
 
 import curio
 
-from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.leases.promises import Promises
 from clayport.leases.renewal import LeaseRenewal
+from clayport.leases.watermark import CancellationWatermark
 from clayport.machines.table import MachineTable
-from clayport.membership.epoch import should_leave
+from clayport.membership.isolation import should_leave
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
 from clayport.records.replica import RecordReplica
@@ -88,7 +89,7 @@
                 frames.BEAT, (*fields, self.membership.incarnation, self.record_replica.known_rev)
             )
             if promised and label == peer.label:
-                self.watermark.promised(label, incarnation, sent, time.monotonic())
+                self.watermark.note_promise(label, incarnation, sent, time.monotonic())
         if label == peer.label:
             self._heard(peer, number, state_ok, room_rev)
 
@@ -167,8 +168,8 @@
         Returns:
             Whether it is promised; not while it lacks a cancellation that was told already.
         """
-        self.promises.seen(label, known_rev)
-        if self.promises.promise(label, now):
+        self.promises.note_records_read(label, known_rev)
+        if self.promises.renew(label, now):
             return True
         self.record_replica.resend_cancellations(label)
         return False
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -7,7 +7,8 @@
 
 import curio
 
-from clayport.membership.epoch import Epoch, FlapDamping, may_propose, successor
+from clayport.membership.epoch import Epoch, may_propose, successor
+from clayport.membership.flap_damping import FlapDamping
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
 from clayport.rebuild.support import RebuildSupport
@@ -148,7 +149,9 @@
         now = time.monotonic()
         for label in self.flap_damping.observe(self.membership.present, now):
             log.info(
-                "event=left-out label=%s seconds=%.1f", label, self.flap_damping.until[label] - now
+                "event=left-out label=%s seconds=%.1f",
+                label,
+                self.flap_damping.paused_until[label] - now,
             )
         if not may_propose(
             self.membership.label, self.membership.epoch.members, self.membership.present
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -168,7 +168,7 @@
             return frames.REPORTED, (400, b"{}")
         if (
             not self._is_current(epoch)
-            or self.membership.epoch.place(report.machine) != self.membership.label
+            or self.membership.epoch.member_for(report.machine) != self.membership.label
             or not self.renewal.may_renew(now)
         ):
             return frames.REPORTED, (503, b"{}")
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -61,7 +61,7 @@
         node = ports.jobs.dependencies.nodes.get(name)
         found.live[name] = (
             msgspec.to_builtins(node.job if node else job),
-            round(day - (now - node.submitted), 3) if node else day,
+            round(day - (now - node.submitted_at), 3) if node else day,
         )
     for name, status in ports.jobs.ended.items():
         at = ports.jobs.dependencies.ends.get(name, ("", 0.0))[1]
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from clayport.jobs.managed_job import ManagedJob, amounts, counts
-from clayport.membership.epoch import rendezvous
+from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
 from clayport.rebuild.evidence import Evidence, Task, split
 from clayport.rebuild.history import is_anchor
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -12,7 +12,8 @@
 import msgspec
 
 from clayport.jobs.registry import JobRegistry
-from clayport.leases.cancellations import CancellationWatermark, Promises
+from clayport.leases.promises import Promises
+from clayport.leases.watermark import CancellationWatermark
 from clayport.limits import Deadline
 from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
@@ -243,7 +244,9 @@
     def _read(self, asked_at: float, rev: int) -> None:
         """All changes up to the revision have come, in answer to what was asked then."""
         self.seen = rev
-        self.watermark.read(next(iter(self.unresolved_ends.values()), (asked_at, rev))[0])
+        self.watermark.note_records_read(
+            next(iter(self.unresolved_ends.values()), (asked_at, rev))[0]
+        )
 
     @property
     def known_rev(self) -> int:
@@ -312,12 +315,12 @@
             return
         changed = self.jobs.dependencies.add(job, submitted)
         self.jobs.live[job.id] = (
-            self.jobs.dependencies.view(job.id, self.objectives.finish_limits),
+            self.jobs.dependencies.effective_job(job.id, self.objectives.finish_limits),
             rev,
         )
         self.placer.learn(self.jobs.live[job.id][0])
         self._review(changed)
-        if self.jobs.dependencies.waiting(job.id):
+        if self.jobs.dependencies.is_waiting(job.id):
             self.routines.signal("prereqs")
         elif self.membership.records_loaded:
             self.arrivals.note(job, time.monotonic())
@@ -332,7 +335,7 @@
             self.routines.spawn(self._remember(job))
         if (
             self.membership.serving
-            and self.membership.epoch.place(job.id) == self.membership.label
+            and self.membership.epoch.member_for(job.id) == self.membership.label
             and job.id not in self.jobs.managed
         ):
             self.failover.lead(self.jobs.live[job.id][0], rev, {}, "")
@@ -342,7 +345,7 @@
         """Jobs whose urgency has changed, by what needs them."""
         for name in changed:
             if name in self.jobs.live:
-                job = self.jobs.dependencies.view(name, self.objectives.finish_limits)
+                job = self.jobs.dependencies.effective_job(name, self.objectives.finish_limits)
                 self.jobs.live[name] = (job, self.jobs.live[name][1])
                 managed = self.jobs.managed.get(name)
                 if managed is not None:
@@ -357,7 +360,7 @@
             self.arrivals.note(job, time.monotonic())
         managed = self.jobs.managed.get(name)
         if managed is not None and not managed.ended:
-            managed.since = self.jobs.dependencies.nodes[name].ready
+            managed.since = self.jobs.dependencies.nodes[name].ready_at
             managed.blocked = False
             self.queue.touch(name)
             log.info("job=%s event=ready", name)
@@ -374,11 +377,11 @@
                 "prereqs",
                 self.routines.jitter(
                     self.membership.lease_ttl_s / 4
-                    if self.jobs.dependencies.missing
+                    if self.jobs.dependencies.unknown_prerequisites
                     else 2 * self.membership.lease_ttl_s
                 ),
             )
-            for name in list(self.jobs.dependencies.missing):
+            for name in list(self.jobs.dependencies.unknown_prerequisites):
                 if name in self.jobs.ended:
                     self._end_of(name, self.jobs.ended[name], time.monotonic())
                     continue
@@ -410,7 +413,7 @@
             need
             for name, managed in self.jobs.managed.items()
             if managed.blocked and name in self.jobs.dependencies.nodes
-            for need in self.jobs.dependencies.nodes[name].needs
+            for need in self.jobs.dependencies.nodes[name].unfinished_prerequisites
         }
 
     async def _remember(self, job: Job) -> None:
@@ -426,7 +429,7 @@
 
     def _gone_live(self, job: str) -> None:
         if job in self.jobs.live and job not in self.jobs.ended:
-            self.unresolved_ends.setdefault(job, (self.watermark.state_at, self.known_rev))
+            self.unresolved_ends.setdefault(job, (self.watermark.records_read_at, self.known_rev))
             self.routines.spawn(self.learn(job))
 
     async def learn(self, job: str) -> None:
@@ -470,7 +473,7 @@
     def note_end(self, job: str, status: str, at: float | None = None, rev: int = 0) -> None:
         """A job is over, as committed (at that time of day, with that revision)."""
         if status == "cancelled":
-            self.promises.ended(job, rev)
+            self.promises.note_end(job, rev)
         self._end_of(job, status, self.since(at))
         self.jobs.ended[job] = status
         while len(self.jobs.ended) > MAX_ENDED_JOBS:
@@ -490,7 +493,7 @@
 
     def tell_cancelled(self, job: str) -> None:
         """Have all peers acknowledge a cancellation that they don't know of yet."""
-        for label in self.promises.lacking(job):
+        for label in self.promises.unacknowledged_peers(job):
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
                 self.routines.spawn(self._tell_cancelled(label, job))
@@ -513,13 +516,13 @@
             self.telling.pop((label, job), None)
 
     async def announced(self, job: str, deadline: Deadline) -> None:
-        """Until users may be told that a job is cancelled (`cancellations`); UnavailableError if
+        """Until users may be told that a job is cancelled (`leases.promises`); UnavailableError if
         that isn't in time."""
         name = f"told {job}"
-        while not self.promises.tell(job, time.monotonic()):
+        while not self.promises.try_disclose(job, time.monotonic()):
             self.tell_cancelled(job)
             now = time.monotonic()
-            wait_s = self.promises.wait_s(job, now)
+            wait_s = self.promises.disclosure_delay_s(job, now)
             if not deadline.allows(now):
                 self.routines.events.pop(name, None)
                 raise UnavailableError("not everybody knows of it yet", wait_s)
@@ -539,7 +542,7 @@
 
     def resend_cancellations(self, label: str) -> None:
         """A peer is heard again that was not told of everything."""
-        for job in self.promises.owed(label)[:RESEND_BATCH]:
+        for job in self.promises.unacknowledged_jobs(label)[:RESEND_BATCH]:
             if (label, job) not in self.telling:
                 self.telling[label, job] = None
                 self.routines.spawn(self._tell_cancelled(label, job))
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -26,7 +26,7 @@
     Attributes:
         events: The event of each signal that was set or waited for, by the signal's name.
         signalled: The signals to be set at the next flush (a set in order).
-        coros: The coroutines to be started at the next flush.
+        coroutines: The coroutines to be started at the next flush.
     """
 
     def __init__(self, rng: random.Random, duty_pause_s: float) -> None:
@@ -34,7 +34,7 @@
         self.duty_pause_s = duty_pause_s
         self.events: dict[str, curio.Event] = {}
         self.signalled: dict[str, None] = {}
-        self.coros: list[Coroutine[Any, Any, Any]] = []
+        self.coroutines: list[Coroutine[Any, Any, Any]] = []
 
     def signal(self, name: str) -> None:
         """Set the signal `name` at the next flush."""
@@ -45,12 +45,12 @@
 
         An exception that it raises is logged and goes no further.
         """
-        self.coros.append(coro)
+        self.coroutines.append(coro)
 
     async def flush(self) -> None:
         """Start the routines and set the signals recorded, also while this goes on."""
-        while self.coros or self.signalled:
-            coros, self.coros = self.coros, []
+        while self.coroutines or self.signalled:
+            coros, self.coroutines = self.coroutines, []
             signalled, self.signalled = self.signalled, {}
             for coro in coros:
                 await curio.spawn(self._guard(coro), daemon=True)
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -221,13 +221,13 @@
 
     async def refresh(self) -> None:
         """The adaptive refresh; a lasting shortage also looks when a peer's table changed."""
-        due = time.monotonic() + self.adaptive_interval.interval
+        due = time.monotonic() + self.adaptive_interval.interval_s
         looked = -math.inf
         # Between two looks for want of room: what machines report in between comes together.
-        apart_s = max(self.adaptive_interval.least, self.settings.cluster.workers.report_s) / 2
+        apart_s = max(self.adaptive_interval.min_s, self.settings.cluster.workers.report_s) / 2
         while True:
             await self.routines.wait(
-                "starved", min(self.adaptive_interval.least, max(0.01, due - time.monotonic()))
+                "starved", min(self.adaptive_interval.min_s, max(0.01, due - time.monotonic()))
             )
             if not self.membership.serving:
                 continue
--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -31,25 +31,25 @@
 
     Attributes:
         job: The job as submitted.
-        submitted: When it was.
-        needs: The prerequisites that are not known to be done.
-        ready: When the last prerequisite was done, as far as known.
+        submitted_at: When it was.
+        unfinished_prerequisites: The prerequisites that are not known to be done.
+        ready_at: When the last prerequisite was done, as far as known.
         due_at: When the job has to end, for itself or for the jobs that depend on it.
         rank: The highest rank of the job and of those that depend on it.
     """
 
-    __slots__ = ("due_at", "job", "needs", "rank", "ready", "submitted")
+    __slots__ = ("due_at", "job", "rank", "ready_at", "submitted_at", "unfinished_prerequisites")
 
     def __init__(self, job: Job, submitted: float) -> None:
-        self.job, self.submitted = job, submitted
-        self.needs: set[str] = set()
-        self.ready = submitted
+        self.job, self.submitted_at = job, submitted
+        self.unfinished_prerequisites: set[str] = set()
+        self.ready_at = submitted
         self.reset_urgency()
 
     def reset_urgency(self) -> None:
         """Set the urgency to the job's own, without what it inherits."""
         job = self.job
-        self.due_at = math.inf if job.deadline_s is None else self.submitted + job.deadline_s
+        self.due_at = math.inf if job.deadline_s is None else self.submitted_at + job.deadline_s
         self.rank = job.rank
 
 
@@ -71,8 +71,8 @@
         nodes: The live jobs by id.
         dependents: The live jobs that name a job, by that job's id.
         ends: Status and time of the latest ended jobs, by id.
-        doomed: The live jobs that are to be cancelled.
-        missing: Prerequisites of live jobs that are not known here (a set in order).
+        to_cancel: The live jobs that are to be cancelled.
+        unknown_prerequisites: Prerequisites of live jobs that are not known here (a set in order).
     """
 
     def __init__(self, fetch_gb_per_s: float, overhead_s: float) -> None:
@@ -87,8 +87,8 @@
         self.nodes: dict[str, DependencyNode] = {}
         self.dependents: dict[str, set[str]] = {}
         self.ends: OrderedDict[str, tuple[str, float]] = OrderedDict()
-        self.doomed: set[str] = set()
-        self.missing: dict[str, None] = {}
+        self.to_cancel: set[str] = set()
+        self.unknown_prerequisites: dict[str, None] = {}
 
     def expected_duration_s(self, job: Job) -> float:
         """Return how long a job is expected to take once it is ready."""
@@ -99,24 +99,24 @@
         if job.id in self.nodes or job.id in self.ends:
             return set()
         node = self.nodes[job.id] = DependencyNode(job, submitted)
-        self.missing.pop(job.id, None)
+        self.unknown_prerequisites.pop(job.id, None)
         for prerequisite in dict.fromkeys(job.prereqs or ()):
             status, ended_at = self.ends.get(prerequisite, ("", 0.0))
             self.dependents.setdefault(prerequisite, set()).add(job.id)
             if status == "done":
-                node.ready = max(node.ready, ended_at)
+                node.ready_at = max(node.ready_at, ended_at)
             else:
-                node.needs.add(prerequisite)
+                node.unfinished_prerequisites.add(prerequisite)
                 if not status and prerequisite not in self.nodes:
-                    self.missing[prerequisite] = None
-                if status or prerequisite in self.doomed:
-                    self.doomed.add(job.id)
+                    self.unknown_prerequisites[prerequisite] = None
+                if status or prerequisite in self.to_cancel:
+                    self.to_cancel.add(job.id)
         changed: set[str] = set()
         # Jobs become known in any order, so there may be dependents already.
         for dependent in self.dependents.get(job.id, ()):
             if dependent in self.nodes:
                 self._inherit(node, self.nodes[dependent])
-                if job.id in self.doomed:
+                if job.id in self.to_cancel:
                     self._mark_to_cancel(dependent)
         self._propagate_urgency(job.id, changed)
         return changed
@@ -139,7 +139,7 @@
             if steps > MAX_STEPS_PER_JOB * len(self.nodes):
                 return
             dependent = self.nodes[todo.pop()]
-            for prerequisite in dependent.needs:
+            for prerequisite in dependent.unfinished_prerequisites:
                 node = self.nodes.get(prerequisite)
                 if node is not None and self._inherit(node, dependent):
                     changed.add(prerequisite)
@@ -165,15 +165,15 @@
                     self._inherit(node, self.nodes[dependent])
             if (node.due_at, node.rank) != before:
                 changed.add(node.job.id)
-                todo += node.needs
+                todo += node.unfinished_prerequisites
 
     def _mark_to_cancel(self, name: str) -> list[str]:
         """Mark a job and all live jobs that depend on it; return those newly marked."""
         marked, todo = [], [name]
         while todo:
             job = todo.pop()
-            if job in self.nodes and job not in self.doomed:
-                self.doomed.add(job)
+            if job in self.nodes and job not in self.to_cancel:
+                self.to_cancel.add(job)
                 marked.append(job)
                 todo += self.dependents.get(job, ())
         return marked
@@ -189,12 +189,12 @@
         while len(self.ends) > MAX_REMEMBERED_ENDS:
             self.ends.popitem(last=False)
         node = self.nodes.pop(name, None)
-        self.missing.pop(name, None)
-        self.doomed.discard(name)
+        self.unknown_prerequisites.pop(name, None)
+        self.to_cancel.discard(name)
         effects = self._end_for_dependents(name, status, at)
         if node is not None:
             self._forget_as_dependent(node)
-            self._recompute_urgency(node.needs, effects.urgency_changed)
+            self._recompute_urgency(node.unfinished_prerequisites, effects.urgency_changed)
         return effects
 
     def _end_for_dependents(self, name: str, status: str, at: float) -> EndEffects:
@@ -202,14 +202,14 @@
         to_cancel: list[str] = []
         for dependent in sorted(self.dependents.get(name, ())):
             node = self.nodes.get(dependent)
-            if node is None or name not in node.needs:
+            if node is None or name not in node.unfinished_prerequisites:
                 continue
             if status != "done":
                 to_cancel += self._mark_to_cancel(dependent)
                 continue
-            node.needs.discard(name)
-            node.ready = max(node.ready, at)
-            if not node.needs:
+            node.unfinished_prerequisites.discard(name)
+            node.ready_at = max(node.ready_at, at)
+            if not node.unfinished_prerequisites:
                 ready.append(dependent)
         return EndEffects(ready, to_cancel, set(ready))
 
@@ -219,19 +219,19 @@
             self.dependents.get(prerequisite, set()).discard(name)
             if not self.dependents.get(prerequisite):
                 self.dependents.pop(prerequisite, None)
-                self.missing.pop(prerequisite, None)
+                self.unknown_prerequisites.pop(prerequisite, None)
 
-    def waiting(self, name: str) -> bool:
+    def is_waiting(self, name: str) -> bool:
         """Return whether a live job must not start yet."""
         node = self.nodes.get(name)
-        return node is not None and bool(node.needs)
+        return node is not None and bool(node.unfinished_prerequisites)
 
     def own_rank(self, job: Job) -> int:
         """Return the rank that the job's user gave it, without what it inherits."""
         node = self.nodes.get(job.id)
         return node.job.rank if node is not None else job.rank
 
-    def view(self, name: str, limits: dict[str, float]) -> Job:
+    def effective_job(self, name: str, limits: dict[str, float]) -> Job:
         """Return a live job as it is to be scheduled, with the urgency that it inherits.
 
         Its deadline is the time that its dependents leave it, counted from when it was ready.
@@ -244,7 +244,7 @@
         job = node.job
         if node.due_at == math.inf and node.rank == job.rank:
             return job
-        deadline_s = None if node.due_at == math.inf else node.due_at - node.ready
+        deadline_s = None if node.due_at == math.inf else node.due_at - node.ready_at
         if deadline_s is not None and job.deadline_s is None and job.job_class in limits:
             deadline_s = min(deadline_s, limits[job.job_class])
         return msgspec.structs.replace(
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -666,7 +666,7 @@
             known is not None
             and known[0].kind != SERVICE
             and not known[0].without_objective
-            and not self.jobs.dependencies.waiting(name)
+            and not self.jobs.dependencies.is_waiting(name)
         )
 
     def _in_guarantee(self, job: Job) -> bool:
@@ -853,7 +853,7 @@
         self, machine: str, job: Job, grace_s: float, over: Iterable[str] = (), count: int = 1
     ) -> bool:
         """Ask a machine's owner to make room for tasks of the job."""
-        owner = self.membership.epoch.place(machine)
+        owner = self.membership.epoch.member_for(machine)
         if owner == self.membership.label:
             done = self.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
             self.fleet.poke(machine)
--- a/clayport/scheduling/refresh.py
+++ b/clayport/scheduling/refresh.py
@@ -20,16 +20,16 @@
     """The adaptive interval; does no I/O and reads no clock.
 
     Attributes:
-        interval: The present interval, in seconds.
-        least: The shortest, in seconds.
-        most: The longest, in seconds.
+        interval_s: The present interval, in seconds.
+        min_s: The shortest, in seconds.
+        max_s: The longest, in seconds.
         placed: Tasks whose start machines' owners granted in the present window.
         declined: Tasks whose start they declined.
         ratio: The share of declined ones in the last window that was judged.
     """
 
     def __init__(self, start_s: float = 10.0, least_s: float = 1.0, most_s: float = 60.0) -> None:
-        self.interval, self.least, self.most = start_s, least_s, most_s
+        self.interval_s, self.min_s, self.max_s = start_s, least_s, most_s
         self.placed = self.declined = 0
         self.ratio = 0.0
 
@@ -42,11 +42,11 @@
         """End a window: judge it, and return the next interval in seconds."""
         attempts = self.placed + self.declined
         if 0 < attempts < MIN_ATTEMPTS and self.declined:
-            return self.interval
+            return self.interval_s
         self.ratio = self.declined / attempts if attempts else 0.0
         if self.ratio > HIGH_DECLINED_RATIO:
-            self.interval = max(self.least, self.interval * SPEED_UP)
+            self.interval_s = max(self.min_s, self.interval_s * SPEED_UP)
         elif self.ratio < LOW_DECLINED_RATIO:
-            self.interval = min(self.most, self.interval * SLOW_DOWN)
+            self.interval_s = min(self.max_s, self.interval_s * SLOW_DOWN)
         self.placed = self.declined = 0
-        return self.interval
+        return self.interval_s
--- a/clayport/transport/frames.py
+++ b/clayport/transport/frames.py
@@ -30,7 +30,7 @@
 FENCE, DRAIN, GONE = 18, 19, 20
 INSPECT = 21
 PREEMPT, EVACUATE, MOVE = 22, 23, 24
-# The heartbeat between controllers that keep promises on cancellations (`cancellations`).
+# The heartbeat between controllers that keep promises on cancellations (`leases.promises`).
 BEAT, BEATEN = 29, 30
 # Only between controllers that understand histories of the records (`rebuild`).
 HISTORY, HISTORY_TOLD, EVIDENCE, EVIDENCE_TOLD = 25, 26, 27, 28
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -195,7 +195,7 @@
             done = known[0].tasks if status == "done" and known else 0
             return {**await self._over(job, status, deadline), "done": done, "running": 0}
         counts = self.dispatcher.counts(job)
-        leader = self.membership.epoch.place(job)
+        leader = self.membership.epoch.member_for(job)
         if counts is None and leader in self.peers and self.membership.is_member:
             try:
                 ok, done, running = await self.peers[leader].call(
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -45,14 +45,14 @@
         self.jobs += 1
         self.committed.append(f"j-{self.jobs}")
         self.aware.add(self.committed[-1])
-        self.teller.ended(self.committed[-1], self.jobs)
+        self.teller.note_end(self.committed[-1], self.jobs)
 
     def look_up(self) -> None:
         """The teller reads how a job ended, with or without the revision."""
         if self.committed:
             job = self.rng.choice(self.committed)
             self.aware.add(job)
-            self.teller.ended(job, self.rng.choice((0, int(job[2:]))))
+            self.teller.note_end(job, self.rng.choice((0, int(job[2:]))))
 
     def acknowledge(self) -> None:
         """The renewer hears of a job's end; its acknowledgement may be lost."""
@@ -64,25 +64,25 @@
 
     def tell(self) -> None:
         for job in sorted(self.aware):
-            if self.teller.tell(job, self.now * DRIFT):
+            if self.teller.try_disclose(job, self.now * DRIFT):
                 self.told.setdefault(job, self.now)
 
     def beat(self) -> None:
         """A heartbeat takes its time there and back, or gets lost on its way back."""
         sent, seen = self.now, self.seen
         self.now += self.rng.choice((0.0, 0.1, 3.0))
-        self.teller.seen("renewer", seen)
-        promised = self.teller.promise("renewer", self.now * DRIFT)
+        self.teller.note_records_read("renewer", seen)
+        promised = self.teller.renew("renewer", self.now * DRIFT)
         incarnation = self.incarnation
         if self.rng.random() < 0.5:
             self.now += self.rng.choice((0.0, 0.1, 3.0))
             self.tell()
         if promised and self.rng.random() < 0.7:
-            self.watermark.promised("teller", str(incarnation), sent, self.now)
+            self.watermark.note_promise("teller", str(incarnation), sent, self.now)
 
     def read(self) -> None:
         self.known.update(self.committed)
-        self.watermark.read(self.now)
+        self.watermark.note_records_read(self.now)
 
     @property
     def seen(self) -> int:
@@ -116,7 +116,7 @@
     def holds(self) -> bool:
         """Whether the renewer knows all that users were told of before its watermark."""
         return all(
-            job in self.known for job, at in self.told.items() if at < self.watermark.known()
+            job in self.known for job, at in self.told.items() if at < self.watermark.known_until()
         )
 
 
@@ -151,35 +151,37 @@
         self.expires_at[peer] = now + self.duration_s
         return True
 
-    patch.setattr(Promises, "promise", promise)
+    patch.setattr(Promises, "renew", promise)
 
 
 def it_tells_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Promises, "wait_s", lambda *_: 0.0)
+    patch.setattr(Promises, "disclosure_delay_s", lambda *_: 0.0)
 
 
 def another_process_vouches_as_well(patch: pytest.MonkeyPatch) -> None:
-    before = CancellationWatermark.promised
+    before = CancellationWatermark.note_promise
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
         before(self, peer, "any", sent, received)
 
-    patch.setattr(CancellationWatermark, "promised", promised)
+    patch.setattr(CancellationWatermark, "note_promise", promised)
 
 
 def promises_count_without_the_records(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        CancellationWatermark, "known", lambda self: max(self.state_at, *self.valid_until.values())
+        CancellationWatermark,
+        "known_until",
+        lambda self: max(self.records_read_at, *self.valid_until.values()),
     )
 
 
 def a_promise_counts_from_its_answer(patch: pytest.MonkeyPatch) -> None:
-    before = CancellationWatermark.promised
+    before = CancellationWatermark.note_promise
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
         before(self, peer, incarnation, received, received)
 
-    patch.setattr(CancellationWatermark, "promised", promised)
+    patch.setattr(CancellationWatermark, "note_promise", promised)
 
 
 def clocks_do_not_drift(patch: pytest.MonkeyPatch) -> None:
@@ -187,8 +189,8 @@
 
 
 def a_revision_that_is_not_known_is_any(patch: pytest.MonkeyPatch) -> None:
-    before = Promises.ended
-    patch.setattr(Promises, "ended", lambda self, job, rev: before(self, job, rev or 1))
+    before = Promises.note_end
+    patch.setattr(Promises, "note_end", lambda self, job, rev: before(self, job, rev or 1))
 
 
 @pytest.mark.parametrize(
@@ -214,29 +216,29 @@
 def test_who_hears_us_but_is_not_heard_keeps_no_user_waiting_for_ever() -> None:
     """Its heartbeats had the promise renewed again and again, and nobody was ever told."""
     promises = Promises(["a", "b"], DURATION_S, 0.0)
-    assert all(promises.promise(p, 20.0) for p in "ab")
+    assert all(promises.renew(p, 20.0) for p in "ab")
     promises.acknowledge("a", "j-1")
-    assert not promises.tell("j-1", 21.0)
-    assert promises.wait_s("j-1", 21.0) == 9.0
-    assert promises.promise("b", 21.5)  # it may take a moment
-    assert not promises.promise("b", 23.0) and promises.promise("a", 23.0)
-    assert promises.owed("b") == ["j-1"]
-    assert not promises.tell("j-1", 31.0) and promises.tell("j-1", 31.5)
-    assert not promises.promise("b", 32.0)  # it was told unknown to b
+    assert not promises.try_disclose("j-1", 21.0)
+    assert promises.disclosure_delay_s("j-1", 21.0) == 9.0
+    assert promises.renew("b", 21.5)  # it may take a moment
+    assert not promises.renew("b", 23.0) and promises.renew("a", 23.0)
+    assert promises.unacknowledged_jobs("b") == ["j-1"]
+    assert not promises.try_disclose("j-1", 31.0) and promises.try_disclose("j-1", 31.5)
+    assert not promises.renew("b", 32.0)  # it was told unknown to b
     promises.acknowledge("b", "j-1")
-    assert promises.promise("b", 32.0)
+    assert promises.renew("b", 32.0)
 
 
 def test_what_one_that_is_away_has_missed_is_bounded() -> None:
     promises = Promises(["a"], DURATION_S, 0.0)
     for number in range(MAX_MISSED_CANCELLATIONS + 5):
-        promises.ended(f"j-{number}", number + 1)
-        assert promises.tell(f"j-{number}", 50.0)
+        promises.note_end(f"j-{number}", number + 1)
+        assert promises.try_disclose(f"j-{number}", 50.0)
     assert len(promises.unacknowledged["a"]) == MAX_MISSED_CANCELLATIONS
     for number in range(5, MAX_MISSED_CANCELLATIONS + 5):
         promises.acknowledge("a", f"j-{number}")
-    assert not promises.promise("a", 51.0)
-    promises.seen("a", 4)
-    assert not promises.promise("a", 51.0)
-    promises.seen("a", 5)
-    assert promises.promise("a", 51.0)
+    assert not promises.renew("a", 51.0)
+    promises.note_records_read("a", 4)
+    assert not promises.renew("a", 51.0)
+    promises.note_records_read("a", 5)
+    assert promises.renew("a", 51.0)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -74,16 +74,16 @@
         """One pass of the placer and what it asks of the owner; nothing is started."""
         self.c.queue.sweep()
         self.c.placer._pass(self.now)
-        coros, self.c.routines.coros = self.c.routines.coros, []
+        coros, self.c.routines.coroutines = self.c.routines.coroutines, []
 
         async def run() -> None:
             for coro in coros:
                 await coro
 
         curio.run(run)
-        for coro in self.c.routines.coros:
+        for coro in self.c.routines.coroutines:
             coro.close()  # commands to workers, which there are none of here
-        self.c.routines.coros.clear()
+        self.c.routines.coroutines.clear()
         self.c.routines.signalled.clear()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,7 +14,8 @@
 from clayport.jobs.dispatcher import EpochEndedError
 from clayport.jobs.managed_job import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, ManagedJob
 from clayport.limits import Deadline
-from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, should_leave
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
+from clayport.membership.isolation import should_leave
 from clayport.model import Job, MachineType
 from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.store import (
@@ -705,7 +706,7 @@
     c.transition.begin(Epoch(4, {"c1": "first"}, 7))
     c.membership.records_loaded = True
     monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
-    c.watermark.promised("c1", heard, home.now + heard_s, home.now + heard_s)
+    c.watermark.note_promise("c1", heard, home.now + heard_s, home.now + heard_s)
     c.fleet.forwarded["m1"] = home.now
     sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -43,7 +43,10 @@
         ("print([n for n in left_out if n in sys.modules])", "[]"),
         ("import ssl, asyncio, multiprocessing; print(ssl.SSLContext, asyncio.run)", "class"),
         ("import multiprocessing; print(multiprocessing.Process)", "class"),
-        ("from clayport.membership.epoch import rendezvous; print(rendezvous('a', ['c0']))", "c0"),
+        (
+            "from clayport.membership.rendezvous import rendezvous; print(rendezvous('a', ['c0']))",
+            "c0",
+        ),
         ("print(curio.run(curio.run_in_thread, int, '7'))", "7"),
         (EXCHANGE, "(200, b'{}')"),
     ],
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -59,11 +59,11 @@
     for name in sorted(world.accepted - set(world.cancelled)):
         if world.kinds[name] != row.kind:
             continue
-        home = epoch.place(name)
+        home = epoch.member_for(name)
         for worker in world.workers.values():
             if not any(k[0].startswith(name + "/") for k in worker.on()):
                 continue
-            owner = epoch.place(worker.name)
+            owner = epoch.member_for(worker.name)
             others = [x for x in world.labels if x != owner]
             for asked in others:
                 role = "refused" if home == owner else "confirmer" if home == asked else "third"
--- a/tests/test_meetings_page.py
+++ b/tests/test_meetings_page.py
@@ -101,7 +101,8 @@
     service refuses one alone; a second later it is out for longer than `cancel_s`."""
     names = await long_jobs(world, 10)
     owners = [
-        world.controllers["c0"].membership.epoch.place(w.name) for w in running(world, names[0])
+        world.controllers["c0"].membership.epoch.member_for(w.name)
+        for w in running(world, names[0])
     ]
     await cancel(world, names, 0.5)
     await curio.sleep(0.2)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -418,7 +418,10 @@
     while not on():
         await curio.sleep(0.1)
         for c in world.controllers.values():
-            if c.membership.serving and c.membership.epoch.place("j-000001") == c.membership.label:
+            if (
+                c.membership.serving
+                and c.membership.epoch.member_for("j-000001") == c.membership.label
+            ):
                 for machine in c.machines.machines.values():
                     machine.hold_job, machine.hold_until = "other", clock() + 60.0
     worker = on()[0]
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -69,8 +69,10 @@
             dependencies.end(name(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
         else:
             dependencies.add(made(*step), 1.0)
-    assert {n for n in dependencies.nodes if dependencies.waiting(n)} == {name(n) for n in waiting}
-    assert dependencies.doomed == {name(n) for n in doomed}
+    assert {n for n in dependencies.nodes if dependencies.is_waiting(n)} == {
+        name(n) for n in waiting
+    }
+    assert dependencies.to_cancel == {name(n) for n in doomed}
 
 
 def test_wide_and_deep_graphs_cost_what_they_touch() -> None:
@@ -84,7 +86,7 @@
     assert not ready and len(doomed) == 560
     for found in doomed:
         dependencies.end(found, "cancelled", 2.0)
-    assert not dependencies.nodes and not dependencies.dependents and not dependencies.doomed
+    assert not dependencies.nodes and not dependencies.dependents and not dependencies.to_cancel
 
 
 LAST = {"rank": "high", "due_s": 100.0, "guess_s": 8.0, "image_gb": 1.0}
@@ -132,7 +134,7 @@
         dependencies.add(one, 0.0)
     for number, at in ends.items():
         dependencies.end(name(number), "done" if number == 1 else "cancelled", at)
-    views = {n: dependencies.view(name(n), {"timed": 50.0}) for n in found}
+    views = {n: dependencies.effective_job(name(n), {"timed": 50.0}) for n in found}
     assert {n: (v.rank, v.deadline_s) for n, v in views.items()} == found
 
 
@@ -621,9 +623,9 @@
     c = home.c
     for one in (made(1, rank="best_effort"), made(2, 1, rank="high", due_s=100.0)):
         c.jobs.dependencies.add(one, home.now)
-    job = c.jobs.dependencies.view(name(1), {})
+    job = c.jobs.dependencies.effective_job(name(1), {})
     assert job.rank == 2 and c.placer._stops(job, age, c.objectives.patient(job, age)) == stops
-    last = c.jobs.dependencies.view(name(2), {})
+    last = c.jobs.dependencies.effective_job(name(2), {})
     assert c.placer._stops(last, 0.0, True) == 1
 
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -369,8 +369,8 @@
     now = time.monotonic()
     assert ask() == 503  # the records have never been read here
     for peer in c.peers.values():
-        c.watermark.promised(peer.label, "a", now - 50, now - 50)
-    c.watermark.read(now)
+        c.watermark.note_promise(peer.label, "a", now - 50, now - 50)
+    c.watermark.note_records_read(now)
     assert ask() == 200
     peer = c.peers["c1"]
     peer.heard, peer.epoch, peer.state_ok = now, 4, True
@@ -388,10 +388,10 @@
         (now - 26, now - 30, 200),
         (now - 60, now, 503),
     ):
-        c.watermark.state_at = read
+        c.watermark.records_read_at = read
         for label in c.peers:
             c.watermark.valid_until[label] = -1e9
-            c.watermark.promised(label, "a", promised, promised)
+            c.watermark.note_promise(label, "a", promised, promised)
         assert ask() == status, (now - read, now - promised)
 
 
@@ -402,7 +402,7 @@
     handler, c = api()
     c.transition.begin(Epoch(3, {"c0": c.membership.incarnation}, 7))
     c.membership.serving, c.membership.records_loaded = True, True
-    c.watermark.read(time.monotonic())
+    c.watermark.note_records_read(time.monotonic())
     raw = json.dumps(REPORT).encode()
     assert curio.run(handler.handle, "POST", "/v1/report", raw)[0] == 200
     assert "m1" in c.machines.machines
--- a/tests/test_refresh.py
+++ b/tests/test_refresh.py
@@ -29,10 +29,10 @@
     for _ in range(10):
         interval.count(0, 100)
         interval.step()
-    assert interval.interval == 1.0
+    assert interval.interval_s == 1.0
     for _ in range(100):
         interval.step()
-    assert interval.interval == 60.0
+    assert interval.interval_s == 60.0
 
 
 def test_sparse_window_is_carried_over() -> None:
@@ -40,4 +40,4 @@
     for _ in range(4):
         interval.count(4, 1)
         interval.step()
-    assert interval.interval == 5.0
+    assert interval.interval_s == 5.0
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -9,7 +9,8 @@
 import curio
 import pytest
 
-from clayport.membership.epoch import Epoch, FlapDamping, may_propose, successor
+from clayport.membership.epoch import Epoch, may_propose, successor
+from clayport.membership.flap_damping import FlapDamping
 
 from .test_model import JOBS, JOBS_A_DAY, held, until_over
 from .world import Clock, World, job, simulate
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -57,7 +57,7 @@
     members = {f"c{n}": "x" for n in range(5)}
     one, other = Epoch(1, members, 1), Epoch(1, members, 1)
     names = [f"i-{n:06d}" for n in range(30_000)]
-    assert [one.place(n) for n in names][:100] == [other.place(n) for n in names[:100]]
+    assert [one.member_for(n) for n in names][:100] == [other.member_for(n) for n in names[:100]]
     assert len(one._member_by_key) <= 20_000
 
 
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -8,7 +8,9 @@
 import pytest
 
 from clayport.machines.table import MachineTable
-from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, rendezvous, should_leave, successor
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, successor
+from clayport.membership.isolation import should_leave
+from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
 
 from .world import TYPES
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -121,7 +121,7 @@
     tasks = {k[0] for w in chosen for k in w.on()}
     out_of_reach.update(w.name for w in chosen)
     if leader_ends:
-        await again(world, world.controllers["c0"].membership.epoch.place(chosen[0].name))
+        await again(world, world.controllers["c0"].membership.epoch.member_for(chosen[0].name))
     since = missed = world.clock()
     while world.clock() < since + watched_s:
         await curio.sleep(0.5)
