--- /dev/null
+++ b/clayport/jobs/eligibility.py
@@ -0,0 +1,53 @@
+"""Whether a job can ever run, and what it uses of its team's quota."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from clayport.model import ARRAY, GANG, Job, MachineType, fits
+
+# By how much an amount may exceed a limit through the rounding of floats.
+TOLERANCE = 1e-6
+
+
+def quota_usage(job: Job, count: int) -> tuple[float, float]:
+    """The CPUs and GPUs that `count` tasks of a job use of their team's quota."""
+    return job.cpus * count, job.gpus * count
+
+
+def is_metered(limit: tuple[float, float], cpus: float, gpus: float) -> bool:
+    """Whether a team's usage is recorded for such amounts.
+
+    Args:
+        limit: The team's limits in CPUs and GPUs; 0 means that there is none.
+        cpus: The CPUs in question.
+        gpus: The GPUs in question.
+    """
+    return bool((limit[0] > 0 and cpus) or (limit[1] > 0 and gpus))
+
+
+def can_be_placed(job: Job, types: Iterable[MachineType]) -> bool:
+    """Whether there can be machines for the job.
+
+    A task has to fit a machine type in a zone that the job allows. A gang that has to be
+    spread needs more than one such zone, since all its tasks run at once.
+    """
+    zones = {
+        zone for kind in types if fits(job, kind) for zone in kind.zones if job.zone in (None, zone)
+    }
+    if job.kind == GANG and job.spread and job.tasks > 1:
+        return len(zones) > 1 and not job.one_zone
+    return bool(zones)
+
+
+def can_ever_run(job: Job, limit: tuple[float, float]) -> bool:
+    """Whether the team's limits allow the job at all.
+
+    An array needs room for one task at a time, a gang or service for all of its tasks.
+
+    Args:
+        job: The job's description.
+        limit: The team's limits in CPUs and GPUs; 0 means that there is none.
+    """
+    cpus, gpus = quota_usage(job, 1 if job.kind == ARRAY else job.tasks)
+    return not (0 < limit[0] < cpus - TOLERANCE or 0 < limit[1] < gpus - TOLERANCE)
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -1,6 +1,7 @@
-"""The home's side: a job's tasks, what is committed of them, and what comes next.
+"""A job at its home, the controller that schedules it: the state of its tasks, and events.
 
-Pure state: the routines that do the I/O live in `server`.
+State only, without I/O: `jobs.dispatcher` sends what this decides, and `jobs.transactions` builds
+the commits.
 """
 
 from __future__ import annotations
@@ -9,22 +10,64 @@
 from collections.abc import Collection, Container, Iterable
 from typing import Any
 
+from clayport.jobs import transactions
+from clayport.jobs.committed_tasks import Assignment, CommittedTasks
+from clayport.jobs.eligibility import (
+    can_be_placed,
+    can_ever_run,
+    is_metered,
+    quota_usage,
+)
+from clayport.jobs.verdicts import Verdict
 from clayport.machines.table import GONE
-from clayport.model import ARRAY, GANG, SERVICE, Job, MachineType, fits
+from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
-from clayport.records.keys import EPOCH_KEY, chunk_key, end_key, live_key
-from clayport.records.store import Txn
-from clayport.records.values import end_value
 from clayport.scheduling.placement import shape
 
-# Verdicts on what an owner tells; the last two judge an error.
-OK, KILL, CLEAR, LATER, JOB_AT_FAULT, MACHINE_AT_FAULT = range(6)
+__all__ = [
+    "CLEAR",
+    "JOB_AT_FAULT",
+    "KILL",
+    "LATER",
+    "MACHINE_AT_FAULT",
+    "OK",
+    "ManagedJob",
+    "amounts",
+    "can_be_placed",
+    "can_ever_run",
+    "counts",
+]
+
+# The names under which other modules know what has moved.
+amounts, counts = quota_usage, is_metered
+OK: int = Verdict.OK
+KILL: int = Verdict.KILL
+CLEAR: int = Verdict.CLEAR
+LATER: int = Verdict.LATER
+JOB_AT_FAULT: int = Verdict.JOB_AT_FAULT
+MACHINE_AT_FAULT: int = Verdict.MACHINE_AT_FAULT
+
 # Machines on which a job has to have failed before it is taken to be at fault itself.
 FAULT_MACHINES = 3
-
-
-class ManagedJob:
-    """A job at its home."""
+# The exponent beyond which the pause of a job at fault grows no further.
+MAX_BACKOFF_EXPONENT = 16
+# How many chunks one transaction of starts may change where the caller sets no limit.
+UNLIMITED_CHUNKS = 1_000_000
+
+
+class ManagedJob(CommittedTasks):
+    """A job at its home.
+
+    Args:
+        job: The job's description.
+        live_rev: The revision of its live record, 0 if that is gone.
+        size: How many tasks a chunk holds, where the records do not tell.
+        now: The time on the monotonic clock, in seconds, as of all times here.
+        ended: Its final state, if it has one: "cancelled" or "done".
+        epoch: The number of the epoch under which it was loaded.
+        pause_s: The first pause of a job that is at fault itself.
+        pause_most_s: The longest one.
+    """
 
     def __init__(
         self,
@@ -37,155 +80,56 @@
         pause_s: float = 1.0,
         pause_most_s: float = 60.0,
     ) -> None:
-        self.name = f"job {job.id} {epoch}"  # the signal of its routine
+        super().__init__(job, size)
+        self.name = f"job {job.id} {epoch}"  # the signal that wakes its routine
         self.epoch = epoch
-        self.job, self.live_rev, self.size = job, live_rev, size
-        self.first_size = size
-        self.ended = ended  # "", "cancelled" or "done"
-        self.chunks: dict[int, Chunk] = {}
-        # The size in the chunks' keys (0: the first versions' short form), and revisions of
-        # the wider chunks that hold the same until all has been moved.
-        self.layout = 0
-        self.wide: dict[str, int] = {}
-        # Not ready: jobs that it names are not known to be done. Until somebody says so.
+        self.live_rev = live_rev
+        self.ended = ended
+        self.closed = False  # ended, and nothing of it is left to do
+        # Whether jobs that it names are not known to be done yet.
         self.blocked = bool(job.prereqs)
+
+        # What owners tell of assigned tasks, by number: (state, cause) while one is on its
+        # machine, then (attempt, whether done) until that is committed.
         self.states: dict[int, tuple[str, str]] = {}
-        self.outcomes: dict[int, tuple[int, bool]] = {}  # task: attempt, whether done
+        self.outcomes: dict[int, tuple[int, bool]] = {}
         self.where: dict[int, str] = {}  # task that exited: the machine still listing it
-        self.starts: list[tuple[int, str]] = []  # placed, to be reserved and committed
-        self.placing: set[int] = set()
-        self.again: deque[int] = deque()
+        self.started = False  # a task of it has been seen running
+        self.unreported: set[tuple[int, int]] = set()  # (task, attempt), as of the last check
+        self.next_report_check = now
+
+        # Tasks without a machine: those from `cursor` on that are neither assigned nor done, and
+        # those in `again`. Tasks that were chosen are in `placing` until they are committed.
         self.cursor = 0
-        self.attempt = 0
-        self.done = 0
-        self.assigned = 0
-        self.since = now
-        self.not_before = 0.0
-        self.preempt_at = 0.0
-        self.claim_at = 0.0
-        self.gather_until = 0.0  # done tasks wait to be committed with others
+        self.again: deque[int] = deque()
+        self.placing: set[int] = set()
+        self.starts: list[tuple[int, str]] = []  # placed, to be reserved and committed
+        self.since = now  # when it began to wait
+        self.not_before = 0.0  # when it may next be placed
+        self.preempt_at = 0.0  # when it may next have others preempted
+        self.claim_at = 0.0  # when it may next look for machines for itself alone
         self.preempted = False
-        self.started = False  # a task of it has been seen running
         self.made: dict[str, tuple[int, float]] = {}  # machine: tasks room is made for, until
-        self.moved_at = now
-        self.errors: dict[str, int] = {}  # machine: failures of this job there, the latest last
-        self.proven = False  # a task of it has completed
-        self.suspected = False  # found to be at fault under an earlier epoch
-        self.trials = 0  # vain trials since the job was found to be at fault
-        self.pause_s, self.pause_most_s = pause_s, pause_most_s
-        self.kill_at = 0.0
-        self.breaking = False  # a gang that lost a task and is being stopped
-        self.left: set[str] = set()  # machines that a gang's present attempt has lost
-        self.closed = False
-        self.look_at = now
+        self.moved_at = now  # when a task of it was last moved to another machine
         self._group: tuple[Job, tuple[Any, ...]] | None = None
-        self.silent: set[tuple[int, int]] = set()
-
-    def load(self, chunks: dict[int, Chunk]) -> None:
-        """Take over what is committed in one layout."""
-        self.chunks = chunks
-        self.attempt = max([self.attempt, *(c.last_attempt for c in chunks.values())])
-        self.recount()
 
-    def load_all(self, found: dict[tuple[int, int], Chunk]) -> None:
-        """Take over what is committed, in whichever layouts it is.
+        self.gather_until = 0.0  # done tasks wait to be committed with others
+        self.kill_at = 0.0  # when tasks that are to be stopped are next told so
+        self.breaking = False  # a gang that lost a task and is being stopped
+        self.left: set[str] = set()  # machines that a gang's present attempt has lost
 
-        Narrower chunks that are found beside wider ones are drafts of a move that did not
-        get to its end: the wider hold the truth, and the move goes on before anything else.
-        """
-        self.layout, self.size, self.wide = 0, self.first_size, {}
-        sizes = sorted({size for size, _ in found}, key=lambda s: s or self.size)
-        if not sizes:
-            self.load({})
-            return
-        if len(sizes) == 1:
-            self.layout, self.size = sizes[0], sizes[0] or self.size
-            self.load({index: c for (_, index), c in found.items()})
-            return
-        size = sizes[0] or self.size
-        merged = {index: c.copy() for (s, index), c in found.items() if s == sizes[0]}
-        wide = self.size
-        for other in sizes[1:]:
-            for (s, index), c in found.items():
-                if s == other:
-                    span = range(index * (s or wide), (index + 1) * (s or wide))
-                    self._overlay(merged, size, c, span)
-                    self.wide[chunk_key(self.job.id, index, s)] = c.rev
-        self.layout, self.size = sizes[0], size
-        self.load(merged)
-
-    @staticmethod
-    def _overlay(chunks: dict[int, Chunk], size: int, wide: Chunk, span: range) -> None:
-        """Put what a wider chunk says of its tasks into narrower ones.
-
-        At least one of them, even of an empty one: attempt numbers must never fall.
-        """
-        chunks.setdefault(span.start // size, Chunk())
-        for index in range(span.start // size, (span.stop - 1) // size + 1):
-            chunk = chunks.get(index)
-            if chunk is not None:
-                chunk.assigned = {n: a for n, a in chunk.assigned.items() if n not in span}
-                chunk.done = {n for n in chunk.done if n not in span}
-                chunk.last_attempt = max(chunk.last_attempt, wide.last_attempt)
-        for number in (*wide.assigned, *wide.done):
-            index = number // size
-            if index not in chunks:
-                chunks[index] = Chunk()
-            chunks[index].last_attempt = max(chunks[index].last_attempt, wide.last_attempt)
-            if number in wide.done:
-                chunks[index].done.add(number)
-            else:
-                chunks[index].assigned[number] = wide.assigned[number]
-
-    def narrow(self, size: int) -> bool:
-        """Begin to keep the job in chunks of `size` tasks, where its present ones might not
-        fit the limits that are to come; whether anything has to be moved.
-
-        In memory at once; the records follow (`move_txn`) before anything else of the job
-        is committed.
-        """
-        if self.size <= size or self.job.tasks <= size:
-            return bool(self.wide)
-        chunks: dict[int, Chunk] = {}
-        for index, chunk in self.chunks.items():
-            self._overlay(chunks, size, chunk, range(index * self.size, (index + 1) * self.size))
-            if chunk.rev:
-                self.wide[chunk_key(self.job.id, index, self.layout)] = chunk.rev
-        self.layout = self.size = size
-        self.chunks = chunks
-        self.recount()
-        return bool(self.wide)
-
-    def move_txn(
-        self, fence: int, limit: int, moved: set[int]
-    ) -> tuple[Txn, dict[int, Chunk], list[str]]:
-        """The next step of a move: narrower chunks as long as there are any to write, then
-        the wider ones removed. Nothing to do: no writes."""
-        txn = Txn().require(EPOCH_KEY, fence)
-        chunks: dict[int, Chunk] = {}
-        size = 0
-        for index, chunk in self.chunks.items():
-            if index in moved:
-                continue
-            size += chunk.most_bytes(self.size)
-            if chunks and (len(chunks) == limit or size > TXN_BYTES):
-                return txn, chunks, []
-            chunks[index] = self._require(txn, index)
-            txn.put(self.key(index), chunk.value())
-        gone: list[str] = []
-        if not chunks:
-            for key, rev in list(self.wide.items())[:limit]:
-                txn.require(key, rev).delete(key)
-                gone.append(key)
-        return txn, chunks, gone
-
-    def key(self, index: int) -> str:
-        return chunk_key(self.job.id, index, self.layout)
+        self.errors: dict[str, int] = {}  # machine: failures of this job there, the latest last
+        self.has_completed_task = False
+        self.suspected = False  # found to be at fault under an earlier epoch
+        self.failed_retries = 0  # since the job was found to be at fault
+        self.pause_s, self.pause_most_s = pause_s, pause_most_s
 
     @property
     def group(self) -> tuple[Any, ...]:
         """Equal for jobs that can use the same room: what one found no room for, none does.
-        A job that is bound to where its other tasks are is alone in its group."""
+
+        A job that is bound to where its other tasks are is alone in its group.
+        """
         if self._group is None or self._group[0] is not self.job:
             job = self.job
             self._group = (
@@ -197,29 +141,17 @@
         return self._group[1]
 
     def recount(self) -> None:
-        self.done = sum(len(c.done) for c in self.chunks.values())
-        self.proven = self.proven or self.done > 0
-        self.assigned = sum(len(c.assigned) for c in self.chunks.values())
+        """Derive anew what follows from the chunks, after others were loaded."""
+        super().recount()
+        self.has_completed_task = self.has_completed_task or self.done > 0
         self.again.clear()
         self.cursor = 0
 
-    def assignment(self, number: int) -> tuple[int, str] | None:
-        chunk = self.chunks.get(number // self.size)
-        return chunk.assigned.get(number) if chunk else None
-
-    def assignments(self) -> list[tuple[int, int, str]]:
-        """(task, attempt, machine) of everything that may be on a machine."""
-        return [(n, a, m) for c in self.chunks.values() for n, (a, m) in c.assigned.items()]
-
-    def _free(self, number: int) -> bool:
-        if number in self.placing:
-            return False
-        chunk = self.chunks.get(number // self.size)
-        return chunk is None or (number not in chunk.assigned and number not in chunk.done)
+    # -- tasks without a machine ------------------------------------------
 
     @property
     def pending(self) -> int:
-        """Tasks waiting for a machine; a gang's wait until the last old one is gone."""
+        """How many tasks wait for a machine; a gang's wait until the last old one is gone."""
         if self.ended or self.blocked:
             return 0
         if self.job.kind == GANG and self.assigned and not self.filling:
@@ -228,33 +160,43 @@
 
     @property
     def filling(self) -> bool:
-        """A gang that has not started and lacks tasks: replacements with the same
-        attempt number complete it, so nothing has to be fetched or waited for anew."""
+        """Whether this is a gang that has not started and lacks tasks.
+
+        Replacements with the same attempt number complete it, so nothing has to be fetched or
+        waited for anew.
+        """
         return (
             self.job.kind == GANG
             and not self.breaking
             and not self.done
             and bool(self.assigned)
             and not self.outcomes
-            and all(s in ("pulling", "waiting") for s, _ in self.states.values())
+            and all(state in ("pulling", "waiting") for state, _ in self.states.values())
         )
 
-    @property
-    def running(self) -> int:
-        return sum(1 for s, _ in self.states.values() if s == "running")
+    def _is_free(self, number: int) -> bool:
+        """Whether a task is neither assigned nor done, nor about to be assigned."""
+        if number in self.placing:
+            return False
+        chunk = self.chunks.get(number // self.size)
+        return chunk is None or (number not in chunk.assigned and number not in chunk.done)
 
-    def take(self, count: int, limit: int = 1_000_000) -> list[int]:
-        """Up to `count` waiting tasks, marked as being placed.
+    def take(self, count: int, limit: int = UNLIMITED_CHUNKS) -> list[int]:
+        """Take tasks that wait for a machine, and mark them as being placed.
 
         Of `limit` chunks at most, and as many as one transaction holds: tasks that wait
         again may be scattered over all chunks of a job of tens of thousands, and what is
         too large is refused whole, again and again.
+
+        Args:
+            count: The most tasks to take.
+            limit: The most chunks that they may belong to.
         """
         taken: list[int] = []
         indexes: set[int] = set()
         size = 0
 
-        def holds(number: int) -> bool:
+        def take_if_it_fits(number: int) -> bool:
             nonlocal size
             index = number // self.size
             added = ASSIGNED_BYTES
@@ -262,7 +204,7 @@
                 chunk = self.chunks.get(index)
                 added += chunk.most_bytes(self.size) if chunk else 0
             if indexes and (
-                size + added > TXN_BYTES or index not in indexes and len(indexes) == limit
+                size + added > TXN_BYTES or (index not in indexes and len(indexes) == limit)
             ):
                 return False
             indexes.add(index)
@@ -275,16 +217,16 @@
             if len(taken) == count:
                 break
             number = self.again.popleft()
-            if self._free(number) and not holds(number):
+            if self._is_free(number) and not take_if_it_fits(number):
                 self.again.append(number)
         while self.cursor < self.job.tasks and len(taken) < count:
-            if self._free(self.cursor) and not holds(self.cursor):
+            if self._is_free(self.cursor) and not take_if_it_fits(self.cursor):
                 break
             self.cursor += 1
         return taken
 
     def give_back(self, numbers: Iterable[int]) -> None:
-        """Tasks that were not started after all wait again."""
+        """Have tasks that were not started after all wait again."""
         for number in numbers:
             self.placing.discard(number)
             self.again.append(number)
@@ -293,16 +235,28 @@
 
     def event(
         self, machine: str, number: int, attempt: int, state: str, cause: str, now: float
-    ) -> int:
-        """Take note of what an owner tells of a task; the verdict on it."""
+    ) -> Verdict:
+        """Take note of what an owner tells of a task.
+
+        Args:
+            machine: The machine that the task is on.
+            number: The task.
+            attempt: The attempt.
+            state: Its state there; `GONE` if the machine no longer has it.
+            cause: Why it is in that state.
+            now: The present time.
+
+        Returns:
+            What the owner has to do about it.
+        """
         if self.assignment(number) != (attempt, machine):
             if number in self.placing:
-                return LATER  # its commit is under way
+                return Verdict.LATER  # its commit is under way
             if state == GONE:
-                return OK
-            return CLEAR if state == "exited" else KILL
+                return Verdict.OK
+            return Verdict.CLEAR if state == "exited" else Verdict.KILL
         if number in self.outcomes:
-            return OK
+            return Verdict.OK
         if state == GONE or state == "exited":
             started = any(s in ("running", "saving") for s, _ in self.states.values())
             self.outcomes[number] = (attempt, cause == "done")
@@ -314,47 +268,21 @@
                     self.breaking = True
             if cause == "error":
                 self.states.pop(number, None)
-                return self._failed(machine, now)
+                return self._record_failure(machine, now)
             if cause == "done":
-                self.proven = True
+                self.has_completed_task = True
                 self.errors.pop(machine, None)
         else:
             self.states[number] = (state, cause)
             self.started = self.started or state == "running"
-        return OK
+        return Verdict.OK
 
-    @property
-    def at_fault(self) -> bool:
-        """Whether it is the job that fails, and not the machines: it has failed on several,
-        more often than it runs anywhere, and has completed nothing."""
-        return not self.proven and (
-            self.suspected
-            or len(self.errors) >= FAULT_MACHINES
-            and sum(self.errors.values()) > self.running
-        )
-
-    def _failed(self, machine: str, now: float) -> int:
-        """Back off from a machine, and from everywhere when it is the job that fails.
+    def removed(self, machines: Container[str]) -> bool:
+        """Note that tasks on machines whose return is confirmed are gone.
 
-        A job submitted with a mistake fails on every machine; it had sound ones taken for
-        sick, and rented new ones, until its user cancelled it. It is tried again now and
-        then, since what failed may have passed.
+        Returns:
+            Whether there were any.
         """
-        self.errors[machine] = self.errors.pop(machine, 0) + 1
-        if self.at_fault:
-            if now >= self.not_before:
-                self.not_before = now + min(self.pause_most_s, self.pause_s * 2.0**self.trials)
-                self.trials = min(self.trials + 1, 16)
-            return JOB_AT_FAULT
-        return MACHINE_AT_FAULT if self.proven or self.running > sum(self.errors.values()) else OK
-
-    def avoided(self) -> Collection[str]:
-        """Machines that the job keeps off: where it failed, or, when that was its own fault,
-        where it failed last."""
-        return set(list(self.errors)[-1:]) if self.at_fault else self.errors
-
-    def removed(self, machines: Container[str]) -> bool:
-        """Tasks on machines whose return is confirmed are gone."""
         changed = False
         for number, attempt, machine in self.assignments():
             if machine in machines and number not in self.outcomes:
@@ -363,22 +291,29 @@
         return changed
 
     def unheard(self, now: float, patience_s: float) -> set[int]:
-        """Assigned tasks of which no owner has told anything since the last look, a while
-        ago: what is found twice has been lost sight of."""
-        if now < self.look_at:
+        """Assigned tasks of which no owner has told anything.
+
+        Only what two checks in a row find counts as lost sight of; one of them may be just about
+        to be reported.
+
+        Args:
+            now: The present time.
+            patience_s: The least time between two checks, in seconds.
+        """
+        if now < self.next_report_check:
             return set()
-        self.look_at = now + patience_s
-        before, self.silent = (
-            self.silent,
+        self.next_report_check = now + patience_s
+        before, self.unreported = (
+            self.unreported,
             {
-                (n, a)
-                for n, a, _ in self.assignments()
-                if n not in self.states and n not in self.outcomes
+                (number, attempt)
+                for number, attempt, _ in self.assignments()
+                if number not in self.states and number not in self.outcomes
             },
         )
-        return {n for n, _ in self.silent & before}
+        return {number for number, _ in self.unreported & before}
 
-    def broken(self) -> list[tuple[int, int, str]]:
+    def broken(self) -> list[Assignment]:
         """The rest of a gang that has lost a task: to be stopped before the next attempt."""
         if self.job.kind != GANG or self.ended:
             return []
@@ -386,112 +321,84 @@
             return []
         return [(n, a, m) for n, a, m in self.assignments() if n not in self.outcomes]
 
-    # -- transactions ----------------------------------------------------
+    @property
+    def running(self) -> int:
+        """How many tasks are running, as their owners tell."""
+        return sum(1 for state, _ in self.states.values() if state == "running")
+
+    # -- failures --------------------------------------------------------
+
+    @property
+    def at_fault(self) -> bool:
+        """Whether it is the job that fails, and not the machines.
+
+        It has failed on several, more often than it runs anywhere, and has completed nothing.
+        """
+        return not self.has_completed_task and (
+            self.suspected
+            or (len(self.errors) >= FAULT_MACHINES and sum(self.errors.values()) > self.running)
+        )
 
-    def _require(self, txn: Txn, index: int) -> Chunk:
-        """The chunk's condition, and a copy to be changed."""
-        old = self.chunks.get(index)
-        txn.require(self.key(index), old.rev if old else 0)
-        return old.copy() if old else Chunk()
+    def _record_failure(self, machine: str, now: float) -> Verdict:
+        """Back off from a machine, and from everywhere when it is the job that fails.
+
+        A job submitted with a mistake fails on every machine; it had sound ones taken for
+        sick, and rented new ones, until its user cancelled it. It is tried again now and
+        then, since what failed may have passed.
+        """
+        self.errors[machine] = self.errors.pop(machine, 0) + 1
+        if self.at_fault:
+            if now >= self.not_before:
+                pause_s = min(self.pause_most_s, self.pause_s * 2.0**self.failed_retries)
+                self.not_before = now + pause_s
+                self.failed_retries = min(self.failed_retries + 1, MAX_BACKOFF_EXPONENT)
+            return Verdict.JOB_AT_FAULT
+        if self.has_completed_task or self.running > sum(self.errors.values()):
+            return Verdict.MACHINE_AT_FAULT
+        return Verdict.OK
+
+    def avoided(self) -> Collection[str]:
+        """Machines that the job keeps off: all on which it failed.
+
+        When that was its own fault, only the one on which it failed last.
+        """
+        return set(list(self.errors)[-1:]) if self.at_fault else self.errors
+
+    # -- commits ---------------------------------------------------------
 
     def start_txn(
         self, fence: int, starts: list[tuple[int, str]], attempt: int
-    ) -> tuple[Txn, dict[int, Chunk]]:
-        """Commit machine and attempt before any launch, unless the job has ended."""
-        txn = Txn().require(EPOCH_KEY, fence).require(live_key(self.job.id), self.live_rev)
-        chunks: dict[int, Chunk] = {}
-        for number, machine in starts:
-            index = number // self.size
-            if index not in chunks:
-                chunks[index] = self._require(txn, index)
-            chunks[index].assigned[number] = (attempt, machine)
-            chunks[index].last_attempt = attempt
-        for index, chunk in chunks.items():
-            txn.put(self.key(index), chunk.value())
-        return txn, chunks
-
-    def outcome_txn(
-        self, fence: int, limit: int, at: float = 0.0
-    ) -> tuple[Txn, dict[int, Chunk], list[int], bool]:
-        """Commit what ended, chunk by chunk; the last one ends the job in the same step.
-
-        Answers the transaction, the changed chunks, the tasks covered and
-        whether the job is done with it.
-        """
-        txn = Txn().require(EPOCH_KEY, fence)
-        chunks: dict[int, Chunk] = {}
-        covered: list[int] = []
-        finished = size = 0
-        for number, (attempt, done) in self.outcomes.items():
-            index = number // self.size
-            if index not in chunks:
-                added = self.chunks[index].most_bytes(self.size) if index in self.chunks else 0
-                if chunks and (len(chunks) == limit or size + added > TXN_BYTES):
-                    continue
-                size += added
-                chunks[index] = self._require(txn, index)
-            if chunks[index].assigned.get(number, (0, ""))[0] == attempt:
-                del chunks[index].assigned[number]
-                if done and not self.ended and self.job.kind != SERVICE:
-                    chunks[index].done.add(number)
-                    finished += 1
-            covered.append(number)
-        over = not self.ended and self.done + finished == self.job.tasks
-        for index, chunk in chunks.items():
-            if (self.ended or over) and not chunk.assigned:
-                txn.delete(self.key(index))
-            else:
-                txn.put(self.key(index), chunk.value())
-        if over:
-            txn.require(live_key(self.job.id), self.live_rev)
-            txn.delete(live_key(self.job.id)).put(end_key(self.job.id), end_value("done", at))
-        return txn, chunks, covered, over
+    ) -> transactions.StartTxn:
+        """See `transactions.start_txn`."""
+        return transactions.start_txn(self, fence, starts, attempt)
+
+    def outcome_txn(self, fence: int, limit: int, at: float = 0.0) -> transactions.OutcomeTxn:
+        """See `transactions.outcome_txn`."""
+        return transactions.outcome_txn(self, fence, limit, at)
+
+    def move_txn(self, fence: int, limit: int, moved: set[int]) -> transactions.SplitTxn:
+        """See `transactions.split_txn`."""
+        return transactions.split_txn(self, fence, limit, moved)
 
     def committed(self, chunks: dict[int, Chunk], rev: int) -> None:
-        for index, chunk in chunks.items():
-            chunk.rev = rev
-            self.chunks[index] = chunk
-        self.done = sum(len(c.done) for c in self.chunks.values())
-        self.assigned = sum(len(c.assigned) for c in self.chunks.values())
+        """Take over the chunks that a transaction has changed, and end a gang's attempt with
+        the last of its tasks."""
+        super().committed(chunks, rev)
         if not self.assigned:
             self.breaking = False
             self.left.clear()
 
     def covered(self, numbers: Iterable[int]) -> list[tuple[int, int]]:
-        """Forget committed outcomes; tasks that are not done wait again."""
+        """Forget committed outcomes; tasks that are not done wait again.
+
+        Returns:
+            Task and attempt of each.
+        """
         cleared = []
         for number in numbers:
             attempt, _ = self.outcomes.pop(number)
             self.states.pop(number, None)
             cleared.append((number, attempt))
-            if self._free(number):
+            if self._is_free(number):
                 self.again.append(number)
         return cleared
-
-
-def amounts(job: Job, count: int) -> tuple[float, float]:
-    """What `count` tasks take of their team's limit."""
-    return job.cpus * count, job.gpus * count
-
-
-def counts(limit: tuple[float, float], cpus: float, gpus: float) -> bool:
-    """Whether a team's use is counted for such amounts: a limit of 0 is none."""
-    return bool(limit[0] > 0 and cpus or limit[1] > 0 and gpus)
-
-
-def can_be_placed(job: Job, types: Iterable[MachineType]) -> bool:
-    """Whether there can be machines for the job: a type that a task fits, in a zone that the
-    job allows; for a gang, which needs them all at once, in as many zones as it has to be
-    spread over."""
-    zones = {
-        zone for kind in types if fits(job, kind) for zone in kind.zones if job.zone in (None, zone)
-    }
-    if job.kind == GANG and job.spread and job.tasks > 1:
-        return len(zones) > 1 and not job.one_zone
-    return bool(zones)
-
-
-def can_ever_run(job: Job, limit: tuple[float, float]) -> bool:
-    """Whether the team's limit allows the job at all (0: no limit)."""
-    cpus, gpus = amounts(job, 1 if job.kind == ARRAY else job.tasks)
-    return not (0 < limit[0] < cpus - 1e-6 or 0 < limit[1] < gpus - 1e-6)
--- /dev/null
+++ b/clayport/jobs/verdicts.py
@@ -0,0 +1,22 @@
+"""What a job's home answers to an owner that tells it about a task."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class Verdict(IntEnum):
+    """The answer to one task event. Controllers send each other the numbers."""
+
+    #: Noted; the owner has nothing to do.
+    OK = 0
+    #: Not a committed attempt: the task is to be stopped.
+    KILL = 1
+    #: Not a committed attempt, and it has exited: the worker may forget it.
+    CLEAR = 2
+    #: Not known yet: the owner is to tell it again.
+    LATER = 3
+    #: The task failed, and the job is taken to be the cause.
+    JOB_AT_FAULT = 4
+    #: The task failed, and the machine is taken to be the cause.
+    MACHINE_AT_FAULT = 5
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,8 @@
 import pytest
 
 from clayport.jobs.dispatcher import EpochEndedError
-from clayport.jobs.managed_job import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, ManagedJob
+from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.verdicts import Verdict
 from clayport.limits import Deadline
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, should_leave
 from clayport.model import Job, MachineType
@@ -48,7 +49,7 @@
     return msgspec.structs.replace(job, without_objective=job.job_class == "unnamed")
 
 
-def started(events: str, tasks: int = 12) -> tuple[ManagedJob, list[int], float]:
+def started(events: str, tasks: int = 12) -> tuple[ManagedJob, list[Verdict], float]:
     """A home after events of tasks on machines of their own: e(rror), d(one), r(unning)."""
     managed = ManagedJob(made(1, pieces=tasks), 1, 50, 0.0)
     chunk = Chunk()
@@ -71,16 +72,16 @@
 @pytest.mark.parametrize(
     "events, at_fault, last",
     [
-        ("ee", False, OK),  # two machines may both be sick
-        ("eee", True, JOB_AT_FAULT),
-        ("deee", False, MACHINE_AT_FAULT),  # it has run well elsewhere
-        ("rrrreee", False, MACHINE_AT_FAULT),
-        ("rreee", True, JOB_AT_FAULT),
-        ("eeed", False, OK),  # what failed has passed
+        ("ee", False, Verdict.OK),  # two machines may both be sick
+        ("eee", True, Verdict.JOB_AT_FAULT),
+        ("deee", False, Verdict.MACHINE_AT_FAULT),  # it has run well elsewhere
+        ("rrrreee", False, Verdict.MACHINE_AT_FAULT),
+        ("rreee", True, Verdict.JOB_AT_FAULT),
+        ("eeed", False, Verdict.OK),  # what failed has passed
     ],
 )
 def test_a_job_that_fails_on_several_machines_is_at_fault(
-    events: str, at_fault: bool, last: int
+    events: str, at_fault: bool, last: Verdict
 ) -> None:
     managed, verdicts, _ = started(events)
     assert (managed.at_fault, verdicts[-1]) == (at_fault, last)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -8,7 +8,9 @@
 import msgspec
 import pytest
 
-from clayport.jobs.managed_job import CLEAR, KILL, LATER, OK, ManagedJob, can_ever_run
+from clayport.jobs.eligibility import can_ever_run
+from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.verdicts import Verdict
 from clayport.machines.table import GONE
 from clayport.model import MAX_TASKS, Job
 from clayport.records.chunk import Chunk, chunk_size
@@ -41,7 +43,7 @@
 def test_last_outcome_ends_the_job_in_the_same_transaction() -> None:
     managed = started(home())
     for number in range(3):
-        assert managed.event("m1", number, 1, "exited", "done", 1.0) == OK
+        assert managed.event("m1", number, 1, "exited", "done", 1.0) == Verdict.OK
     txn, _, covered, over = managed.outcome_txn(7, 9)
     assert over and covered == [0, 1, 2]
     assert txn.when[live_key("j-000001")] == 5 and txn.when["c/generation"] == 7
@@ -80,15 +82,15 @@
 @pytest.mark.parametrize(
     "event, verdict",
     [
-        (("m1", 0, 1, "running", ""), OK),
-        (("m2", 0, 1, "running", ""), KILL),  # assigned elsewhere
-        (("m1", 0, 9, "running", ""), KILL),  # another attempt
-        (("m1", 0, 9, "exited", "stopped"), CLEAR),
-        (("m1", 0, 9, GONE, ""), OK),
-        (("m1", 2, 1, "running", ""), LATER),  # its commit is under way
+        (("m1", 0, 1, "running", ""), Verdict.OK),
+        (("m2", 0, 1, "running", ""), Verdict.KILL),  # assigned elsewhere
+        (("m1", 0, 9, "running", ""), Verdict.KILL),  # another attempt
+        (("m1", 0, 9, "exited", "stopped"), Verdict.CLEAR),
+        (("m1", 0, 9, GONE, ""), Verdict.OK),
+        (("m1", 2, 1, "running", ""), Verdict.LATER),  # its commit is under way
     ],
 )
-def test_verdicts(event: tuple[str, int, int, str, str], verdict: int) -> None:
+def test_verdicts(event: tuple[str, int, int, str, str], verdict: Verdict) -> None:
     managed = started(home(), 2)
     managed.take(1)
     assert managed.event(*event, 1.0) == verdict
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from clayport.jobs import managed_job
+from clayport.jobs import eligibility
 from clayport.model import Job
 from clayport.records.keys import live_key
 
@@ -194,7 +194,7 @@
 ) -> None:
     handler, c = api()
     c.types = msgspec.convert(types, list[type(c.types[0])])  # type: ignore[misc]
-    assert managed_job.can_be_placed(msgspec.convert(job(1, **fields), Job), c.types) == ok
+    assert eligibility.can_be_placed(msgspec.convert(job(1, **fields), Job), c.types) == ok
     assert submit(handler, json.dumps(job(1, **fields)).encode()) == (201 if ok else 422)
 
 
