--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -18,7 +18,7 @@
     is_metered,
     quota_usage,
 )
-from clayport.jobs.verdicts import Verdict
+from clayport.jobs.verdicts import Verdict, for_uncommitted
 from clayport.machines.table import GONE
 from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
@@ -109,7 +109,8 @@
         self.preempt_at = 0.0  # when it may next have others preempted
         self.claim_at = 0.0  # when it may next look for machines for itself alone
         self.preempted = False
-        self.made: dict[str, tuple[int, float]] = {}  # machine: tasks room is made for, until
+        # Machine: how many tasks room is being made for by preemption, and until when.
+        self.made: dict[str, tuple[int, float]] = {}
         self.moved_at = now  # when a task of it was last moved to another machine
         self._group: tuple[Job, tuple[Any, ...]] | None = None
 
@@ -252,9 +253,7 @@
         if self.assignment(number) != (attempt, machine):
             if number in self.placing:
                 return Verdict.LATER  # its commit is under way
-            if state == GONE:
-                return Verdict.OK
-            return Verdict.CLEAR if state == "exited" else Verdict.KILL
+            return for_uncommitted(state)
         if number in self.outcomes:
             return Verdict.OK
         if state == GONE or state == "exited":
--- a/clayport/jobs/verdicts.py
+++ b/clayport/jobs/verdicts.py
@@ -4,6 +4,8 @@
 
 from enum import IntEnum
 
+from clayport.machines.table import GONE
+
 
 class Verdict(IntEnum):
     """The answer to one task event. Controllers send each other the numbers."""
@@ -20,3 +22,10 @@
     JOB_AT_FAULT = 4
     #: The task failed, and the machine is taken to be the cause.
     MACHINE_AT_FAULT = 5
+
+
+def for_uncommitted(state: str) -> Verdict:
+    """The verdict on an attempt that is not committed, by its state on the machine."""
+    if state == GONE:
+        return Verdict.OK
+    return Verdict.CLEAR if state == "exited" else Verdict.KILL
