--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -99,7 +99,7 @@
         self.next_report_check = now
 
         # Tasks without a machine: those from `cursor` on that are neither assigned nor done, and
-        # those in `again`. Tasks that were chosen are in `placing` until they are committed.
+        # those in `again`. Chosen ones are in `placing` until they are committed.
         self.cursor = 0
         self.again: deque[int] = deque()
         self.placing: set[int] = set()
--- a/clayport/scheduling/quota_portions.py
+++ b/clayport/scheduling/quota_portions.py
@@ -1,11 +1,16 @@
 """A team's quota divided into portions that several holders use without asking for each start.
 
-Pure decisions; no I/O, no clock, and nothing uses them yet (see docs/cells.md). There is a ledger
-for each team, with its limit and what is granted to each holder, and a portion for each holder, in
-the holder's own records. The two may lie in different state services, so no transaction spans
-them. Each function takes what was read of them and returns the record that is to be written, under
-the condition that the record which it replaces has not changed since it was read; None if there is
-nothing to write.
+Nothing calls this module yet. At present every commit that assigns or ends tasks of a limited team
+also writes one record of that team (`Dispatcher._charge`). docs/cells.md says why that can't hold
+for the number of starts in two years, and why portions come first. The decisions are kept here with
+tests that visit every order of events, so that the protocol is settled before starts and ends are
+wired to it; what that still lacks is in docs/ROADMAP.md.
+
+Pure decisions, without I/O or a clock. There is a ledger for each team, with its limit and what is
+granted to each holder, and a portion for each holder, in the holder's own records. The two may lie
+in different state services, so no transaction spans them. Each function takes what was read of them
+and returns the record that is to be written, under the condition that the record which it replaces
+has not changed since it was read; None if there is nothing to write.
 
 Invariant, whatever is repeated, lost, or carried out late: a holder's portion never exceeds its
 grant, and grants are never raised beyond the limit. Sequence numbers carry it: each lowering of a
@@ -21,7 +26,8 @@
 
 import msgspec
 
-SCALE = 1000  # amounts are whole thousandths, so that sums are exact
+# Amounts are whole thousandths of a CPU or GPU, so that sums are exact.
+SCALE = 1000
 
 
 class Amount(msgspec.Struct, frozen=True):
@@ -86,12 +92,28 @@
 
 
 def needed(cpus: float, gpus: float) -> Amount:
-    """What tasks take, rounded up."""
+    """What tasks take.
+
+    Args:
+        cpus: Their CPUs.
+        gpus: Their GPUs.
+
+    Returns:
+        The same in thousandths, rounded up.
+    """
     return Amount(_thousandths(cpus, math.ceil), _thousandths(gpus, math.ceil))
 
 
 def limited(cpus_max: float, gpus_max: float) -> Limit:
-    """A team's limit from the settings, where 0 means none; rounded down."""
+    """A team's limit from the settings.
+
+    Args:
+        cpus_max: The most CPUs; 0 if there is no limit.
+        gpus_max: The most GPUs; 0 if there is no limit.
+
+    Returns:
+        The same in thousandths, rounded down.
+    """
     return Limit(
         _thousandths(cpus_max, math.floor) if cpus_max > 0 else None,
         _thousandths(gpus_max, math.floor) if gpus_max > 0 else None,
@@ -99,14 +121,29 @@
 
 
 def may_start(portion: Portion, used: Amount, wanted: Amount) -> bool:
-    """Whether a holder may assign tasks that take so much. `used` is what it has assigned,
-    including what was sent and has no answer yet. The transaction that assigns them has the
-    portion's revision among its conditions."""
+    """Whether a holder may assign further tasks.
+
+    The transaction that assigns them has the portion's revision among its conditions.
+
+    Args:
+        portion: The holder's portion.
+        used: What it has assigned, including what was sent and has no answer yet.
+        wanted: What the further tasks take.
+    """
     return used.plus(wanted).within(portion.amount)
 
 
 def granted(ledger: Ledger, holder: str, wanted: Amount) -> Ledger | None:
-    """The ledger with as much more for a holder, up to `wanted` in all, as the limit allows."""
+    """The ledger with as much more for a holder as the limit allows.
+
+    Args:
+        ledger: The team's ledger.
+        holder: The holder's name.
+        wanted: What it wants to have in all.
+
+    Returns:
+        The ledger to be written; None if the holder gets no more.
+    """
     grant, total = ledger.grant(holder), ledger.total()
     amount = Amount(
         _raised(grant.amount.cpus, wanted.cpus, ledger.limit.cpus, total.cpus),
@@ -118,15 +155,29 @@
 
 
 def raised(portion: Portion, grant: Grant) -> Portion | None:
-    """The portion with all that is granted. Not while a release may still take it back."""
+    """The portion with all that is granted.
+
+    Returns:
+        The portion to be written; None if it has all of it, or if a release may still take it
+        back.
+    """
     if grant.sequence < portion.sequence or grant.amount == portion.amount:
         return None
     return Portion(grant.amount, grant.sequence)
 
 
 def lowered(portion: Portion, grant: Grant, keep: Amount, used: Amount) -> Portion | None:
-    """The portion with no more than `keep`, but all that is used, so that the rest of the grant
-    can be released. `used` is as in `may_start`."""
+    """The portion with less, so that the rest of the grant can be released.
+
+    Args:
+        portion: The holder's portion.
+        grant: What the ledger has for the holder.
+        keep: The most that it is to keep, unless more is used.
+        used: What it has assigned, including what was sent and has no answer yet.
+
+    Returns:
+        The portion to be written; None if it need not change for that.
+    """
     amount = Amount(
         min(portion.amount.cpus, max(keep.cpus, used.cpus)),
         min(portion.amount.gpus, max(keep.gpus, used.gpus)),
@@ -139,20 +190,32 @@
 
 
 def released(ledger: Ledger, holder: str, portion: Portion) -> Ledger | None:
-    """The ledger without what a lowered portion no longer holds."""
+    """The ledger without what a lowered portion no longer holds.
+
+    Returns:
+        The ledger to be written; None if the portion was not lowered since the last release.
+    """
     if portion.sequence <= ledger.grant(holder).sequence:
         return None
     return ledger.replaced(holder, Grant(portion.amount, portion.sequence))
 
 
 def limit_changed(ledger: Ledger, limit: Limit) -> Ledger | None:
-    """The ledger with another limit. A lower one holds for new grants at once; see `in_force`."""
+    """The ledger with another limit.
+
+    A lower one holds for new grants at once, and for all of them when `in_force` says so.
+
+    Returns:
+        The ledger to be written; None if the limit is the same.
+    """
     return None if limit == ledger.limit else Ledger(limit, ledger.grants)
 
 
 def in_force(ledger: Ledger) -> bool:
-    """Whether all grants together are within the limit: after it was lowered, holders have to
-    release first."""
+    """Whether all grants together are within the limit.
+
+    After it was lowered, holders have to release first.
+    """
     total, limit = ledger.total(), ledger.limit
     return (limit.cpus is None or total.cpus <= limit.cpus) and (
         limit.gpus is None or total.gpus <= limit.gpus
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -96,6 +96,14 @@
     assert managed.event(*event, 1.0) == verdict
 
 
+def test_verdicts_have_the_numbers_of_the_wire() -> None:
+    """Controllers of the version before send and read the bare numbers."""
+    names = ["OK", "KILL", "CLEAR", "LATER", "JOB_AT_FAULT", "MACHINE_AT_FAULT"]
+    assert [(verdict.name, int(verdict)) for verdict in Verdict] == [
+        (name, number) for number, name in enumerate(names)
+    ]
+
+
 def test_gang_waits_for_its_last_old_task() -> None:
     managed = started(home(shape="ensemble"))
     for number in range(3):
