--- a/bench/passes.py
+++ b/bench/passes.py
@@ -89,8 +89,8 @@
         if managed.starts and hasattr(core.placer, "line"):
             core.queue.touch(managed.job.id)
         managed.starts.clear()
-        managed.placing.clear()
-        managed.again.clear()
+        managed.being_placed.clear()
+        managed.requeued.clear()
         managed.cursor = 0
     core.cached_state.inflight.clear()
     for coro in core.routines.coroutines:
--- a/clayport/jobs/committed_tasks.py
+++ b/clayport/jobs/committed_tasks.py
@@ -17,7 +17,7 @@
 
     They are recorded in chunks of equal numbers of consecutive tasks. When the state service
     comes to accept less in a value than it did, the job goes over to narrower chunks: first in
-    memory (`narrow`), then in the records, one transaction after the other
+    memory (`split_chunks`), then in the records, one transaction after the other
     (`transactions.split_txn`). Until the last of the wider chunks has been deleted, these hold
     the truth, and nothing else of the job may be committed.
 
@@ -27,14 +27,14 @@
     """
 
     def __init__(self, job: Job, size: int) -> None:
-        self.job, self.size = job, size
+        self.job, self.chunk_size = job, size
         self.default_size = size
         self.chunks: dict[int, Chunk] = {}
         # The chunk size that is part of the chunks' keys. The keys of the first versions had
         # none: for these it is 0.
         self.layout = 0
         # Keys and revisions of wider chunks that are still recorded.
-        self.wide: dict[str, int] = {}
+        self.wider_chunks: dict[str, int] = {}
         # The highest attempt number in use, and how many tasks are done and assigned.
         self.attempt = 0
         self.done = 0
@@ -55,28 +55,28 @@
         Args:
             found: All recorded chunks, by layout and index.
         """
-        self.layout, self.size, self.wide = 0, self.default_size, {}
-        layouts = sorted({layout for layout, _ in found}, key=lambda s: s or self.size)
+        self.layout, self.chunk_size, self.wider_chunks = 0, self.default_size, {}
+        layouts = sorted({layout for layout, _ in found}, key=lambda s: s or self.chunk_size)
         if not layouts:
             self.load({})
             return
         narrowest = layouts[0]
         if len(layouts) == 1:
-            self.layout, self.size = narrowest, narrowest or self.size
+            self.layout, self.chunk_size = narrowest, narrowest or self.chunk_size
             self.load({index: chunk for (_, index), chunk in found.items()})
             return
-        size = narrowest or self.size
+        size = narrowest or self.chunk_size
         merged = {
             index: chunk.copy() for (layout, index), chunk in found.items() if layout == narrowest
         }
         for wider in layouts[1:]:
-            wider_size = wider or self.size
+            wider_size = wider or self.chunk_size
             for (layout, index), chunk in found.items():
                 if layout == wider:
                     span = range(index * wider_size, (index + 1) * wider_size)
                     self._split_chunk(chunk, span, merged, size)
-                    self.wide[chunk_key(self.job.id, index, layout)] = chunk.rev
-        self.layout, self.size = narrowest, size
+                    self.wider_chunks[chunk_key(self.job.id, index, layout)] = chunk.rev
+        self.layout, self.chunk_size = narrowest, size
         self.load(merged)
 
     @staticmethod
@@ -107,7 +107,7 @@
             else:
                 chunks[index].assigned[number] = wider.assigned[number]
 
-    def narrow(self, size: int) -> bool:
+    def split_chunks(self, size: int) -> bool:
         """Go over to chunks of `size` tasks, where the present ones hold more.
 
         In memory at once; the records have to follow (`transactions.split_txn`) before anything
@@ -116,18 +116,18 @@
         Returns:
             Whether any wider chunk is still recorded.
         """
-        if self.size <= size or self.job.tasks <= size:
-            return bool(self.wide)
+        if self.chunk_size <= size or self.job.tasks <= size:
+            return bool(self.wider_chunks)
         chunks: dict[int, Chunk] = {}
         for index, chunk in self.chunks.items():
-            span = range(index * self.size, (index + 1) * self.size)
+            span = range(index * self.chunk_size, (index + 1) * self.chunk_size)
             self._split_chunk(chunk, span, chunks, size)
             if chunk.rev:
-                self.wide[chunk_key(self.job.id, index, self.layout)] = chunk.rev
-        self.layout = self.size = size
+                self.wider_chunks[chunk_key(self.job.id, index, self.layout)] = chunk.rev
+        self.layout = self.chunk_size = size
         self.chunks = chunks
         self.recount()
-        return bool(self.wide)
+        return bool(self.wider_chunks)
 
     def key(self, index: int) -> str:
         """The key under which a chunk is recorded."""
@@ -141,7 +141,7 @@
         self.done = sum(len(c.done) for c in self.chunks.values())
         self.assigned = sum(len(c.assigned) for c in self.chunks.values())
 
-    def committed(self, chunks: dict[int, Chunk], rev: int) -> None:
+    def apply_commit(self, chunks: dict[int, Chunk], rev: int) -> None:
         """Take over the chunks that a transaction has changed.
 
         Args:
@@ -155,7 +155,7 @@
 
     def assignment(self, number: int) -> tuple[int, str] | None:
         """The committed attempt and machine of a task; None if it is not assigned."""
-        chunk = self.chunks.get(number // self.size)
+        chunk = self.chunks.get(number // self.chunk_size)
         return chunk.assigned.get(number) if chunk else None
 
     def assignments(self) -> list[Assignment]:
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -10,8 +10,11 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import CLEAR, KILL, LATER, OK, ManagedJob, amounts, counts
+from clayport.jobs.eligibility import is_metered, quota_usage
+from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.registry import JobRegistry
+from clayport.jobs.transactions import outcome_txn, split_txn, start_txn
+from clayport.jobs.verdicts import Verdict, for_uncommitted
 from clayport.machines.fleet import Fleet
 from clayport.machines.routing import Routing
 from clayport.machines.table import GONE, MachineTable
@@ -139,13 +142,13 @@
                 await self.routines.flush()
                 patience_s = (
                     self.membership.lease_ttl_s
-                    if managed.ended or managed.breaking
+                    if managed.ended or managed.attempt_failed
                     else 4 * self.membership.lease_ttl_s
                 )
-                if managed.gather_until and managed.outcomes:
-                    patience_s = max(0.001, managed.gather_until - time.monotonic())
+                if managed.batch_outcomes_until and managed.outcomes:
+                    patience_s = max(0.001, managed.batch_outcomes_until - time.monotonic())
                 await self.routines.wait(name, patience_s)
-                unheard = managed.unheard(time.monotonic(), 4 * self.membership.lease_ttl_s)
+                unheard = managed.find_unreported(time.monotonic(), 4 * self.membership.lease_ttl_s)
                 if unheard:
                     # Of what nobody says anything, the owner may have lost track.
                     log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unheard))
@@ -165,7 +168,11 @@
                 self.queue.touch(managed.job.id)
 
     async def _due(self, managed: ManagedJob) -> bool:
-        if self.upgrade.complete and managed.narrow(self.upgrade.chunk_size) or managed.wide:
+        if (
+            self.upgrade.complete
+            and managed.split_chunks(self.upgrade.chunk_size)
+            or managed.wider_chunks
+        ):
             await self._move(managed)
             return True
         if not managed.ended and managed.job.id in self.jobs.dependencies.to_cancel:
@@ -178,7 +185,7 @@
             finally:
                 for number, _ in starts:
                     self.cached_state.inflight.pop((managed.job.id, number), None)
-                managed.give_back([n for n, _ in starts if n in managed.placing])
+                managed.requeue([n for n, _ in starts if n in managed.being_placed])
                 self.cached_state.stale.update(dict.fromkeys(machine for _, machine in starts))
             self.routines.signal("place")
             return True
@@ -186,16 +193,16 @@
         if managed.outcomes and not self._gathers(managed, now):
             await self._commit_outcomes(managed)
             return True
-        if now >= managed.kill_at:
+        if now >= managed.next_stop_at:
             if managed.ended:
                 left, grace = managed.assignments(), 0.0
             else:
                 left, grace = (
-                    managed.broken(),
+                    managed.tasks_to_stop(),
                     managed.job.save_s if managed.job.checkpoint_s else 0.0,
                 )
             if left:
-                managed.kill_at = now + self.membership.lease_ttl_s
+                managed.next_stop_at = now + self.membership.lease_ttl_s
                 await self._stop(
                     managed, [(m, f"{managed.job.id}/{n}", a, grace, False) for n, a, m in left]
                 )
@@ -220,9 +227,9 @@
             or not all(done for _, done in managed.outcomes.values())
         ):
             return False
-        if not managed.gather_until:
-            managed.gather_until = now + self.settings.cluster.workers.report_s * GATHER
-        return now < managed.gather_until
+        if not managed.batch_outcomes_until:
+            managed.batch_outcomes_until = now + self.settings.cluster.workers.report_s * GATHER
+        return now < managed.batch_outcomes_until
 
     async def _move(self, managed: ManagedJob) -> None:
         """Write the job's narrower chunks, then remove the wider ones they come from.
@@ -238,19 +245,19 @@
             managed.job.id,
             managed.epoch,
             len(managed.chunks),
-            managed.size,
+            managed.chunk_size,
         )
-        while managed.wide:
-            txn, chunks, gone = managed.move_txn(fence, self.upgrade.limits.txn_ops, moved)
+        while managed.wider_chunks:
+            txn, chunks, gone = split_txn(managed, fence, self.upgrade.limits.txn_ops, moved)
             try:
                 rev = await self._settle(txn, fence)
             except ConflictError as exc:
                 await self._conflict(managed, exc, fence)
                 return
-            managed.committed(chunks, rev)
+            managed.apply_commit(chunks, rev)
             moved.update(chunks)
             for key in gone:
-                del managed.wide[key]
+                del managed.wider_chunks[key]
 
     async def _cancel(self, managed: ManagedJob) -> None:
         """A job that this one needs was cancelled, and so is this one.
@@ -321,7 +328,7 @@
         epoch = self.membership.epoch
         if await self._charge(job, 1 if job.kind != GANG else len(starts)) is None:
             return
-        if not managed.filling:
+        if not managed.accepts_replacements:
             managed.attempt += 1
         attempt = managed.attempt
         granted = await self._reserve(managed, starts, attempt)
@@ -349,7 +356,7 @@
         if quota is None:
             await self._stop(managed, release)
             return
-        txn, chunks = managed.start_txn(fence, granted, attempt)
+        txn, chunks = start_txn(managed, fence, granted, attempt)
         for key, (value, rev) in quota.items():
             txn.require(key, rev).put(key, value)
         try:
@@ -361,10 +368,10 @@
         except UnavailableError:
             await self._stop(managed, release)
             raise
-        managed.committed(chunks, rev)
+        managed.apply_commit(chunks, rev)
         self._charged(quota, rev)
         for number, _ in granted:
-            managed.placing.discard(number)
+            managed.being_placed.discard(number)
         await self._launch(managed, [(m, f"{job.id}/{n}", attempt) for n, m in granted], fence)
 
     async def _reserve(
@@ -402,8 +409,8 @@
         tasks, so it can't drift from what they take.
         """
         limit = self.quotas.limits.get(job.team, (0.0, 0.0))
-        cpus, gpus = amounts(job, count)
-        if not counts(limit, cpus, gpus):
+        cpus, gpus = quota_usage(job, count)
+        if not is_metered(limit, cpus, gpus):
             return {}
         key = quota_key(job.team)
         entry = await self.store.get(key)
@@ -465,7 +472,7 @@
                     number = split_task(task)[1]
                     if not answer and managed.assignment(number) == (attempt, machine):
                         # No reservation: it was not launched and never will be.
-                        managed.event(machine, number, attempt, GONE, "", time.monotonic())
+                        managed.handle_event(machine, number, attempt, GONE, "", time.monotonic())
                 break
 
     @staticmethod
@@ -520,10 +527,10 @@
         await self.routines.flush()
 
     async def _commit_outcomes(self, managed: ManagedJob) -> None:
-        managed.gather_until = 0.0
+        managed.batch_outcomes_until = 0.0
         fence = self._fence(managed)
         at = time.time()
-        txn, chunks, covered, over = managed.outcome_txn(fence, self.outcome_chunks, at)
+        txn, chunks, covered, over = outcome_txn(managed, fence, self.outcome_chunks, at)
         count = sum(1 for n in covered if managed.assignment(n) is not None)
         quota = await self._charge(managed.job, -count) or {}
         for key, (value, rev) in quota.items():
@@ -534,13 +541,13 @@
             except ConflictError as exc:
                 await self._conflict(managed, exc, fence)
                 return
-            managed.committed(chunks, rev)
+            managed.apply_commit(chunks, rev)
             self._charged(quota, rev)
             dropped = {w["remove"] for w in txn.writes if "remove" in w}
             for index in [i for i in chunks if managed.key(i) in dropped]:
                 del managed.chunks[index]
-        where = {n: managed.where.pop(n, "") for n in covered}
-        cleared = managed.covered(covered)
+        where = {n: managed.exited_on.pop(n, "") for n in covered}
+        cleared = managed.clear_outcomes(covered)
         if over:
             managed.ended = "done"
             self.record_replica.note_end(managed.job.id, "done", at)
@@ -608,7 +615,7 @@
 
     # -- what owners tell ------------------------------------------------
 
-    def told(self, events: Iterable[tuple[str, str, int, str, str, bool]]) -> list[int]:
+    def told(self, events: Iterable[tuple[str, str, int, str, str, bool]]) -> list[Verdict]:
         """Judge an owner's events."""
         verdicts = []
         now = time.monotonic()
@@ -616,21 +623,21 @@
             try:
                 job, number = split_task(task)
             except ValueError:
-                verdicts.append(CLEAR if state == "exited" else KILL)
+                verdicts.append(Verdict.CLEAR if state == "exited" else Verdict.KILL)
                 continue
             managed = self.jobs.managed.get(job)
             if managed is None:
                 if job in self.jobs.live:
-                    verdict = LATER  # its routine is just being started
+                    verdict = Verdict.LATER  # its routine is just being started
                 else:
-                    verdict = OK if state == GONE else CLEAR if state == "exited" else KILL
+                    verdict = for_uncommitted(state)
             else:
                 started = managed.started
-                verdict = managed.event(machine, number, attempt, state, cause, now)
+                verdict = managed.handle_event(machine, number, attempt, state, cause, now)
                 if managed.started != started:
                     self.queue.touch(job)
                 if number in managed.outcomes:
-                    managed.where[number] = machine if state == "exited" else ""
+                    managed.exited_on[number] = machine if state == "exited" else ""
                     self.routines.signal(managed.name)
             verdicts.append(verdict)
         return verdicts
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -10,43 +10,13 @@
 from collections.abc import Collection, Container, Iterable
 from typing import Any
 
-from clayport.jobs import transactions
 from clayport.jobs.committed_tasks import Assignment, CommittedTasks
-from clayport.jobs.eligibility import (
-    can_be_placed,
-    can_ever_run,
-    is_metered,
-    quota_usage,
-)
 from clayport.jobs.verdicts import Verdict, for_uncommitted
 from clayport.machines.table import GONE
 from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
 from clayport.scheduling.placement import shape
 
-__all__ = [
-    "CLEAR",
-    "JOB_AT_FAULT",
-    "KILL",
-    "LATER",
-    "MACHINE_AT_FAULT",
-    "OK",
-    "ManagedJob",
-    "amounts",
-    "can_be_placed",
-    "can_ever_run",
-    "counts",
-]
-
-# The names under which other modules know what has moved.
-amounts, counts = quota_usage, is_metered
-OK: int = Verdict.OK
-KILL: int = Verdict.KILL
-CLEAR: int = Verdict.CLEAR
-LATER: int = Verdict.LATER
-JOB_AT_FAULT: int = Verdict.JOB_AT_FAULT
-MACHINE_AT_FAULT: int = Verdict.MACHINE_AT_FAULT
-
 # Machines on which a job has to have failed before it is taken to be at fault itself.
 FAULT_MACHINES = 3
 # The exponent beyond which the pause of a job at fault grows no further.
@@ -93,31 +63,31 @@
         # machine, then (attempt, whether done) until that is committed.
         self.states: dict[int, tuple[str, str]] = {}
         self.outcomes: dict[int, tuple[int, bool]] = {}
-        self.where: dict[int, str] = {}  # task that exited: the machine still listing it
+        self.exited_on: dict[int, str] = {}  # task that exited: the machine still listing it
         self.started = False  # a task of it has been seen running
         self.unreported: set[tuple[int, int]] = set()  # (task, attempt), as of the last check
         self.next_report_check = now
 
         # Tasks without a machine: those from `cursor` on that are neither assigned nor done, and
-        # those in `again`. Chosen ones are in `placing` until they are committed.
+        # those in `requeued`. Chosen ones are in `being_placed` until they are committed.
         self.cursor = 0
-        self.again: deque[int] = deque()
-        self.placing: set[int] = set()
+        self.requeued: deque[int] = deque()
+        self.being_placed: set[int] = set()
         self.starts: list[tuple[int, str]] = []  # placed, to be reserved and committed
-        self.since = now  # when it began to wait
+        self.waiting_since = now  # when it began to wait
         self.not_before = 0.0  # when it may next be placed
-        self.preempt_at = 0.0  # when it may next have others preempted
-        self.claim_at = 0.0  # when it may next look for machines for itself alone
+        self.next_preempt_at = 0.0  # when it may next have others preempted
+        self.next_claim_at = 0.0  # when it may next look for machines for itself alone
         self.preempted = False
         # Machine: how many tasks room is being made for by preemption, and until when.
-        self.made: dict[str, tuple[int, float]] = {}
-        self.moved_at = now  # when a task of it was last moved to another machine
+        self.preempted_room: dict[str, tuple[int, float]] = {}
+        self.last_migration_at = now  # when a task of it was last moved to another machine
         self._group: tuple[Job, tuple[Any, ...]] | None = None
 
-        self.gather_until = 0.0  # done tasks wait to be committed with others
-        self.kill_at = 0.0  # when tasks that are to be stopped are next told so
-        self.breaking = False  # a gang that lost a task and is being stopped
-        self.left: set[str] = set()  # machines that a gang's present attempt has lost
+        self.batch_outcomes_until = 0.0  # done tasks wait to be committed with others
+        self.next_stop_at = 0.0  # when tasks that are to be stopped are next told so
+        self.attempt_failed = False  # a gang that lost a task and is being stopped
+        self.lost_machines: set[str] = set()  # machines that a gang's present attempt has lost
 
         self.errors: dict[str, int] = {}  # machine: failures of this job there, the latest last
         self.has_completed_task = False
@@ -145,7 +115,7 @@
         """Derive anew what follows from the chunks, after others were loaded."""
         super().recount()
         self.has_completed_task = self.has_completed_task or self.done > 0
-        self.again.clear()
+        self.requeued.clear()
         self.cursor = 0
 
     # -- tasks without a machine ------------------------------------------
@@ -155,12 +125,12 @@
         """How many tasks wait for a machine; a gang's wait until the last old one is gone."""
         if self.ended or self.blocked:
             return 0
-        if self.job.kind == GANG and self.assigned and not self.filling:
+        if self.job.kind == GANG and self.assigned and not self.accepts_replacements:
             return 0
-        return self.job.tasks - self.done - self.assigned - len(self.placing)
+        return self.job.tasks - self.done - self.assigned - len(self.being_placed)
 
     @property
-    def filling(self) -> bool:
+    def accepts_replacements(self) -> bool:
         """Whether this is a gang that has not started and lacks tasks.
 
         Replacements with the same attempt number complete it, so nothing has to be fetched or
@@ -168,7 +138,7 @@
         """
         return (
             self.job.kind == GANG
-            and not self.breaking
+            and not self.attempt_failed
             and not self.done
             and bool(self.assigned)
             and not self.outcomes
@@ -177,12 +147,12 @@
 
     def _is_free(self, number: int) -> bool:
         """Whether a task is neither assigned nor done, nor about to be assigned."""
-        if number in self.placing:
+        if number in self.being_placed:
             return False
-        chunk = self.chunks.get(number // self.size)
+        chunk = self.chunks.get(number // self.chunk_size)
         return chunk is None or (number not in chunk.assigned and number not in chunk.done)
 
-    def take(self, count: int, limit: int = UNLIMITED_CHUNKS) -> list[int]:
+    def take_pending(self, count: int, limit: int = UNLIMITED_CHUNKS) -> list[int]:
         """Take tasks that wait for a machine, and mark them as being placed.
 
         Of `limit` chunks at most, and as many as one transaction holds: tasks that wait
@@ -199,11 +169,11 @@
 
         def take_if_it_fits(number: int) -> bool:
             nonlocal size
-            index = number // self.size
+            index = number // self.chunk_size
             added = ASSIGNED_BYTES
             if index not in indexes:
                 chunk = self.chunks.get(index)
-                added += chunk.most_bytes(self.size) if chunk else 0
+                added += chunk.most_bytes(self.chunk_size) if chunk else 0
             if indexes and (
                 size + added > TXN_BYTES or (index not in indexes and len(indexes) == limit)
             ):
@@ -211,30 +181,30 @@
             indexes.add(index)
             size += added
             taken.append(number)
-            self.placing.add(number)
+            self.being_placed.add(number)
             return True
 
-        for _ in range(len(self.again)):
+        for _ in range(len(self.requeued)):
             if len(taken) == count:
                 break
-            number = self.again.popleft()
+            number = self.requeued.popleft()
             if self._is_free(number) and not take_if_it_fits(number):
-                self.again.append(number)
+                self.requeued.append(number)
         while self.cursor < self.job.tasks and len(taken) < count:
             if self._is_free(self.cursor) and not take_if_it_fits(self.cursor):
                 break
             self.cursor += 1
         return taken
 
-    def give_back(self, numbers: Iterable[int]) -> None:
+    def requeue(self, numbers: Iterable[int]) -> None:
         """Have tasks that were not started after all wait again."""
         for number in numbers:
-            self.placing.discard(number)
-            self.again.append(number)
+            self.being_placed.discard(number)
+            self.requeued.append(number)
 
     # -- events ----------------------------------------------------------
 
-    def event(
+    def handle_event(
         self, machine: str, number: int, attempt: int, state: str, cause: str, now: float
     ) -> Verdict:
         """Take note of what an owner tells of a task.
@@ -251,7 +221,7 @@
             What the owner has to do about it.
         """
         if self.assignment(number) != (attempt, machine):
-            if number in self.placing:
+            if number in self.being_placed:
                 return Verdict.LATER  # its commit is under way
             return for_uncommitted(state)
         if number in self.outcomes:
@@ -260,11 +230,11 @@
             started = any(s in ("running", "saving") for s, _ in self.states.values())
             self.outcomes[number] = (attempt, cause == "done")
             if self.job.kind == GANG and cause != "done":
-                self.left.add(machine)
+                self.lost_machines.add(machine)
                 # Once it has started, or when the others have waited too long, the
                 # attempt is over and all its tasks have to go before the next.
                 if started or cause in ("mates_gone", "alone", "error"):
-                    self.breaking = True
+                    self.attempt_failed = True
             if cause == "error":
                 self.states.pop(number, None)
                 return self._record_failure(machine, now)
@@ -276,7 +246,7 @@
             self.started = self.started or state == "running"
         return Verdict.OK
 
-    def removed(self, machines: Container[str]) -> bool:
+    def mark_machines_gone(self, machines: Container[str]) -> bool:
         """Note that tasks on machines whose return is confirmed are gone.
 
         Returns:
@@ -285,11 +255,11 @@
         changed = False
         for number, attempt, machine in self.assignments():
             if machine in machines and number not in self.outcomes:
-                self.event(machine, number, attempt, GONE, "", 0.0)
+                self.handle_event(machine, number, attempt, GONE, "", 0.0)
                 changed = True
         return changed
 
-    def unheard(self, now: float, patience_s: float) -> set[int]:
+    def find_unreported(self, now: float, patience_s: float) -> set[int]:
         """Assigned tasks of which no owner has told anything.
 
         Only what two checks in a row find counts as lost sight of; one of them may be just about
@@ -312,11 +282,11 @@
         )
         return {number for number, _ in self.unreported & before}
 
-    def broken(self) -> list[Assignment]:
+    def tasks_to_stop(self) -> list[Assignment]:
         """The rest of a gang that has lost a task: to be stopped before the next attempt."""
         if self.job.kind != GANG or self.ended:
             return []
-        if not self.breaking:
+        if not self.attempt_failed:
             return []
         return [(n, a, m) for n, a, m in self.assignments() if n not in self.outcomes]
 
@@ -365,29 +335,15 @@
 
     # -- commits ---------------------------------------------------------
 
-    def start_txn(
-        self, fence: int, starts: list[tuple[int, str]], attempt: int
-    ) -> transactions.StartTxn:
-        """See `transactions.start_txn`."""
-        return transactions.start_txn(self, fence, starts, attempt)
-
-    def outcome_txn(self, fence: int, limit: int, at: float = 0.0) -> transactions.OutcomeTxn:
-        """See `transactions.outcome_txn`."""
-        return transactions.outcome_txn(self, fence, limit, at)
-
-    def move_txn(self, fence: int, limit: int, moved: set[int]) -> transactions.SplitTxn:
-        """See `transactions.split_txn`."""
-        return transactions.split_txn(self, fence, limit, moved)
-
-    def committed(self, chunks: dict[int, Chunk], rev: int) -> None:
+    def apply_commit(self, chunks: dict[int, Chunk], rev: int) -> None:
         """Take over the chunks that a transaction has changed, and end a gang's attempt with
         the last of its tasks."""
-        super().committed(chunks, rev)
+        super().apply_commit(chunks, rev)
         if not self.assigned:
-            self.breaking = False
-            self.left.clear()
+            self.attempt_failed = False
+            self.lost_machines.clear()
 
-    def covered(self, numbers: Iterable[int]) -> list[tuple[int, int]]:
+    def clear_outcomes(self, numbers: Iterable[int]) -> list[tuple[int, int]]:
         """Forget committed outcomes; tasks that are not done wait again.
 
         Returns:
@@ -399,5 +355,5 @@
             self.states.pop(number, None)
             cleared.append((number, attempt))
             if self._is_free(number):
-                self.again.append(number)
+                self.requeued.append(number)
         return cleared
--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -2,7 +2,7 @@
 
 They are only built here; `jobs.dispatcher` sends them. Each is conditional on the record of the
 epoch and on the revision of every chunk that it changes, so that it fails where another controller
-has written in the meantime. After a commit, `ManagedJob.committed` takes the chunks over.
+has written in the meantime. After a commit, `ManagedJob.apply_commit` takes the chunks over.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     txn = Txn().require(EPOCH_KEY, fence).require(live, managed.live_rev)
     chunks: dict[int, Chunk] = {}
     for number, machine in starts:
-        index = number // managed.size
+        index = number // managed.chunk_size
         if index not in chunks:
             chunks[index] = _require_chunk(managed, txn, index)
         chunks[index].assigned[number] = (attempt, machine)
@@ -101,10 +101,10 @@
     tasks: list[int] = []
     finished = size = 0
     for number, (attempt, done) in managed.outcomes.items():
-        index = number // managed.size
+        index = number // managed.chunk_size
         if index not in chunks:
             old = managed.chunks.get(index)
-            added = old.most_bytes(managed.size) if old is not None else 0
+            added = old.most_bytes(managed.chunk_size) if old is not None else 0
             if chunks and (len(chunks) == limit or size + added > TXN_BYTES):
                 continue
             size += added
@@ -144,14 +144,14 @@
     for index, chunk in committed.chunks.items():
         if index in written:
             continue
-        size += chunk.most_bytes(committed.size)
+        size += chunk.most_bytes(committed.chunk_size)
         if chunks and (len(chunks) == limit or size > TXN_BYTES):
             return SplitTxn(txn, chunks, [])
         chunks[index] = _require_chunk(committed, txn, index)
         txn.put(committed.key(index), chunk.value())
     deleted: list[str] = []
     if not chunks:
-        for key, rev in list(committed.wide.items())[:limit]:
+        for key, rev in list(committed.wider_chunks.items())[:limit]:
             txn.require(key, rev).delete(key)
             deleted.append(key)
     return SplitTxn(txn, chunks, deleted)
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -12,8 +12,8 @@
 import curio
 import msgspec
 
-from clayport.jobs.managed_job import CLEAR, JOB_AT_FAULT, KILL, LATER, MACHINE_AT_FAULT
 from clayport.jobs.registry import JobRegistry
+from clayport.jobs.verdicts import Verdict
 from clayport.leases.renewal import LeaseRenewal
 from clayport.leases.watermark import CancellationWatermark
 from clayport.machines.fencing import MachineFencing
@@ -55,7 +55,7 @@
 class EventHandler(Protocol):
     """Takes in what owners tell of tasks, where this controller leads the job itself."""
 
-    def told(self, events: Iterable[Told]) -> list[int]:
+    def told(self, events: Iterable[Told]) -> list[Verdict]:
         """Judge the events in order; a verdict for each."""
         ...
 
@@ -415,15 +415,15 @@
         machine, task, attempt, state = event[:4]
         key: Key = (task, attempt)
         owner = self.machines
-        if verdict == LATER:
+        if verdict == Verdict.LATER:
             owner.retell(machine, key)
-        elif verdict in (JOB_AT_FAULT, MACHINE_AT_FAULT):
-            owner.judge(machine, task.partition("/")[0], verdict == JOB_AT_FAULT)
+        elif verdict in (Verdict.JOB_AT_FAULT, Verdict.MACHINE_AT_FAULT):
+            owner.judge(machine, task.partition("/")[0], verdict == Verdict.JOB_AT_FAULT)
         elif state == GONE:
             owner.settled(machine, key)
-        elif verdict == KILL:
+        elif verdict == Verdict.KILL:
             owner.stop([(machine, task, attempt, 0.0, False)])
-        elif verdict == CLEAR:
+        elif verdict == Verdict.CLEAR:
             owner.stop([(machine, task, attempt, 0.0, True)])
 
     def evacuate(self, name: str, drain: bool) -> bool:
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -43,7 +43,7 @@
             self.view.index.remove(name)
             self.view.zones.pop(name, None)
         for managed in self.jobs.managed.values():
-            if managed.removed(found):
+            if managed.mark_machines_gone(found):
                 self.routines.signal(managed.name)
         self.routines.signal("place")
 
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -173,7 +173,7 @@
         node = self.jobs.dependencies.nodes.get(job.id)
         if node is not None:
             managed.blocked = bool(node.unfinished_prerequisites)
-            managed.since = node.ready_at
+            managed.waiting_since = node.ready_at
         self.jobs.managed[job.id] = managed
         self.queue.touch(job.id)
         self.routines.spawn(self.dispatcher.drive(managed))
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -25,7 +25,8 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import ManagedJob, amounts, counts
+from clayport.jobs.committed_tasks import CommittedTasks
+from clayport.jobs.eligibility import is_metered, quota_usage
 from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
 from clayport.rebuild.evidence import Evidence, Task, split
@@ -187,9 +188,9 @@
         keys.setdefault(job, set()).add(key)
     found = {}
     for job, chunks in raw.items():
-        managed = ManagedJob(_ANY, 1, first_size, 0.0)
-        managed.load_all(chunks)
-        found[job] = Chunks(managed.layout, managed.chunks, keys[job])
+        committed = CommittedTasks(_ANY, first_size)
+        committed.load_all(chunks)
+        found[job] = Chunks(committed.layout, committed.chunks, keys[job])
     return found
 
 
@@ -264,8 +265,8 @@
 def _charge(
     used: dict[str, list[float]], job: Job, count: int, limits: Mapping[str, tuple[float, float]]
 ) -> None:
-    cpus, gpus = amounts(job, count)
-    if counts(limits.get(job.team, (0.0, 0.0)), cpus, gpus):
+    cpus, gpus = quota_usage(job, count)
+    if is_metered(limits.get(job.team, (0.0, 0.0)), cpus, gpus):
         row = used.setdefault(job.team, [0.0, 0.0])
         row[0] += cpus
         row[1] += gpus
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -360,7 +360,7 @@
             self.arrivals.note(job, time.monotonic())
         managed = self.jobs.managed.get(name)
         if managed is not None and not managed.ended:
-            managed.since = self.jobs.dependencies.nodes[name].ready_at
+            managed.waiting_since = self.jobs.dependencies.nodes[name].ready_at
             managed.blocked = False
             self.queue.touch(name)
             log.info("job=%s event=ready", name)
@@ -487,7 +487,7 @@
                 self.jobs.ended_descriptions.pop(next(iter(self.jobs.ended_descriptions)))
         if managed is not None and not managed.ended:
             managed.ended = status
-            managed.kill_at = 0.0
+            managed.next_stop_at = 0.0
             self.queue.touch(job)
             self.routines.signal(managed.name)
 
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -13,7 +13,8 @@
 
 import curio
 
-from clayport.jobs.managed_job import ManagedJob, amounts
+from clayport.jobs.eligibility import quota_usage
+from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.registry import JobRegistry
 from clayport.machines.fleet import Fleet
 from clayport.machines.table import MachineTable
@@ -258,7 +259,12 @@
         zones = ""
         if managed.job.spread or managed.job.one_zone:
             zones = " ".join(self.view.zones.get(m, "") for _, _, m in managed.assignments())
-        return managed.job.id, managed.pending + len(managed.placing), now - managed.since, zones
+        return (
+            managed.job.id,
+            managed.pending + len(managed.being_placed),
+            now - managed.waiting_since,
+            zones,
+        )
 
     def all_demand(self) -> list[Demand]:
         """Demand of the whole epoch, most urgent first."""
@@ -461,7 +467,7 @@
             look.starved = look.starved or not job.backfill
             for which in names_of(job):
                 self.missed.setdefault(which, job)
-            if job.id not in look.index.held and not managed.errors and not managed.left:
+            if job.id not in look.index.held and not managed.errors and not managed.lost_machines:
                 look.full.setdefault(managed.group, look.index.rev)
         else:
             for which in names_of(job):
@@ -475,7 +481,7 @@
         job = managed.job
         wanted = min(
             managed.pending,
-            managed.size
+            managed.chunk_size
             * max(self.upgrade.limits.txn_ops // 4, min(3, self.dispatcher.start_chunks)),
         )
         wanted = self._within_limit(job, wanted)
@@ -495,9 +501,11 @@
         looked for in the end (fewer, where some is being made)."""
         job, now, index, policy = managed.job, look.now, look.index, look.policy
         without: Collection[str] = (
-            {*managed.avoided(), *managed.left} if managed.errors or managed.left else ()
+            {*managed.avoided(), *managed.lost_machines}
+            if managed.errors or managed.lost_machines
+            else ()
         )
-        age = now - managed.since
+        age = now - managed.waiting_since
         # Not on ordinary machines that it alone would keep rented.
         lodger = job.backfill and age < self.long_s and self.hinders(job)
         patient, fragile = self.objectives.patient(job, age), self.objectives.fragile(job, age)
@@ -526,7 +534,7 @@
             soon = self._soon(job, limit - age)
             chosen = find(job, wanted, uncached=soon)
             if len(chosen) < wanted and most >= 0:
-                if now < managed.preempt_at:
+                if now < managed.next_preempt_at:
                     wanted = len(chosen)
                 elif not managed.preempted and make(
                     wanted - len(chosen), grace_s=0.0, most=RANKS["best_effort"], uncached=soon
@@ -538,11 +546,11 @@
         if len(chosen) < wanted and not patient and job.kind != GANG:
             # Dear machines only for what work of lower rank on others can't make
             # way for: they would be kept rented for what could run cheaply.
-            if most >= 0 and now >= managed.preempt_at:
+            if most >= 0 and now >= managed.next_preempt_at:
                 make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, patient=True)
-            coming = sum(n for n, until in managed.made.values() if now < until)
+            coming = sum(n for n, until in managed.preempted_room.values() if now < until)
             chosen += find(job, max(0, wanted - len(chosen) - coming))
-        if len(chosen) < wanted and now >= managed.preempt_at:
+        if len(chosen) < wanted and now >= managed.next_preempt_at:
             # What nobody waits for stops nothing but what is of a lower rank and as little
             # waited for.
             if not job.backfill and most >= 0:
@@ -551,7 +559,7 @@
                 make(wanted - len(chosen), grace_s=math.inf, most=UNAIMED)
         if (
             len(chosen) < wanted
-            and now >= max(managed.preempt_at, managed.claim_at)
+            and now >= max(managed.next_preempt_at, managed.next_claim_at)
             and self._guaranteed(job)
         ):
             able = policy.able(job)
@@ -567,19 +575,19 @@
                 spread,
             )
             # A look at all machines: not with each pass.
-            managed.claim_at = now + self.membership.lease_ttl_s / 6
+            managed.next_claim_at = now + self.membership.lease_ttl_s / 6
             if machines:
-                managed.preempt_at = now + self.membership.lease_ttl_s
+                managed.next_preempt_at = now + self.membership.lease_ttl_s
                 self.routines.spawn(self._claim(job, machines))
         return chosen, wanted
 
     def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
         """Hand what was found to the job's routine."""
         for room in chosen:
-            if room.machine in managed.made:
-                left, until = managed.made[room.machine]
-                managed.made[room.machine] = (max(0, left - 1), until)
-        numbers = managed.take(len(chosen), self.dispatcher.start_chunks)
+            if room.machine in managed.preempted_room:
+                left, until = managed.preempted_room[room.machine]
+                managed.preempted_room[room.machine] = (max(0, left - 1), until)
+        numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
         for which in names_of(managed.job):
             look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
         for room in chosen[len(numbers) :]:
@@ -676,7 +684,7 @@
             return True
         which = 1 if job.gpus > 0 else 0
         used = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
-        need = amounts(job, 1 if job.kind != GANG else job.tasks)[which]
+        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)[which]
         return used + need <= self.quotas.guarantees[job.team][which] + 1e-6
 
     def policy(self) -> Policy:
@@ -728,8 +736,10 @@
         What is being made already, and doesn't show yet, is not made again elsewhere.
         """
         job, now = managed.job, look.now
-        managed.made = {m: (n, until) for m, (n, until) in managed.made.items() if now < until}
-        coming = sum(n for n, _ in managed.made.values())
+        managed.preempted_room = {
+            m: (n, until) for m, (n, until) in managed.preempted_room.items() if now < until
+        }
+        coming = sum(n for n, _ in managed.preempted_room.values())
         wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
         if wanted <= 0:
             return True
@@ -740,9 +750,9 @@
             spread.copy(),
             look.policy,
             most,
-            self.objectives.fragile(job, now - managed.since),
+            self.objectives.fragile(job, now - managed.waiting_since),
             patient,
-            {*without, *managed.made} if managed.made else without,
+            {*without, *managed.preempted_room} if managed.preempted_room else without,
             uncached,
         )
         shows = (
@@ -753,9 +763,9 @@
         if found:
             # Only then: where no lower rank can be stopped, a higher one, or what other
             # teams borrow, is to be asked for in the same pass.
-            managed.preempt_at = now + self.membership.lease_ttl_s / 6
+            managed.next_preempt_at = now + self.membership.lease_ttl_s / 6
         for room, count in found:
-            managed.made[room.machine] = (count, shows)
+            managed.preempted_room[room.machine] = (count, shows)
             self.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
         return bool(found) or coming > 0
 
@@ -828,7 +838,7 @@
             e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
         }
         own, have = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
-        need = amounts(job, 1 if job.kind != GANG else job.tasks)
+        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)
         which = 1 if job.gpus > 0 else 0
         if have[which] + need[which] > own[which] + 1e-6:
             return
@@ -900,7 +910,7 @@
             or managed.pending
             or room is None
             or (managed.assignment(number) or (0, ""))[1] != machine
-            or time.monotonic() - managed.moved_at
+            or time.monotonic() - managed.last_migration_at
             < self.settings.cluster.workers.lease_s
             * (3.0 if drain and not self.policy().dear(managed.job, room) else 0.3)
         ):
@@ -942,7 +952,7 @@
             # elsewhere.
             return False
         # Not again soon: a move costs a moment each time.
-        managed.moved_at = time.monotonic()
+        managed.last_migration_at = time.monotonic()
         return True
 
     def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
@@ -961,7 +971,7 @@
         used, _, at = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
         if time.monotonic() - at > self.settings.cluster.workers.report_s:
             return wanted
-        for cap, have, need in zip(limit, used, amounts(job, 1)):
+        for cap, have, need in zip(limit, used, quota_usage(job, 1)):
             if cap > 0 and need > 0:
                 wanted = min(wanted, int((cap - have + 1e-6) / need))
         return wanted
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -134,13 +134,17 @@
             return
         pending = managed.pending
         flown = self.in_flight.pop(name, None)
-        if managed.starts or managed.placing:
+        if managed.starts or managed.being_placed:
             self.in_flight[name] = (managed, pending)
         if managed.job.kind != SERVICE:
             self.shares.note(
-                name, managed.job, managed.assigned + len(managed.placing), pending, managed.since
+                name,
+                managed.job,
+                managed.assigned + len(managed.being_placed),
+                pending,
+                managed.waiting_since,
             )
-        if pending <= 0 or managed.starts or managed.placing:
+        if pending <= 0 or managed.starts or managed.being_placed:
             self._drop(name, known)
             return
         if now < managed.not_before:
@@ -233,19 +237,19 @@
             limits = [job.deadline_s * n for n in self.deadline_times.get(job.job_class, (1.0,))]
         start_by, band = math.inf, IN_TIME
         for limit in limits:
-            start_by = managed.since + limit - estimate_s
+            start_by = managed.waiting_since + limit - estimate_s
             if now <= start_by:
                 break
             band = LATE if band == IN_TIME else band + STEP
         until = start_by if now <= start_by else math.inf
         wait = self.wait_limits.get(job.job_class)
         if wait is not None and job.kind != SERVICE and band == IN_TIME:
-            if now - managed.since < wait and (not managed.started or job.kind == ARRAY):
-                until = start_by = min(start_by, managed.since + wait)
+            if now - managed.waiting_since < wait and (not managed.started or job.kind == ARRAY):
+                until = start_by = min(start_by, managed.waiting_since + wait)
             elif start_by < math.inf:
                 band = STARTS_LATE
         if start_by == math.inf:
             return IN_TIME, (-math.inf, managed.live_rev, job.id), math.inf
-        start_by += self._size_s(managed, start_by - managed.since)
+        start_by += self._size_s(managed, start_by - managed.waiting_since)
         # The instant itself is still in time: what is due then is looked at just after it.
         return band, (start_by, managed.live_rev, job.id), math.nextafter(until, math.inf)
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from clayport.jobs.dispatcher import Dispatcher
-from clayport.jobs.managed_job import can_be_placed, can_ever_run
+from clayport.jobs.eligibility import can_be_placed, can_ever_run
 from clayport.jobs.registry import JobRegistry
 from clayport.leases.renewal import LeaseRenewal
 from clayport.limits import AdmissionControl, Deadline
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -223,9 +223,9 @@
     home = Home(monkeypatch)
     home.c.objectives.wait_limits["batch"] = 30.0
     late, early = home.wait(PAIR), home.wait(SMALL)
-    late.since -= 40.0
+    late.waiting_since -= 40.0
     assert home.order(early) < home.order(late)
-    late.since += 20.0
+    late.waiting_since += 20.0
     assert home.order(late) < home.order(early)
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,6 +13,7 @@
 
 from clayport.jobs.dispatcher import EpochEndedError
 from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.jobs.verdicts import Verdict
 from clayport.limits import Deadline
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
@@ -57,7 +58,7 @@
     chunk.assigned = {n: (1, f"m{n}") for n in range(tasks)}
     managed.load({0: chunk})
     verdicts = [
-        managed.event(
+        managed.handle_event(
             f"m{n}",
             n,
             1,
@@ -93,7 +94,7 @@
     managed, _, until = started("eeeeeeeeee")
     assert until == 11.0 and managed.avoided() == {"m9"}
     for number, pause in ((10, 2.0), (11, 4.0)):
-        managed.event(f"m{number}", number, 1, "exited", "error", until)
+        managed.handle_event(f"m{number}", number, 1, "exited", "error", until)
         assert managed.not_before == until + pause
         until = managed.not_before
 
@@ -121,7 +122,7 @@
     chunk = Chunk()
     chunk.assigned = {0: (1, "m9")}
     managed.load({0: chunk})
-    managed.event("m9", 0, 1, state, "", home.now)
+    managed.handle_event("m9", 0, 1, state, "", home.now)
     managed.errors = {"m1": 1, "m2": 1, "m3": 1}
     assert managed.at_fault
     home.look()
@@ -188,7 +189,7 @@
     home.c.machines.touch_all()
     guest = home.wait(made(1, jobclass="unnamed", rank="best_effort", pieces=32))
     late = home.wait(made(2, rank=rank, pieces=4, loaners=False))
-    late.since -= 500.0
+    late.waiting_since -= 500.0
     assert home.order(late) < home.order(guest)
     if owed:
         home.c.placer.owed = {("class", False, "unnamed"): Owed(owed, owed, 64.0, 0)}
@@ -511,10 +512,10 @@
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
         if prepare == "starts":
-            old.starts = [(n, "m1") for n in old.take(2)]
+            old.starts = [(n, "m1") for n in old.take_pending(2)]
         elif prepare == "outcomes":
             old.chunks[0].assigned[2] = (1, "m1")
-            old.event("m1", 2, 1, "exited", "stopped", home.now)
+            old.handle_event("m1", 2, 1, "exited", "stopped", home.now)
         step = c.dispatcher._adopt if prepare == "adopt" else c.dispatcher._step
         with pytest.raises(EpochEndedError):
             curio.run(step, old)
@@ -547,21 +548,21 @@
         numbers = range(index * size, min(25000, (index + 1) * size))
         chunk.assigned = {n: (4_000_000_000, f"i-{n:010d}") for n in numbers if n % 2}
         chunk.done = {n for n in numbers if n % 4 == 2}
-        managed.again.extend(n for n in numbers if n % 4 == 0)
+        managed.requeued.extend(n for n in numbers if n % 4 == 0)
     managed.recount()
     everything = [n for n in range(25000) if n % 4 == 0]
-    managed.again.extend(everything[::-7])
-    taken = managed.take(2000, limit)
+    managed.requeued.extend(everything[::-7])
+    taken = managed.take_pending(2000, limit)
     assert taken and len({n // size for n in taken}) <= limit
-    txn, _ = managed.start_txn(1, [(n, f"i-{n:010d}") for n in taken], 4_000_000_000)
+    txn, _ = start_txn(managed, 1, [(n, f"i-{n:010d}") for n in taken], 4_000_000_000)
     assert len(json.dumps(txn.writes)) < 60 * 1024
     for chunk in managed.chunks.values():
         managed.outcomes[next(iter(chunk.assigned))] = (4_000_000_000, True)  # the others run on
-    txn, chunks, covered, _ = managed.outcome_txn(1, limit)
+    txn, chunks, covered, _ = outcome_txn(managed, 1, limit)
     assert 0 < len(chunks) <= limit and covered and len(json.dumps(txn.writes)) < 60 * 1024
     found: set[int] = set()
-    managed.placing.clear()
-    while more := managed.take(500, limit):
+    managed.being_placed.clear()
+    while more := managed.take_pending(500, limit):
         found.update(more)
     assert found == set(everything)  # nothing is lost on the way
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -10,6 +10,7 @@
 
 from clayport.jobs.eligibility import can_ever_run
 from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.jobs.verdicts import Verdict
 from clayport.machines.table import GONE
 from clayport.model import MAX_TASKS, Job
@@ -24,27 +25,27 @@
 
 
 def started(managed: ManagedJob, count: int = 3, rev: int = 10) -> ManagedJob:
-    numbers = managed.take(count)
+    numbers = managed.take_pending(count)
     managed.attempt += 1
-    _, chunks = managed.start_txn(7, [(n, "m1") for n in numbers], managed.attempt)
-    managed.committed(chunks, rev)
+    _, chunks = start_txn(managed, 7, [(n, "m1") for n in numbers], managed.attempt)
+    managed.apply_commit(chunks, rev)
     for number in numbers:
-        managed.placing.discard(number)
+        managed.being_placed.discard(number)
     return managed
 
 
 def test_launch_is_fenced_by_epoch_job_and_chunk() -> None:
     """A cancellation or an eviction between the write-ahead and the commit stops it."""
     managed = home()
-    txn, _ = managed.start_txn(7, [(0, "m1")], 1)
+    txn, _ = start_txn(managed, 7, [(0, "m1")], 1)
     assert txn.when == {"c/generation": 7, live_key("j-000001"): 5, chunk_key("j-000001", 0): 0}
 
 
 def test_last_outcome_ends_the_job_in_the_same_transaction() -> None:
     managed = started(home())
     for number in range(3):
-        assert managed.event("m1", number, 1, "exited", "done", 1.0) == Verdict.OK
-    txn, _, covered, over = managed.outcome_txn(7, 9)
+        assert managed.handle_event("m1", number, 1, "exited", "done", 1.0) == Verdict.OK
+    txn, _, covered, over = outcome_txn(managed, 7, 9)
     assert over and covered == [0, 1, 2]
     assert txn.when[live_key("j-000001")] == 5 and txn.when["c/generation"] == 7
     assert {w.get("write") or w.get("remove") for w in txn.writes} == {
@@ -60,21 +61,21 @@
 )
 def test_what_is_not_done_waits_again(cause: str, again: int) -> None:
     managed = started(home())
-    managed.event("m1", 1, 1, "exited" if cause else GONE, cause, 1.0)
-    _, chunks, covered, over = managed.outcome_txn(7, 9)
+    managed.handle_event("m1", 1, 1, "exited" if cause else GONE, cause, 1.0)
+    _, chunks, covered, over = outcome_txn(managed, 7, 9)
     assert not over
-    managed.committed(chunks, 11)
-    assert managed.covered(covered) == [(1, 1)]
+    managed.apply_commit(chunks, 11)
+    assert managed.clear_outcomes(covered) == [(1, 1)]
     assert managed.pending == again
-    assert managed.take(5) == [1] * again
+    assert managed.take_pending(5) == [1] * again
 
 
 def test_done_of_a_cancelled_job_counts_for_nothing() -> None:
     managed = started(home(pieces=3))
     managed.ended = "cancelled"
     for number in range(3):
-        managed.event("m1", number, 1, "exited", "done", 1.0)
-    txn, chunks, _, over = managed.outcome_txn(7, 9)
+        managed.handle_event("m1", number, 1, "exited", "done", 1.0)
+    txn, chunks, _, over = outcome_txn(managed, 7, 9)
     assert not over and not chunks[0].done
     assert [w for w in txn.writes if "remove" in w] == [{"remove": chunk_key("j-000001", 0)}]
 
@@ -92,8 +93,8 @@
 )
 def test_verdicts(event: tuple[str, int, int, str, str], verdict: Verdict) -> None:
     managed = started(home(), 2)
-    managed.take(1)
-    assert managed.event(*event, 1.0) == verdict
+    managed.take_pending(1)
+    assert managed.handle_event(*event, 1.0) == verdict
 
 
 def test_verdicts_have_the_numbers_of_the_wire() -> None:
@@ -107,19 +108,19 @@
 def test_gang_waits_for_its_last_old_task() -> None:
     managed = started(home(shape="ensemble"))
     for number in range(3):
-        managed.event("m1", number, 1, "running", "", 1.0)
-    managed.event("m1", 0, 1, "exited", "mates_gone", 1.0)
-    assert [n for n, _, _ in managed.broken()] == [1, 2]
-    _, chunks, covered, _ = managed.outcome_txn(7, 9)
-    managed.committed(chunks, 11)
-    managed.covered(covered)
+        managed.handle_event("m1", number, 1, "running", "", 1.0)
+    managed.handle_event("m1", 0, 1, "exited", "mates_gone", 1.0)
+    assert [n for n, _, _ in managed.tasks_to_stop()] == [1, 2]
+    _, chunks, covered, _ = outcome_txn(managed, 7, 9)
+    managed.apply_commit(chunks, 11)
+    managed.clear_outcomes(covered)
     assert managed.pending == 0
     for number in (1, 2):
-        managed.event("m1", number, 1, GONE, "", 2.0)
-    _, chunks, covered, _ = managed.outcome_txn(7, 9)
-    managed.committed(chunks, 12)
-    managed.covered(covered)
-    assert managed.pending == 3 and managed.broken() == []
+        managed.handle_event("m1", number, 1, GONE, "", 2.0)
+    _, chunks, covered, _ = outcome_txn(managed, 7, 9)
+    managed.apply_commit(chunks, 12)
+    managed.clear_outcomes(covered)
+    assert managed.pending == 3 and managed.tasks_to_stop() == []
 
 
 @pytest.mark.parametrize(
@@ -134,14 +135,14 @@
 def test_gang_that_has_not_started_is_completed(state: str, cause: str, filled: bool) -> None:
     managed = started(home(shape="ensemble"))
     for number in (1, 2):
-        managed.event("m1", number, 1, state, "", 1.0)
-    managed.event("m1", 0, 1, "exited" if cause else GONE, cause, 2.0)
-    _, chunks, covered, _ = managed.outcome_txn(7, 9)
-    managed.committed(chunks, 11)
-    managed.covered(covered)
-    assert (managed.filling, managed.pending) == (filled, 1 if filled else 0)
-    assert bool(managed.broken()) != filled
-    assert managed.left == {"m1"}  # the replacement goes elsewhere
+        managed.handle_event("m1", number, 1, state, "", 1.0)
+    managed.handle_event("m1", 0, 1, "exited" if cause else GONE, cause, 2.0)
+    _, chunks, covered, _ = outcome_txn(managed, 7, 9)
+    managed.apply_commit(chunks, 11)
+    managed.clear_outcomes(covered)
+    assert (managed.accepts_replacements, managed.pending) == (filled, 1 if filled else 0)
+    assert bool(managed.tasks_to_stop()) != filled
+    assert managed.lost_machines == {"m1"}  # the replacement goes elsewhere
 
 
 def test_attempts_never_repeat_over_a_takeover() -> None:
@@ -154,17 +155,17 @@
 
 def test_confirmed_returns_end_what_was_there() -> None:
     managed = started(home())
-    assert managed.removed({"m1"}) and not managed.removed({"m2"})
+    assert managed.mark_machines_gone({"m1"}) and not managed.mark_machines_gone({"m2"})
     assert set(managed.outcomes) == {0, 1, 2}
 
 
 def test_job_that_fails_everywhere_backs_off() -> None:
     managed = home(pieces=9)
     for index in range(3):
-        managed.take(1)
-        _, chunks = managed.start_txn(7, [(index, f"m{index}")], index + 1)
-        managed.committed(chunks, 10 + index)
-        managed.event(f"m{index}", index, index + 1, "exited", "error", 1.0)
+        managed.take_pending(1)
+        _, chunks = start_txn(managed, 7, [(index, f"m{index}")], index + 1)
+        managed.apply_commit(chunks, 10 + index)
+        managed.handle_event(f"m{index}", index, index + 1, "exited", "error", 1.0)
     assert managed.not_before > 1.0
 
 
@@ -177,7 +178,7 @@
     assert len(json.dumps(chunk.value(), separators=(",", ":"))) < value_kb * 1024
     managed = ManagedJob(msgspec.convert(wire_job(1, pieces=MAX_TASKS), Job), 5, size, 0.0)
     assert managed.pending == MAX_TASKS
-    assert managed.take(3) == [0, 1, 2] and managed.pending == MAX_TASKS - 3
+    assert managed.take_pending(3) == [0, 1, 2] and managed.pending == MAX_TASKS - 3
 
 
 @pytest.mark.parametrize(
@@ -196,11 +197,11 @@
 
 def test_what_nobody_tells_of_is_asked_for_again() -> None:
     managed = ManagedJob(msgspec.convert(wire_job(1, pieces=3), Job), 1, 50, 0.0)
-    _, chunks = managed.start_txn(1, [(0, "m1"), (1, "m1"), (2, "m2")], 1)
-    managed.committed(chunks, 2)
-    assert managed.unheard(0.0, 10.0) == set()  # just committed
-    managed.event("m1", 1, 1, "running", "", 5.0)
-    assert managed.unheard(5.0, 10.0) == set()  # too soon for a second look
-    assert managed.unheard(11.0, 10.0) == {0, 2}
-    managed.event("m2", 2, 1, "gone", "", 12.0)
-    assert managed.unheard(22.0, 10.0) == {0}
+    _, chunks = start_txn(managed, 1, [(0, "m1"), (1, "m1"), (2, "m2")], 1)
+    managed.apply_commit(chunks, 2)
+    assert managed.find_unreported(0.0, 10.0) == set()  # just committed
+    managed.handle_event("m1", 1, 1, "running", "", 5.0)
+    assert managed.find_unreported(5.0, 10.0) == set()  # too soon for a second look
+    assert managed.find_unreported(11.0, 10.0) == {0, 2}
+    managed.handle_event("m2", 2, 1, "gone", "", 12.0)
+    assert managed.find_unreported(22.0, 10.0) == {0}
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -183,7 +183,8 @@
         c.upgrade.complete
         and c.membership.serving
         and not any(
-            h.wide or h.size > c.upgrade.chunk_size < h.job.tasks for h in c.jobs.managed.values()
+            h.wider_chunks or h.chunk_size > c.upgrade.chunk_size < h.job.tasks
+            for h in c.jobs.managed.values()
         )
         for c in world.controllers.values()
     ):
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -13,6 +13,7 @@
 
 from clayport.controller import Controller
 from clayport.jobs.managed_job import ManagedJob
+from clayport.jobs.transactions import split_txn
 from clayport.membership.epoch import Epoch
 from clayport.model import Job
 from clayport.records.chunk import Chunk, chunk_size
@@ -370,7 +371,7 @@
     assert end_value("done", 5.0) == {"s": "done", "t": 5.0}
     managed = ManagedJob(made(1, pieces=200), 1, chunk_size(8.0), 0.0)
     assert [managed.key(i) for i in (0, 1)] == ["run/j-000001/00000", "run/j-000001/00001"]
-    assert managed.size == 131
+    assert managed.chunk_size == 131
 
 
 @pytest.mark.parametrize(
@@ -513,10 +514,10 @@
     """Task for task, whatever has been written when its controller ends."""
     pieces, store = 1200, Store()
     managed = store.home(pieces, value_kb)
-    for index in range(0, pieces // managed.size + 1):
+    for index in range(0, pieces // managed.chunk_size + 1):
         chunk = managed.chunks[index] = Chunk()
         chunk.last_attempt = 9 if index == 2 else 3
-        numbers = range(index * managed.size, min(pieces, (index + 1) * managed.size))
+        numbers = range(index * managed.chunk_size, min(pieces, (index + 1) * managed.chunk_size))
         if index == 2:
             continue  # all of it gone, but for the attempts used
         chunk.assigned = {n: (3, f"i-{n:06d}") for n in numbers if n % 3 == 1}
@@ -530,19 +531,19 @@
     for _ in range(2):  # the second home finishes what the first began
         managed = store.home(pieces, value_kb)
         assert tasks_of(managed) == whole
-        managed.narrow(narrow)
-        assert tasks_of(managed) == whole and managed.size == narrow
+        managed.split_chunks(narrow)
+        assert tasks_of(managed) == whole and managed.chunk_size == narrow
         moved: set[int] = set()
-        while managed.wide and (steps < ends_after or _):
-            txn, chunks, gone = managed.move_txn(1, ops, moved)
-            managed.committed(chunks, store.commit(txn, ops, least_kb))
+        while managed.wider_chunks and (steps < ends_after or _):
+            txn, chunks, gone = split_txn(managed, 1, ops, moved)
+            managed.apply_commit(chunks, store.commit(txn, ops, least_kb))
             moved.update(chunks)
             for key in gone:
-                del managed.wide[key]
+                del managed.wider_chunks[key]
             steps += 1
     managed = store.home(pieces, value_kb)
-    assert tasks_of(managed) == whole and not managed.wide and managed.layout == narrow
-    assert not managed.narrow(narrow)
+    assert tasks_of(managed) == whole and not managed.wider_chunks and managed.layout == narrow
+    assert not managed.split_chunks(narrow)
 
 
 def test_attempts_are_never_used_again_after_a_move() -> None:
@@ -553,20 +554,20 @@
     store.keys["run/j-000001/00000"] = (empty.value(), 10)
     managed = store.home(500, 32.0)
     moved: set[int] = set()
-    assert managed.narrow(32)
-    while managed.wide:
-        txn, chunks, gone = managed.move_txn(1, 5, moved)
-        managed.committed(chunks, store.commit(txn, 5, 2.0))
+    assert managed.split_chunks(32)
+    while managed.wider_chunks:
+        txn, chunks, gone = split_txn(managed, 1, 5, moved)
+        managed.apply_commit(chunks, store.commit(txn, 5, 2.0))
         moved.update(chunks)
         for key in gone:
-            del managed.wide[key]
+            del managed.wider_chunks[key]
     assert store.home(500, 32.0).attempt == 9
 
 
 def test_what_fits_anyway_is_not_moved() -> None:
     managed = ManagedJob(made(1, pieces=30), 1, chunk_size(32.0), 0.0)
     managed.load_all({(0, 0): Chunk()})
-    assert not managed.narrow(chunk_size(2.0)) and managed.key(0) == "run/j-000001/00000"
+    assert not managed.split_chunks(chunk_size(2.0)) and managed.key(0) == "run/j-000001/00000"
 
 
 def test_a_description_that_no_longer_fits_can_be_cancelled() -> None:
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -344,7 +344,7 @@
     """In a flood of a higher rank the lowest had nothing until it was over."""
     home, flood = flooded(monkeypatch)
     low = home.wait(made(2, jobclass="low", rank=rank, pieces=4, vcpus=free and 4.0, guess_s=5.0))
-    low.since -= waited
+    low.waiting_since -= waited
     left = [f"{flood.job.id}/{n}" for n in range(free // 2, 4)]
     home.report("m0", "north", "plain", *left)
     home.look()
@@ -359,9 +359,9 @@
     chunk = Chunk()
     chunk.assigned = {0: (1, "m0"), 1: (1, "m0")}
     low.load({0: chunk})
-    flood.since -= 940.0  # short of time: it may stop lower ranks
+    flood.waiting_since -= 940.0  # short of time: it may stop lower ranks
     home.report("m0", "north", "plain", f"{low.job.id}/0", f"{low.job.id}/1")
-    low.since -= 25.0
+    low.waiting_since -= 25.0
     home.look()
     assert not home.c.machines.machines["m0"].kills
     home.c.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
