--- a/clayport/transport/http.py
+++ b/clayport/transport/http.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 over curio and h11: a server with a socket budget and a pooled client.
+"""HTTP/1.1 over curio and h11: a server of a bounded number of connections, and a pooled client.
 
-Both read and write heads through `http_heads`, which remembers what h11 says of them.
+Both read and write message heads through `http_heads`, which caches what h11 says of them. A
+message with a head out of the ordinary, and what follows on its connection, is left to h11.
 """
 
 from __future__ import annotations
@@ -15,33 +16,47 @@
 import h11
 from curio import socket
 
-from clayport.transport import http_heads
+from clayport.transport import TransportError, http_heads
 from clayport.transport.listen import listener
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024
+MAX_BODY = 64 * 1024  # of a request, in bytes
+# What is read from a connection at once, in bytes.
+MAX_READ_BYTES = 65536
 Headers = list[tuple[str, str]]
+# Answers a request, given its method, path and body, by a status, a body and further headers.
 Handler = Callable[[str, str, bytes], Awaitable[tuple[int, bytes, Headers]]]
 
 
-class HttpError(Exception):
+class HttpError(TransportError):
     """An exchange over HTTP did not come about as asked."""
 
 
 class MessageTooLargeError(HttpError):
-    """A request body beyond the protocol's 64 KiB."""
+    """A request's body is longer than `MAX_BODY`."""
 
 
-def _wire(conn: h11.Connection, *events: Any) -> bytes:
+class NoAnswerError(HttpError):
+    """No response arrived: the request may have been executed or still may be."""
+
+
+class NotSentError(NoAnswerError):
+    """No connection came about: the request was never sent."""
+
+
+def _serialize(conn: h11.Connection, *events: Any) -> bytes:
+    """Send events on h11's connection; return their bytes."""
     return b"".join(conn.send(event) or b"" for event in events)
 
 
-async def _head(data: bytearray, more: Callable[[], Awaitable[bytes]]) -> bytes | None:
-    """The next message's head, taken out of `data`, which `more` fills; None if the other
-    side is finished before that, or h11 has to look at what has come."""
+async def _take_head(data: bytearray, receive: Callable[[], Awaitable[bytes]]) -> bytes | None:
+    """Take the next message's head out of `data`, after filling it by `receive`.
+
+    Returns None if the other side is finished before that, or h11 has to look at what has come.
+    """
     while (head := http_heads.take_head(data)) is None:
-        received = b"" if http_heads.needs_h11(data) else await more()
+        received = b"" if http_heads.needs_h11(data) else await receive()
         if not received:
             return None
         data.extend(received)
@@ -49,40 +64,54 @@
 
 
 class Server:
-    """Serves requests; past the budget the oldest idle connection is closed.
+    """Serves requests over a bounded number of connections.
+
+    Past the bound the oldest idle connection is closed, unless its last request was for
+    `kept_path`: a flood of users must not cost a worker its lease.
 
-    Connections over which workers report are marked by the handler's path and
-    kept: a flood of users must not cost a worker its lease.
+    Args:
+        handler: Answers a request.
+        max_connections: How many connections are open at most, while one of a user is idle.
+        idle_s: How long a connection may stay without a request.
+        request_s: How long a request may take to arrive once it has begun.
+        kept_path: Start of the paths on which workers report.
     """
 
     def __init__(
-        self, handler: Handler, budget: int, idle_s: float, request_s: float, kept_path: str
+        self,
+        handler: Handler,
+        max_connections: int,
+        idle_s: float,
+        request_s: float,
+        kept_path: str,
     ) -> None:
-        self.handler, self.budget = handler, budget
+        self.handler, self.max_connections = handler, max_connections
         self.idle_s, self.request_s, self.kept_path = idle_s, request_s, kept_path
-        self.open: dict[curio.Task, bool] = {}  # insertion order is age; True: idle user
-        # Until when a connection may take to send what it is waited for.
-        self.until: dict[curio.Task, float] = {}
+        # Whether each is an idle one of a user; the oldest first.
+        self.connections: dict[curio.Task, bool] = {}
+        # By when what a connection is waited for has to come, on the monotonic clock.
+        self.deadlines: dict[curio.Task, float] = {}
 
     async def serve(self, host: str, port: int) -> None:
+        """Listen on an address and serve whoever connects, without end."""
         # A whole fleet may come at once, when a controller is back.
-        sock = await listener(host, port, self.budget)
-        sweeper = await curio.spawn(self._sweep, daemon=True)
+        sock = await listener(host, port, self.max_connections)
+        sweeper = await curio.spawn(self._close_late, daemon=True)
         try:
             await self._accept(sock)
         finally:
             await sweeper.cancel()
 
-    async def _sweep(self) -> None:
+    async def _close_late(self) -> None:
         """Close connections that have taken too long: one duty for all of them. (A timer for
         each read cost more than reading.)"""
         while True:
             await curio.sleep(min(self.request_s, self.idle_s) / 4)
             now = time.monotonic()
-            for task in [t for t, until in self.until.items() if now > until]:
+            for task in [t for t, deadline in self.deadlines.items() if now > deadline]:
                 # Unless something has come while others were closed.
-                if self.until.pop(task, now) < now:
-                    self.open.pop(task, None)
+                if self.deadlines.pop(task, now) < now:
+                    self.connections.pop(task, None)
                     await task.cancel(blocking=False)
 
     async def _accept(self, sock: Any) -> None:
@@ -94,39 +123,39 @@
                     log.info("accept failed: %s", exc)
                     await curio.sleep(self.request_s / 50)
                     continue
-                if len(self.open) >= self.budget:
-                    await self._make_room()
+                if len(self.connections) >= self.max_connections:
+                    await self._close_oldest_idle()
                 client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                task = await curio.spawn(self._connection, client, daemon=True)
-                self.open[task] = False
+                task = await curio.spawn(self._serve_connection, client, daemon=True)
+                self.connections[task] = False
 
-    async def _make_room(self) -> None:
-        """Close the oldest idle user connection (guards workers against a flood)."""
-        for task, idle in self.open.items():
+    async def _close_oldest_idle(self) -> None:
+        """Close the oldest idle connection of a user."""
+        for task, idle in self.connections.items():
             if idle:
-                self.open.pop(task)
+                self.connections.pop(task)
                 await task.cancel(blocking=False)
                 return
 
-    async def _connection(self, client: Any) -> None:
-        """Serve requests whose heads are known, or can be; the rest is left to h11."""
+    async def _serve_connection(self, client: Any) -> None:
+        """Serve requests with ordinary heads; the rest is left to h11."""
         me = await curio.current_task()
         data = bytearray()
         kept = False
         try:
             while True:
-                if me in self.open:
-                    self.open[me] = not kept
-                head = await _head(data, lambda: self._more(client, me, bool(data)))
+                if me in self.connections:
+                    self.connections[me] = not kept
+                head = await _take_head(data, lambda: self._receive(client, me, bool(data)))
                 asked = http_heads.parse_request_head(head) if head is not None else None
                 if head is None or asked is None or asked.length > MAX_BODY:
                     if head or data:
-                        await self._by_h11(client, me, (head or b"") + data)
+                        await self._serve_with_h11(client, me, (head or b"") + data)
                     return
                 while len(data) < asked.length:
-                    more = await self._more(client, me, True)
+                    more = await self._receive(client, me, True)
                     if not more:
-                        await self._by_h11(client, me, head + data)
+                        await self._serve_with_h11(client, me, head + data)
                         return
                     data.extend(more)
                 body = bytes(data[: asked.length])
@@ -139,33 +168,33 @@
         except OSError:
             pass
         finally:
-            self.open.pop(me, None)
-            self.until.pop(me, None)
+            self.connections.pop(me, None)
+            self.deadlines.pop(me, None)
             await client.close()
 
-    async def _more(self, client: Any, me: curio.Task, begun: bool) -> bytes:
-        """What comes next, in its time; empty when the other side is finished.
+    async def _receive(self, client: Any, me: curio.Task, begun: bool) -> bytes:
+        """Wait for what comes next and return it; empty when the other side is finished.
 
-        Slow and half-open clients: once a request has begun it must arrive within request_s;
-        between requests idle_s applies.
+        Guards against slow and half-open clients: once a request has begun it must arrive
+        within request_s; between requests idle_s applies.
         """
-        self.until[me] = time.monotonic() + (self.request_s if begun else self.idle_s)
-        data: bytes = await client.recv(65536)
-        self.until.pop(me, None)
-        if me in self.open:
-            self.open[me] = False
+        self.deadlines[me] = time.monotonic() + (self.request_s if begun else self.idle_s)
+        data: bytes = await client.recv(MAX_READ_BYTES)
+        self.deadlines.pop(me, None)
+        if me in self.connections:
+            self.connections[me] = False
         return data
 
-    async def _by_h11(self, client: Any, me: curio.Task, data: bytes) -> None:
-        """Serve what is left of a connection, of which `data` has come."""
+    async def _serve_with_h11(self, client: Any, me: curio.Task, data: bytes) -> None:
+        """Serve the rest of a connection, of which `data` has come."""
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=http_heads.MAX_HEAD_BYTES)
         kept = False
         try:
             conn.receive_data(data)
             while True:
-                if me in self.open:
-                    self.open[me] = not kept
-                request, body = await self._request(conn, client, me)
+                if me in self.connections:
+                    self.connections[me] = not kept
+                request, body = await self._read_request(conn, client, me)
                 if request is None:
                     return
                 path = request.target.decode("latin-1")
@@ -184,16 +213,21 @@
         except h11.LocalProtocolError:
             pass
 
-    async def _request(
+    async def _read_request(
         self, conn: h11.Connection, client: Any, me: curio.Task
     ) -> tuple[h11.Request | None, bytes]:
-        """Read one request whole; None when the other side is finished."""
+        """Read one request and its body; None when the other side is finished.
+
+        Raises:
+            MessageTooLargeError: The body is longer than `MAX_BODY`.
+            h11.RemoteProtocolError: What came is no request.
+        """
         request, parts, size = None, [], 0
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
                 begun = request is not None or bool(conn.trailing_data[0])
-                conn.receive_data(await self._more(client, me, begun))
+                conn.receive_data(await self._receive(client, me, begun))
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
@@ -208,7 +242,8 @@
 
     @staticmethod
     def _response(conn: h11.Connection, status: int, payload: bytes, extra: Headers) -> bytes:
-        return _wire(
+        """Return the bytes of a whole response."""
+        return _serialize(
             conn,
             http_heads.response_event(status, len(payload), tuple(extra)),
             h11.Data(data=payload),
@@ -216,6 +251,7 @@
         )
 
     async def _refuse(self, conn: h11.Connection, client: Any, status: int) -> None:
+        """Answer a request that can't be served, if there is still a way to."""
         try:
             if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 await client.sendall(self._response(conn, status, b"{}", [("Connection", "close")]))
@@ -223,16 +259,14 @@
             pass
 
 
-class NoAnswerError(HttpError):
-    """No response arrived: the request may have been executed or still may be."""
-
-
-class NotSentError(NoAnswerError):
-    """No connection came about: the request was never sent."""
-
-
 class Client:
-    """Requests to one address over a small pool of persistent connections."""
+    """Requests to one address over a small pool of persistent connections.
+
+    Args:
+        host: The address's host.
+        port: Its port.
+        keep: How many idle connections are kept at most.
+    """
 
     def __init__(self, host: str, port: int, keep: int) -> None:
         self.host, self.port, self.keep = host, port, keep
@@ -242,7 +276,12 @@
     async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
-        """One exchange; NotSent or NoAnswer when there is no answer in time."""
+        """Send a request and return its answer's status and body.
+
+        Raises:
+            NotSentError: No connection came about in time.
+            NoAnswerError: There was no answer in time, or what came is none.
+        """
         sent = False
         sock: Any = None
         try:
@@ -257,8 +296,8 @@
                     await sock.connect((self.host, self.port))
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     sent = True
-                status, payload, again = await self._exchange(sock, method, path, body)
-            if again and len(self.idle) < self.keep:
+                status, payload, reusable = await self._exchange(sock, method, path, body)
+            if reusable and len(self.idle) < self.keep:
                 self.idle.append(sock)
                 sock = None
             return status, payload
@@ -272,27 +311,30 @@
     async def _exchange(
         self, sock: Any, method: str, path: str, body: bytes | None
     ) -> tuple[int, bytes, bool]:
-        """The answer, and whether the connection may be used again."""
+        """Return the status, the body, and whether the connection may be used again."""
         length = None if body is None else len(body)
         await sock.sendall(http_heads.request_head(method, path, self.name, length) + (body or b""))
         data = bytearray()
-        head = await _head(data, lambda: sock.recv(65536))
+        head = await _take_head(data, lambda: sock.recv(MAX_READ_BYTES))
         answered = http_heads.parse_response_head(head) if head is not None else None
         if answered is None:
-            return await self._by_h11(sock, method, path, body, (head or b"") + data)
+            return await self._read_with_h11(sock, method, path, body, (head or b"") + data)
         while len(data) < answered.length:
-            more = await sock.recv(65536)
+            more = await sock.recv(MAX_READ_BYTES)
             if not more:
                 raise EOFError("closed")
             data += more
         return answered.status, bytes(data[: answered.length]), len(data) == answered.length
 
-    async def _by_h11(
+    async def _read_with_h11(
         self, sock: Any, method: str, path: str, body: bytes | None, data: bytes
     ) -> tuple[int, bytes, bool]:
-        """The same for an answer whose head is out of the ordinary, of which `data` has come."""
-        conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=65536)
-        _wire(
+        """Read an answer with a head out of the ordinary, of which `data` has come.
+
+        Returns the same as `_exchange`.
+        """
+        conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_READ_BYTES)
+        _serialize(
             conn,
             http_heads.request_event(method, path, self.name, None if body is None else len(body)),
             *([h11.Data(data=body)] if body else []),
@@ -304,17 +346,18 @@
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                conn.receive_data(await sock.recv(65536))
+                conn.receive_data(await sock.recv(MAX_READ_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
-                again = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-                return status, b"".join(parts), again and not conn.trailing_data[0]
+                reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+                return status, b"".join(parts), reusable and not conn.trailing_data[0]
             elif not isinstance(event, h11.InformationalResponse):
                 raise EOFError("closed")
 
     async def close(self) -> None:
+        """Close the idle connections."""
         while self.idle:
             await self.idle.pop().close()
--- a/clayport/transport/http_heads.py
+++ b/clayport/transport/http_heads.py
@@ -1,8 +1,8 @@
 """Parsing and writing of HTTP message heads, cached. Pure: no I/O, no clock.
 
-Most requests and answers have a head that has been seen before: a worker's reports differ in
-their length at most, a user asks for the same job every few seconds, answers are alike. h11
-reads a head by regular expressions and keeps a state machine for each connection, which was a
+Most requests and responses have a head that has been seen before: a worker's reports differ in
+their length at most, a user asks for the same job every few seconds, responses are alike. h11
+parses a head by regular expressions and keeps a state machine for each connection, which was a
 quarter of a controller's processor time at 640 workers. What it says of a head depends on
 nothing but its bytes, so it is cached. A head that changes how its message is framed, or what
 becomes of its connection, is left to h11.
@@ -15,21 +15,22 @@
 
 import h11
 
-# Heads that are remembered, of each kind: more than a controller has workers and live jobs'
+# Entries of each cache: more than a controller has workers and live jobs'
 # pollers, at a few hundred bytes each.
 MAX_CACHED_HEADS = 4096
-# Longer ones are not: a stranger's must not take the memory.
+# Longer heads, in bytes, are not cached: a stranger's must not take the memory.
 MAX_CACHED_BYTES = 1024
-# What h11 takes for a head at most.
+# The longest head, in bytes, that is read at all.
 MAX_HEAD_BYTES = 16 * 1024
 # Headers that change how a message is framed, or what becomes of its connection.
 FRAMING_HEADERS = {b"transfer-encoding", b"connection", b"expect", b"upgrade"}
 END_OF_HEAD = b"\r\n\r\n"
+# Those without which h11 takes no request.
 MINIMAL_HEADERS = [("Host", "clayport")]
 
 
 class RequestHead(NamedTuple):
-    """A request's head."""
+    """What a request's head says."""
 
     method: str
     path: str
@@ -37,14 +38,14 @@
 
 
 class ResponseHead(NamedTuple):
-    """An answer's head."""
+    """What a response's head says."""
 
     status: int
-    length: int
+    length: int  # bytes of its body
 
 
 def take_head(data: bytearray) -> bytes | None:
-    """The head in front of `data`, taken out of it; None while it isn't whole, or too long."""
+    """Take the head in front of `data` out of it; None while it isn't whole, or is too long."""
     end = data.find(END_OF_HEAD)
     if end < 0 or end > MAX_CACHED_BYTES:
         return None
@@ -54,8 +55,10 @@
 
 
 def needs_h11(data: bytearray) -> bool:
-    """Whether h11 has to look at what has come of a head that isn't whole: it may be an
-    error already, or have ended otherwise than most do."""
+    """Whether h11 has to look at what has come of a head that isn't whole.
+
+    It may be an error already, or have ended otherwise than most do.
+    """
     return (
         len(data) > MAX_CACHED_BYTES
         or b"" < data[:1] < b"!"
@@ -65,8 +68,10 @@
 
 
 def _parse(conn: h11.Connection, head: bytes) -> tuple[Any, int | None]:
-    """What h11 makes of a head, and the bytes of the body if a length says so (None: none is
-    given); no event where h11 has to keep the connection."""
+    """Parse a head by h11; return its event, and the body's length in bytes if it is given.
+
+    The event is None where h11 has to keep the connection.
+    """
     conn.receive_data(head)
     try:
         event = conn.next_event()
@@ -86,7 +91,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def parse_request_head(head: bytes) -> RequestHead | None:
-    """A request's head, or None if its connection is to be left to h11."""
+    """Parse a request's head; None if its connection is to be left to h11."""
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     event, length = _parse(conn, head)
     if event is None or event.method in (b"HEAD", b"CONNECT"):
@@ -96,7 +101,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def parse_response_head(head: bytes) -> ResponseHead | None:
-    """An answer's head, to anything but HEAD; None if its connection is to be left to h11."""
+    """Parse the head of a response to anything but HEAD; None if it is to be left to h11."""
     conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     conn.send(h11.Request(method="GET", target="/", headers=MINIMAL_HEADERS))
     conn.send(h11.EndOfMessage())
@@ -108,7 +113,13 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def response_head(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> bytes:
-    """The head of an answer to a request that `parse_request_head` could read."""
+    """Return the head of a response to a request that `parse_request_head` could read.
+
+    Args:
+        status: The response's status.
+        length: Bytes of its body.
+        extra: Headers beside the content's type and length.
+    """
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(b"GET / HTTP/1.1\r\nHost: clayport\r\n\r\n")
     conn.next_event()
@@ -118,7 +129,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def response_event(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> h11.Response:
-    """The event for it, where h11 keeps the connection."""
+    """Return h11's event for the same response, where h11 keeps the connection."""
     return h11.Response(
         status_code=status,
         headers=[("Content-Type", "application/json"), ("Content-Length", str(length)), *extra],
@@ -127,12 +138,12 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def request_head(method: str, path: str, host: str, length: int | None) -> bytes:
-    """A request's head; `length` None: without a body."""
+    """Return a request's head; `length` is the bytes of its body, None if it has none."""
     return h11.Connection(h11.CLIENT).send(request_event(method, path, host, length)) or b""
 
 
 def request_event(method: str, path: str, host: str, length: int | None) -> h11.Request:
-    """The event for it, where h11 keeps the connection."""
+    """Return h11's event for the same request, where h11 keeps the connection."""
     headers = [("Host", host)]
     if length is not None:
         headers += [("Content-Length", str(length)), ("Content-Type", "application/json")]
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -55,13 +55,13 @@
 
     async def run() -> None:
         if plain:
-            await server._by_h11(sock, await curio.current_task(), await sock.recv(0))
+            await server._serve_with_h11(sock, await curio.current_task(), await sock.recv(0))
             await sock.close()
         else:
-            await server._connection(sock)
+            await server._serve_connection(sock)
 
     curio.run(run)
-    assert not server.until and not server.open
+    assert not server.deadlines and not server.connections
     return asked, sock.sent, sock.closed
 
 
@@ -160,7 +160,7 @@
             async def run(c: Client = client, s: Sock = sock, plain: bool = plain) -> Any:
                 try:
                     return await (
-                        c._by_h11(s, "POST", "/commit", b"{}", b"")
+                        c._read_with_h11(s, "POST", "/commit", b"{}", b"")
                         if plain
                         else c._exchange(s, "POST", "/commit", b"{}")
                     )
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -158,7 +158,8 @@
     async def accept() -> None:
         async with listener:
             client, _ = await listener.accept()
-            server.open[await curio.spawn(server._connection, client, daemon=True)] = False
+            task = await curio.spawn(server._serve_connection, client, daemon=True)
+            server.connections[task] = False
             await curio.sleep(10)
 
     task = await curio.spawn(accept, daemon=True)
@@ -201,9 +202,9 @@
         server = http.Server(echo, 3, 5.0, 1.0, "/v1/report")
         tasks = [await curio.spawn(curio.sleep, 60, daemon=True) for _ in range(3)]
         for task, idle in zip(tasks, (False, True, True)):
-            server.open[task] = idle
-        await server._make_room()
-        return [t in server.open for t in tasks]
+            server.connections[task] = idle
+        await server._close_oldest_idle()
+        return [t in server.connections for t in tasks]
 
     assert curio.run(main) == [True, False, True]
 
