--- a/clayport/cli.py
+++ b/clayport/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: one controller, or a command on snapshots of the records."""
 
 from __future__ import annotations
 
@@ -6,11 +6,25 @@
 import logging
 import os
 import sys
+from typing import TYPE_CHECKING
 
 from clayport import __version__
-from clayport.settings import ConfigError, load
+from clayport.settings import ConfigError, Settings, load
+
+if TYPE_CHECKING:
+    from clayport.controller import Controller
+    from clayport.operator_settings import OperatorSettings
+
+# Values of the environment variable LOG_LEVEL.
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+DEFAULT_LOG_LEVEL = "info"
+SNAPSHOT_COMMANDS = ("snapshot", "restore")
+# Exit statuses: a controller runs until it fails.
+EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+
+class UsageError(Exception):
+    """The command line or the environment can't be used; the text is for whoever wrote them."""
 
 
 def parser() -> argparse.ArgumentParser:
@@ -32,56 +46,84 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run the controller, or a snapshot command; return the exit status."""
-    given = sys.argv[1:] if argv is None else argv
-    if given and given[0] in ("snapshot", "restore"):
-        try:
-            from clayport.rebuild import commands
-        except ModuleNotFoundError as exc:
-            print(f"clayport: needs {exc.name}: pip install clayport[snapshots]", file=sys.stderr)
-            return 2
-        return commands.main(given)
-    args = parser().parse_args(given)
-    name = os.environ.get("LOG_LEVEL") or "info"
-    if name not in LEVELS:
-        print(f"LOG_LEVEL: {name!r} is none of error, info, debug", file=sys.stderr)
-        return 2
-    own = None
+    arguments = sys.argv[1:] if argv is None else argv
     try:
-        settings = load(args.config)
-        if args.operator:
-            from clayport import operator_settings
+        if arguments and arguments[0] in SNAPSHOT_COMMANDS:
+            return _run_snapshot_command(arguments)
+        return _run(parser().parse_args(arguments))
+    except UsageError as exc:
+        print(exc, file=sys.stderr)
+        return EXIT_USAGE
 
-            own = operator_settings.load(args.operator)
-    except ConfigError as exc:
-        print(f"clayport: {exc}", file=sys.stderr)
-        return 2
+
+def _run(args: argparse.Namespace) -> int:
+    """Check the settings and run the controller."""
+    log_level = _log_level()
+    settings, operator = _load_settings(args.config, args.operator)
     if args.check:
         print("settings are valid")
-        return 0
+        return EXIT_OK
     logging.basicConfig(
-        level=LEVELS[name], stream=sys.stderr, format="%(levelname)s %(name)s %(message)s"
+        level=log_level, stream=sys.stderr, format="%(levelname)s %(name)s %(message)s"
     )
     # Imported late: checking settings needs none of it.
     import curio
 
+    controller = _build_controller(settings, operator)
+    curio.run(controller.run)
+    return EXIT_FAILED
+
+
+def _run_snapshot_command(arguments: list[str]) -> int:
+    # Imported late: a controller without snapshots has no need of the libraries.
+    try:
+        from clayport.rebuild import commands
+    except ModuleNotFoundError as exc:
+        raise UsageError(f"clayport: needs {exc.name}: pip install clayport[snapshots]") from None
+    return commands.main(arguments)
+
+
+def _log_level() -> int:
+    name = os.environ.get("LOG_LEVEL") or DEFAULT_LOG_LEVEL
+    if name not in LOG_LEVELS:
+        raise UsageError(f"LOG_LEVEL: {name!r} is none of error, info, debug")
+    return LOG_LEVELS[name]
+
+
+def _load_settings(
+    path: str, operator_path: str | None
+) -> tuple[Settings, OperatorSettings | None]:
+    """Load the platform's settings, and the operator's own if there are any."""
+    try:
+        settings = load(path)
+        if not operator_path:
+            return settings, None
+        # Imported late: protobuf costs memory and time.
+        from clayport import operator_settings
+
+        return settings, operator_settings.load(operator_path)
+    except ConfigError as exc:
+        raise UsageError(f"clayport: {exc}") from None
+
+
+def _build_controller(settings: Settings, operator: OperatorSettings | None) -> Controller:
     from clayport.controller import Controller
     from clayport.scheduling.refresh import AdaptiveInterval
 
-    if own is None:
-        controller = Controller(settings)
-    else:
-        try:
-            controller = Controller(
-                settings, rebuild=own.rebuild, snapshots=own.directory, second_copy=own.second_copy
-            )
-        except ModuleNotFoundError as exc:
-            print(
-                f"clayport: rebuild.directory needs {exc.name}: pip install clayport[snapshots]",
-                file=sys.stderr,
-            )
-            return 2
-        controller.cached_state.adaptive_interval = AdaptiveInterval(
-            own.refresh.start_s, own.refresh.least_s, own.refresh.most_s
+    if operator is None:
+        return Controller(settings)
+    try:
+        controller = Controller(
+            settings,
+            rebuild=operator.rebuild,
+            snapshots=operator.directory,
+            second_copy=operator.second_copy,
         )
-    curio.run(controller.run)
-    return 1
+    except ModuleNotFoundError as exc:
+        raise UsageError(
+            f"clayport: rebuild.directory needs {exc.name}: pip install clayport[snapshots]"
+        ) from None
+    controller.cached_state.adaptive_interval = AdaptiveInterval(
+        operator.refresh.start_s, operator.refresh.least_s, operator.refresh.most_s
+    )
+    return controller
--- a/clayport/operator_settings.py
+++ b/clayport/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operator's own settings, in protobuf text format.
+"""The operator's own settings: a file in protobuf text format, read and checked.
 
     refresh { start_s: 10 least_s: 1 most_s: 60 }
     rebuild { on: true directory: "/var/lib/clayport" }
@@ -18,11 +18,13 @@
 
 from clayport.settings import ConfigError
 
-REFRESH = ("start_s", "least_s", "most_s")
+# The package of the schema's messages.
+PACKAGE = "clayport"
+REFRESH_FIELDS = ("start_s", "least_s", "most_s")
 
 
 @dataclass(frozen=True)
-class Refresh:
+class RefreshSettings:
     """Bounds of the adaptive refresh interval, in seconds."""
 
     start_s: float = 10.0
@@ -31,75 +33,77 @@
 
 
 @dataclass(frozen=True)
-class Operator:
+class OperatorSettings:
     """What the operator's file switches on or changes; the defaults are those of no file."""
 
-    refresh: Refresh = Refresh()
+    refresh: RefreshSettings = RefreshSettings()
     rebuild: bool = False  # whether records that the state service loses are rebuilt
     directory: str = ""  # where this controller keeps snapshots of them; none: nowhere
     second_copy: bool = False  # whether 201 waits until a second place has the record
 
 
-def _message() -> Any:
-    field = descriptor_pb2.FieldDescriptorProto
+def _add_field(message: Any, name: str, kind: int, message_type: str = "") -> None:
+    """Add an optional field to a message of the schema, with the next free number."""
+    message.field.add(
+        name=name,
+        number=len(message.field) + 1,
+        type=kind,
+        label=descriptor_pb2.FieldDescriptorProto.LABEL_OPTIONAL,
+        type_name=message_type or None,
+    )
+
+
+def _empty_message() -> Any:
+    """Declare the schema; return an empty message of its outermost type."""
+    types = descriptor_pb2.FieldDescriptorProto
     file = descriptor_pb2.FileDescriptorProto(
-        name="operator.proto", package="clayport", syntax="proto2"
+        name="operator.proto", package=PACKAGE, syntax="proto2"
     )
     refresh = file.message_type.add(name="Refresh")
-    for number, name in enumerate(REFRESH, 1):
-        refresh.field.add(
-            name=name, number=number, type=field.TYPE_DOUBLE, label=field.LABEL_OPTIONAL
-        )
+    for name in REFRESH_FIELDS:
+        _add_field(refresh, name, types.TYPE_DOUBLE)
     rebuild = file.message_type.add(name="Rebuild")
-    rebuild.field.add(name="on", number=1, type=field.TYPE_BOOL, label=field.LABEL_OPTIONAL)
-    rebuild.field.add(
-        name="directory", number=2, type=field.TYPE_STRING, label=field.LABEL_OPTIONAL
-    )
-    rebuild.field.add(
-        name="second_copy", number=3, type=field.TYPE_BOOL, label=field.LABEL_OPTIONAL
-    )
-    whole = file.message_type.add(name="Operator")
-    for number, name in enumerate(("Refresh", "Rebuild"), 1):
-        whole.field.add(
-            name=name.lower(),
-            number=number,
-            type=field.TYPE_MESSAGE,
-            label=field.LABEL_OPTIONAL,
-            type_name=f".clayport.{name}",
-        )
+    _add_field(rebuild, "on", types.TYPE_BOOL)
+    _add_field(rebuild, "directory", types.TYPE_STRING)
+    _add_field(rebuild, "second_copy", types.TYPE_BOOL)
+    operator = file.message_type.add(name="Operator")
+    for part in (refresh, rebuild):
+        _add_field(operator, part.name.lower(), types.TYPE_MESSAGE, f".{PACKAGE}.{part.name}")
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
-    return message_factory.GetMessageClass(pool.FindMessageTypeByName("clayport.Operator"))()
+    return message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{PACKAGE}.Operator"))()
+
 
+def parse(text: str) -> OperatorSettings:
+    """Decode and check the operator's settings.
 
-def parse(text: str) -> Operator:
-    """Read and check the operator's settings."""
+    Raises:
+        ConfigError: A field is unknown, out of its range or contradicts another.
+    """
     try:
-        message = text_format.Parse(text, _message())
+        message = text_format.Parse(text, _empty_message())
     except text_format.ParseError as exc:
         raise ConfigError(f"operator file: {' '.join(str(exc).split())}") from None
-    default = Refresh()
-    refresh = Refresh(
-        **{
-            name: getattr(message.refresh, name)
-            if message.refresh.HasField(name)
-            else getattr(default, name)
-            for name in REFRESH
-        }
-    )
-    for name in REFRESH:
+    refresh = _parse_refresh(message.refresh)
+    rebuild = message.rebuild
+    if (rebuild.directory or rebuild.second_copy) and not rebuild.on:
+        raise ConfigError("rebuild: directory and second_copy need on: true")
+    return OperatorSettings(refresh, rebuild.on, rebuild.directory, rebuild.second_copy)
+
+
+def _parse_refresh(message: Any) -> RefreshSettings:
+    given = {name: getattr(message, name) for name in REFRESH_FIELDS if message.HasField(name)}
+    refresh = RefreshSettings(**given)
+    for name in REFRESH_FIELDS:
         value = getattr(refresh, name)
         if not math.isfinite(value) or value <= 0:
             raise ConfigError(f"refresh.{name}: must be a positive number")
     if not refresh.least_s <= refresh.start_s <= refresh.most_s:
         raise ConfigError("refresh.start_s: must lie between least_s and most_s")
-    own = message.rebuild
-    if (own.directory or own.second_copy) and not own.on:
-        raise ConfigError("rebuild: directory and second_copy need on: true")
-    return Operator(refresh, own.on, own.directory, own.second_copy)
+    return refresh
 
 
-def load(path: str) -> Operator:
+def load(path: str) -> OperatorSettings:
     """Read the operator's file (protobuf text format).
 
     Raises:
