--- a/clayport/settings.py
+++ b/clayport/settings.py
@@ -14,6 +14,7 @@
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Count = Annotated[int, msgspec.Meta(ge=1)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+MAX_PORT = 65535
 
 
 class ConfigError(Exception):
@@ -36,7 +37,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; a limit of 0 means that there is none."""
+    """A team's quota (its guaranteed share) and limit; a limit of 0 means that there is none."""
 
     name: Name
     cpus: NonNegative = 0.0
@@ -46,7 +47,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """One aim on a class of jobs.
+    """One service-level objective on a class of jobs.
 
     `kind` is for example `wait` or `finished`; `within_s` is its bound in seconds, `share` the
     share of the jobs that have to meet it, and `times` a multiple of a job's own deadline.
@@ -70,8 +71,10 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have some time after an upgrade; what is absent
-    stays as it is."""
+    """Limits that the state service will have some time after an upgrade.
+
+    What is absent stays as it is.
+    """
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -80,8 +83,9 @@
 
 
 class StateSettings(msgspec.Struct, frozen=True):
-    """Limits of the state service: requests and writes per second, KiB of a value, writes of a
-    transaction.
+    """Limits of the state service, a consensus-backed key-value store.
+
+    Requests and writes per second, KiB of a value, writes of a transaction.
     """
 
     rps: Positive
@@ -148,44 +152,69 @@
 
 
 def endpoint(text: str, field: str) -> tuple[str, int]:
-    """Split `host:port`; `field` is named when it is not one."""
+    """Split `host:port`.
+
+    Raises:
+        ConfigError: The text is none; the error names `field`.
+    """
     host, _, port = text.rpartition(":")
-    if not host or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ConfigError(f"{field}: {text!r} is not host:port")
     return host, int(port)
 
 
 def parse(raw: bytes) -> Settings:
-    """Decode and check the settings."""
+    """Decode and check the settings.
+
+    Raises:
+        ConfigError: They aren't JSON, a field is missing or invalid, or fields contradict
+            each other.
+    """
     try:
         settings = msgspec.json.decode(raw, type=Settings)
     except msgspec.ValidationError as exc:
         raise ConfigError(str(exc)) from None
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise ConfigError(f"not JSON: {exc}") from None
+    _check_addresses(settings)
+    _check_members(settings)
+    _check_teams(settings.cluster.teams)
+    workers = settings.cluster.workers
+    if workers.cancel_s <= workers.lease_s:
+        raise ConfigError("cluster.workers.cancel_s: must be longer than lease_s")
+    return settings
+
+
+def _check_addresses(settings: Settings) -> None:
     endpoint(settings.bind, "bind")
     endpoint(settings.peer_bind, "peer_bind")
     endpoint(settings.services.cloud, "services.cloud")
     endpoint(settings.services.state, "services.state")
     for index, member in enumerate(settings.members):
         endpoint(member.address, f"members[{index}].address")
+
+
+def _check_members(settings: Settings) -> None:
     if len(set(settings.labels)) != len(settings.members) + 1:
         raise ConfigError("members: a label stands twice")
     if settings.cluster.size != len(settings.members) + 1:
         raise ConfigError("cluster.size: differs from the number of members and this one")
-    names = [team.name for team in settings.cluster.teams]
-    if len(set(names)) != len(names):
+
+
+def _check_teams(teams: list[Team]) -> None:
+    if len({team.name for team in teams}) != len(teams):
         raise ConfigError("cluster.teams: a name stands twice")
-    for team in settings.cluster.teams:
+    for team in teams:
         if 0 < team.cpus_max < team.cpus or 0 < team.gpus_max < team.gpus:
             raise ConfigError(f"cluster.teams: {team.name} is guaranteed more than its limit")
-    if settings.cluster.workers.cancel_s <= settings.cluster.workers.lease_s:
-        raise ConfigError("cluster.workers.cancel_s: must be longer than lease_s")
-    return settings
 
 
 def load(path: str) -> Settings:
-    """Read the settings from a file."""
+    """Read the settings from a file.
+
+    Raises:
+        ConfigError: The file can't be read, or `parse` refuses what it holds.
+    """
     try:
         with open(path, "rb") as file:
             return parse(file.read())
