--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud's protocol. It decides nothing: outcomes are handed on."""
+"""The client of the cloud's API. It decides nothing: outcomes are handed on."""
 
 from __future__ import annotations
 
@@ -15,20 +15,25 @@
 from clayport.records.store import Bucket
 from clayport.transport import http
 
-# Retries that each first try earns; the share of our requests that may be retries; and the
-# pauses between them as shares of the time that a request may take.
-RETRIES, AGAIN = 0.1, 0.5
-PAUSE, PAUSE_MOST = 0.1, 0.2
-# The protocol's own figures: machines in one request.
+# The part of the given rate of requests that is used.
+RATE_SHARE = 0.8
+# Retries that each first try earns, and the share of our requests that may be retries.
+RETRIES_PER_REQUEST, MAX_RETRY_SHARE = 0.1, 0.5
+# The pauses between retries, as shares of the time that a request may take.
+MIN_PAUSE_SHARE, MAX_PAUSE_SHARE = 0.1, 0.2
+# The most machines in one request, by the protocol: to return, and to list.
 RETURN_MOST = 100
+PAGE_SIZE = 500
+# By the protocol, what an answer with status 503 says when there is no such machine to rent.
+NO_CAPACITY = b"no capacity"
 
 
 class CloudError(Exception):
-    """Refused or unanswered; a rental or return may still be executed."""
+    """A request was refused or not answered; a rental or return may still be executed."""
 
 
 class NoCapacityError(Exception):
-    """None of this type, zone and kind is to be had now."""
+    """No machine of this type and zone, on demand or spot as asked, can be rented now."""
 
 
 class _Catalogue(msgspec.Struct):
@@ -45,7 +50,15 @@
 
 
 class Cloud:
-    """Requests to the cloud, paced to this controller's share of its budget."""
+    """Requests to the cloud, paced to this controller's share of its budget.
+
+    Args:
+        host: The host of the cloud's API.
+        port: Its port.
+        rps: This controller's share of the requests per second that the cloud serves.
+        timeout_s: How long a request may take.
+        uniform: Draws the jitter of pauses between retries.
+    """
 
     def __init__(
         self,
@@ -57,24 +70,24 @@
     ) -> None:
         self.client = http.Client(host, port, keep=2)
         now = time.monotonic()
-        self.bucket = Bucket(rps * 0.8, now)
+        self.bucket = Bucket(rps * RATE_SHARE, now)
         self.timeout_s = timeout_s
-        again = max(1.0, AGAIN * self.bucket.rate)
+        max_retries = max(1.0, MAX_RETRY_SHARE * self.bucket.rate)
         self.circuit = Circuit(
             Retries(
-                PAUSE * timeout_s,
-                PAUSE_MOST * timeout_s,
-                Budget(RETRIES, again, again, now),
+                MIN_PAUSE_SHARE * timeout_s,
+                MAX_PAUSE_SHARE * timeout_s,
+                Budget(RETRIES_PER_REQUEST, max_retries, max_retries, now),
                 uniform,
             )
         )
         self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
 
     async def turn(self) -> None:
-        """Until another request may be sent."""
-        wait = self.bucket.delay(1, time.monotonic())
-        if wait > 0:
-            await curio.sleep(wait)
+        """Wait until another request may be sent."""
+        delay_s = self.bucket.delay(1, time.monotonic())
+        if delay_s > 0:
+            await curio.sleep(delay_s)
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
         await self.turn()
@@ -88,7 +101,7 @@
             await self.circuit.seen(False)
             raise CloudError(str(exc)) from None
         # What is refused for lack of capacity has been served.
-        await self.circuit.seen(status != 429 and (status != 503 or b"no capacity" in payload))
+        await self.circuit.seen(status != 429 and (status != 503 or NO_CAPACITY in payload))
         return status, payload
 
     @staticmethod
@@ -120,7 +133,8 @@
         since = ""
         while True:
             status, payload = await self._call(
-                "GET", f"/hosts?since={since}&most=500" if since else "/hosts?most=500"
+                "GET",
+                f"/hosts?since={since}&most={PAGE_SIZE}" if since else f"/hosts?most={PAGE_SIZE}",
             )
             page: _Page = self._decode(status, payload, _Page)
             found += page.machines
@@ -128,29 +142,41 @@
                 return found
             since = page.machines[-1].id
 
-    async def rent(self, rental: str, kind: str, zone: str, spot: bool, count: int) -> list[str]:
+    async def rent(
+        self, rental: str, machine_type: str, zone: str, spot: bool, count: int
+    ) -> list[str]:
         """Rent up to `count` machines and return the names of those that were rented.
 
         A `rental` name is never used for another request.
 
         Raises:
-            NoCapacityError: None of this type, zone and kind is available.
+            NoCapacityError: No such machine can be rented now.
             CloudError: Refused or unanswered; it may still be executed.
         """
-        body = {"rental": rental, "flavor": kind, "site": zone, "loaners": spot, "number": count}
+        body = {
+            "rental": rental,
+            "flavor": machine_type,
+            "site": zone,
+            "loaners": spot,
+            "number": count,
+        }
         status, payload = await self._call("POST", "/hosts", body)
-        if status == 503 and b"no capacity" in payload:
+        if status == 503 and NO_CAPACITY in payload:
             raise NoCapacityError
         names: list[str] = self._decode(status, payload, _Rented).machines
         return names
 
     async def give_back(self, names: list[str]) -> None:
-        """Once this returns, the machines (RETURN_MOST at most) and all on them are gone."""
+        """Return up to `RETURN_MOST` machines; they and all on them are gone then.
+
+        Raises:
+            CloudError: Refused or unanswered; it may still be executed.
+        """
         await self.turn()
         await self.return_now(names)
 
     async def return_now(self, names: list[str]) -> None:
-        """The same by whose turn it is already."""
+        """Return machines as `give_back`, by a caller that has waited for its `turn`."""
         status, payload = await self._send("POST", "/hosts/return", {"hosts": names})
         if status != 200:
             raise CloudError(f"{status} {payload[:100]!r}")
