--- a/clayport/imports.py
+++ b/clayport/imports.py
@@ -1,8 +1,8 @@
-"""Imports without the parts of the libraries that a controller never runs.
+"""Imports of libraries without the parts that a controller never runs.
 
-Starting up is paid from the same share of a core as serving, and a controller that comes back
-has to answer its workers before their leases end. Much of the time of the imports went into
-parts that curio and hashlib load for features that nobody uses here: asyncio (futures of another
+Starting takes from the same share of a core as serving, and a controller that comes back has to
+answer its workers before their leases expire. Much of the time of the imports went into parts
+that curio and hashlib load for features that are not used here: asyncio (futures of another
 event loop), multiprocessing (worker processes), ssl and OpenSSL's hashes (all that is needed of
 them is built in).
 """
@@ -17,9 +17,10 @@
 from types import ModuleType
 from typing import Any
 
-# Modules that those who import them can do without: the import fails.
+# Optional modules: importing them fails, and the libraries go on without them.
 ABSENT = ("ssl", "_hashlib")
-# Modules that have to be there while the libraries are imported, and what is used of them then.
+# Modules that the libraries can't be imported without: empty ones take their place, with the
+# attributes that are used during the import.
 EMPTY: dict[str, dict[str, Any]] = {
     "asyncio": {},
     "multiprocessing": {"cpu_count": os.cpu_count},
@@ -27,8 +28,8 @@
 }
 
 
-class EmptyModules:
-    """A finder and loader of empty modules in the place of those in `EMPTY`."""
+class EmptyModuleFinder:
+    """A finder and loader of empty modules in place of those in `EMPTY`."""
 
     def find_spec(
         self, name: str, _path: object = None, _target: object = None
@@ -46,10 +47,13 @@
 
 @contextmanager
 def reduced() -> Iterator[None]:
-    """Import libraries without `ABSENT` and `EMPTY`. Afterwards, whoever imports one of these
-    gets the real one, unless it has been imported before."""
+    """Import libraries without the modules in `ABSENT` and `EMPTY`.
+
+    Afterwards, whoever imports one of these gets the real one. Those that have been imported
+    before stay as they are.
+    """
     replaced = [name for name in (*ABSENT, *EMPTY) if name not in sys.modules]
-    finder = EmptyModules()
+    finder = EmptyModuleFinder()
     sys.meta_path.insert(0, finder)
     for name in ABSENT:
         if name in replaced:
