--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The side of a connection between controllers that answers."""
+"""Connections between controllers: the side that answers, and the side that asks."""
 
 from __future__ import annotations
 
@@ -90,3 +90,90 @@
     if closed and not any(b"nonsense" in data for _, data in comes):
         last = 1000.0 + (sum(pause for pause, data in comes) if answers else 0.0)
         assert idle_s < closed_at - last <= 1.25 * idle_s + 0.01
+
+
+# -- the side that asks, over a loopback connection ---------------------------------
+
+COUNTS = (1, "j-000001")
+
+
+def ask(handler: Any, asking: Any, timeout_s: float = 5.0) -> Any:
+    """What `asking` returns, given a `Peer` whose requests are answered by `handler`."""
+
+    async def main() -> Any:
+        probe = curio.tcp_server_socket("127.0.0.1", 0)
+        port = probe.getsockname()[1]
+        await probe.close()
+        serving = await curio.spawn(peers.serve, "127.0.0.1", port, handler, 4, 60.0)
+        await curio.sleep(0.05)
+        try:
+            return await asking(peers.Peer("c1", "127.0.0.1", port, timeout_s))
+        finally:
+            await serving.cancel()
+
+    return curio.run(main)
+
+
+def test_answers_are_matched_to_their_requests_in_any_order() -> None:
+    async def handler(_: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+        await curio.sleep(0.1 / values[0])  # the later asked, the earlier answered
+        return frames.COUNTED, (True, values[0], 0)
+
+    async def asking(peer: peers.Peer) -> list[Any]:
+        tasks = [
+            await curio.spawn(peer.call, frames.COUNTS, (number, "j-000001"))
+            for number in range(1, 6)
+        ]
+        return [await task.join() for task in tasks]
+
+    assert ask(handler, asking) == [(True, number, 0) for number in range(1, 6)]
+
+
+def test_no_answer_in_time_gives_the_connection_up() -> None:
+    asked: list[int] = []
+
+    async def handler(_: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+        asked.append(values[0])
+        await curio.sleep(60.0 if len(asked) == 1 else 0.0)
+        return frames.COUNTED, (True, 1, 2)
+
+    async def asking(peer: peers.Peer) -> Any:
+        with pytest.raises(peers.PeerError, match="c1: TaskTimeout"):
+            await peer.call(frames.COUNTS, COUNTS)
+        assert peer.heard == peers.NEVER_S
+        answer = await peer.call(frames.COUNTS, COUNTS)
+        assert peer.heard > 0
+        return answer
+
+    assert ask(handler, asking, 0.2) == (True, 1, 2)
+
+
+def test_a_lost_connection_fails_the_requests_that_wait_on_it() -> None:
+    async def handler(_: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+        await curio.sleep(60.0)
+        raise AssertionError
+
+    async def asking(peer: peers.Peer) -> None:
+        async def lose() -> None:
+            await curio.sleep(0.1)
+            await peer._sock.shutdown(curio.socket.SHUT_RDWR)
+
+        losing = await curio.spawn(lose)
+        with pytest.raises(peers.PeerError, match="c1: connection lost"):
+            await peer.call(frames.COUNTS, COUNTS)
+        await losing.join()
+        assert peer._sock is None and not peer._pending
+
+    ask(handler, asking)
+
+
+def test_fields_that_do_not_fit_are_not_sent() -> None:
+    async def handler(_: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+        raise AssertionError
+
+    async def asking(peer: peers.Peer) -> None:
+        with pytest.raises(peers.PeerError, match="c1: fields do not match the schema"):
+            await peer.call(frames.COUNTS, (1,))
+        assert peer._sock is None and not peer._pending
+
+    ask(handler, asking)
