--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -180,14 +180,14 @@
 
     async def beats() -> None:
         for _ in range(100):
-            raw = frames.encode(frames.BEAT, 1, values)
+            raw = frames.encode(frames.HEARTBEAT, 1, values)
             kind, told = await asked.peer_requests.answer(
-                frames.BEAT, frames.decode_body(frames.BEAT, raw[size:])
+                frames.HEARTBEAT, frames.decode_body(frames.HEARTBEAT, raw[size:])
             )
             frames.decode_body(kind, frames.encode(kind, 1, told)[size:])
 
     seconds = repeated(lambda: spent(lambda: curio.run(beats), 100))
-    return seconds, figure("bytes", [len(frames.encode(frames.BEAT, 1, values))])
+    return seconds, figure("bytes", [len(frames.encode(frames.HEARTBEAT, 1, values))])
 
 
 def owned_reporters(owner: Controller, count: int) -> list[fixtures.Reporter]:
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -14,7 +14,7 @@
 
 from clayport.machines.removal import MachineRemoval
 from clayport.membership.state import MembershipState
-from clayport.scaling.cloud import RETURN_MOST, Cloud, CloudError
+from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud, CloudError
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
                     await self._told(waits, "the epoch has moved on")
                     epoch = self.membership.epoch
                     continue
-                await self._return(list(self.waiting)[:RETURN_MOST])
+                await self._return(list(self.waiting)[:MAX_MACHINES_PER_RETURN])
         finally:
             self.sending = False
 
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -391,7 +391,7 @@
                         ok, verdicts = True, self.dispatcher.told(batch)
                     else:
                         ok, packed = await self.peers[leader].call(
-                            frames.STATES, (epoch.number, batch)
+                            frames.TASK_STATES, (epoch.number, batch)
                         )
                         verdicts = [v for (v,) in packed]
                 except (PeerError, KeyError):
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -86,7 +86,8 @@
             label, number, state_ok, room_rev = await peer.call(frames.PING, fields)
         else:
             label, number, state_ok, room_rev, incarnation, promised = await peer.call(
-                frames.BEAT, (*fields, self.membership.incarnation, self.record_replica.known_rev)
+                frames.HEARTBEAT,
+                (*fields, self.membership.incarnation, self.record_replica.known_rev),
             )
             if promised and label == peer.label:
                 self.watermark.note_promise(label, incarnation, sent, time.monotonic())
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -41,10 +41,10 @@
 NO_TABLE: Answer = (frames.TABLE, (False, 0, False, [], [], []))
 NO_RESERVATIONS: Answer = (frames.RESERVED, (False, []))
 NO_VERDICTS: Answer = (frames.VERDICTS, (False, []))
-NO_HISTORY: Answer = (frames.HISTORY_TOLD, ("", 0, 0, False, 0))
-NO_EVIDENCE: Answer = (frames.EVIDENCE_TOLD, (0, b""))
+NO_HISTORY: Answer = (frames.HISTORY_REPLY, ("", 0, 0, False, 0))
+NO_EVIDENCE: Answer = (frames.EVIDENCE_REPLY, (0, b""))
 
-# Final states of a job, as `ENDED` carries them.
+# Final states of a job, as `JOB_ENDED` carries them.
 FINAL_STATES = ("done", "cancelled")
 
 
@@ -127,7 +127,7 @@
         is_peer = heartbeats.received(label, number, state_ok, room_rev, demand)
         status_fields = heartbeats.status_fields(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
-        return frames.BEATEN, (*status_fields, self.membership.incarnation, promised)
+        return frames.HEARTBEAT_REPLY, (*status_fields, self.membership.incarnation, promised)
 
     async def ended(self, job: str, status: str) -> Answer:
         """ENDED: a job's final state, to be acknowledged before its user is told."""
@@ -278,17 +278,17 @@
 
 HANDLERS: dict[int, Handler] = {
     frames.PING: Handler(PeerRequests.ping),
-    frames.BEAT: Handler(PeerRequests.beat),
-    frames.ENDED: Handler(PeerRequests.ended),
+    frames.HEARTBEAT: Handler(PeerRequests.beat),
+    frames.JOB_ENDED: Handler(PeerRequests.ended),
     frames.HISTORY: Handler(PeerRequests.history),
     frames.EVIDENCE: Handler(PeerRequests.evidence),
     frames.INSPECT: Handler(PeerRequests.inspect),
     frames.GONE: Handler(PeerRequests.gone),
     frames.REPORT: Handler(PeerRequests.report),
     frames.COUNTS: Handler(PeerRequests.counts, NO_COUNTS),
-    frames.STATES: Handler(PeerRequests.states, NO_VERDICTS),
+    frames.TASK_STATES: Handler(PeerRequests.states, NO_VERDICTS),
     frames.MOVE: Handler(PeerRequests.move, REFUSED),
-    frames.ROOM: Handler(PeerRequests.room, NO_TABLE),
+    frames.FREE_ROOM: Handler(PeerRequests.room, NO_TABLE),
     frames.RESERVE: Handler(PeerRequests.reserve, NO_RESERVATIONS),
     frames.LAUNCH: Handler(PeerRequests.launch, NO_VERDICTS),
     frames.STOP: Handler(PeerRequests.stop, REFUSED),
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -18,7 +18,7 @@
 from clayport.membership.epoch import TOKEN_COUNTER_BITS
 from clayport.model import WorkerHeartbeat, split_task
 from clayport.rebuild.evidence import Evidence, Task
-from clayport.scaling.cloud import RETURN_MOST, CloudError
+from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, CloudError
 from clayport.transport import http
 
 if TYPE_CHECKING:
@@ -164,7 +164,9 @@
         ports, silent, now = self.ports, self.silent, time.monotonic()
         most = len(silent) > 2 and len(silent) > len(self.held)
         circuit = ports.settings.cluster.workers.cancel_s / 2 if most else ports.fleet.silent_s
-        names = [n for n, since in silent.items() if now - since > circuit][:RETURN_MOST]
+        names = [n for n, since in silent.items() if now - since > circuit][
+            :MAX_MACHINES_PER_RETURN
+        ]
         if names:
             try:
                 await ports.cloud.give_back(names)
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -159,7 +159,7 @@
         if kind == frames.HISTORY:
             if not h.doubt:
                 h.told(*values[:4])
-            return frames.HISTORY_TOLD, (
+            return frames.HISTORY_REPLY, (
                 h.name,
                 h.number,
                 h.floor,
@@ -171,7 +171,7 @@
             h.suspect("the records are rebuilt")
             self.packed = (name, evidence.pack(self._own()))
         parts = self.packed[1]
-        return frames.EVIDENCE_TOLD, (len(parts), parts[part] if part < len(parts) else b"")
+        return frames.EVIDENCE_REPLY, (len(parts), parts[part] if part < len(parts) else b"")
 
     def note_head(self, value: Any) -> None:
         """Which history the records belong to, as the watch has it."""
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -505,7 +505,7 @@
         try:
             while time.monotonic() < end:
                 try:
-                    await peer.call(frames.ENDED, (job, "cancelled"))
+                    await peer.call(frames.JOB_ENDED, (job, "cancelled"))
                 except peers.PeerError:
                     await peer.back_off(attempt)
                     continue
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -22,7 +22,7 @@
 # The pauses between retries, as shares of the time that a request may take.
 MIN_PAUSE_SHARE, MAX_PAUSE_SHARE = 0.1, 0.2
 # The most machines in one request, by the protocol: to return, and to list.
-RETURN_MOST = 100
+MAX_MACHINES_PER_RETURN = 100
 PAGE_SIZE = 500
 # By the protocol, what an answer with status 503 says when there is no such machine to rent.
 NO_CAPACITY = b"no capacity"
@@ -167,7 +167,7 @@
         return names
 
     async def give_back(self, names: list[str]) -> None:
-        """Return up to `RETURN_MOST` machines; they and all on them are gone then.
+        """Return up to `MAX_MACHINES_PER_RETURN` machines; they and all on them are gone then.
 
         Raises:
             CloudError: Refused or unanswered; it may still be executed.
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -18,7 +18,7 @@
 from clayport.model import RANKS, CloudMachine, MachineType, fits
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
-from clayport.scaling.cloud import RETURN_MOST, Cloud, CloudError, NoCapacityError
+from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud, CloudError, NoCapacityError
 from clayport.scaling.provisioning import (
     GIVE_UP,
     LATE,
@@ -384,8 +384,8 @@
                     self._up(boot, now)
                 self.own.discard(name)
                 del self.boots[name]
-        for first in range(0, len(failed), RETURN_MOST):
-            await self._return(failed[first : first + RETURN_MOST], now)
+        for first in range(0, len(failed), MAX_MACHINES_PER_RETURN):
+            await self._return(failed[first : first + MAX_MACHINES_PER_RETURN], now)
 
     def _up(self, boot: BootingMachine, now: float) -> None:
         for kind in self.catalogue.types:
@@ -410,7 +410,7 @@
             for name in late:
                 if name in self.own:
                     self._up(self.boots[name], now)
-            await self._return(late[:RETURN_MOST], now)
+            await self._return(late[:MAX_MACHINES_PER_RETURN], now)
 
     async def _return(self, names: list[str], now: float) -> None:
         await self.cloud.give_back(names)
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -134,7 +134,7 @@
         ]
         try:
             ok, rev, whole, removed, rows, taken = await self.peers[label].call(
-                frames.ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
+                frames.FREE_ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
             )
         except (PeerError, KeyError):
             return
--- a/clayport/transport/frames.py
+++ b/clayport/transport/frames.py
@@ -51,11 +51,11 @@
     STOP = 6
     ADOPT = 7
     ACK = 8
-    STATES = 9
+    TASK_STATES = 9
     VERDICTS = 10
-    ROOM = 11
+    FREE_ROOM = 11
     TABLE = 12
-    ENDED = 13
+    JOB_ENDED = 13
     COUNTS = 14
     COUNTED = 15
     REPORT = 16
@@ -69,13 +69,13 @@
     MOVE = 24
     # Only between controllers that understand histories of the records (`rebuild`).
     HISTORY = 25
-    HISTORY_TOLD = 26
+    HISTORY_REPLY = 26
     EVIDENCE = 27
-    EVIDENCE_TOLD = 28
+    EVIDENCE_REPLY = 28
     # The heartbeat between controllers that keep promises on cancellations
     # (`leases.cancellations`).
-    BEAT = 29
-    BEATEN = 30
+    HEARTBEAT = 29
+    HEARTBEAT_REPLY = 30
 
 
 # The kinds as names of this module: `frames.PING`. (Looking a member up in its class costs
@@ -84,17 +84,17 @@
 RESERVE, RESERVED = FrameKind.RESERVE, FrameKind.RESERVED
 LAUNCH, STOP, ADOPT = FrameKind.LAUNCH, FrameKind.STOP, FrameKind.ADOPT
 ACK = FrameKind.ACK
-STATES, VERDICTS = FrameKind.STATES, FrameKind.VERDICTS
-ROOM, TABLE = FrameKind.ROOM, FrameKind.TABLE
-ENDED = FrameKind.ENDED
+TASK_STATES, VERDICTS = FrameKind.TASK_STATES, FrameKind.VERDICTS
+FREE_ROOM, TABLE = FrameKind.FREE_ROOM, FrameKind.TABLE
+JOB_ENDED = FrameKind.JOB_ENDED
 COUNTS, COUNTED = FrameKind.COUNTS, FrameKind.COUNTED
 REPORT, REPORTED = FrameKind.REPORT, FrameKind.REPORTED
 FENCE, DRAIN, GONE = FrameKind.FENCE, FrameKind.DRAIN, FrameKind.GONE
 INSPECT = FrameKind.INSPECT
 PREEMPT, EVACUATE, MOVE = FrameKind.PREEMPT, FrameKind.EVACUATE, FrameKind.MOVE
-HISTORY, HISTORY_TOLD = FrameKind.HISTORY, FrameKind.HISTORY_TOLD
-EVIDENCE, EVIDENCE_TOLD = FrameKind.EVIDENCE, FrameKind.EVIDENCE_TOLD
-BEAT, BEATEN = FrameKind.BEAT, FrameKind.BEATEN
+HISTORY, HISTORY_REPLY = FrameKind.HISTORY, FrameKind.HISTORY_REPLY
+EVIDENCE, EVIDENCE_REPLY = FrameKind.EVIDENCE, FrameKind.EVIDENCE_REPLY
+HEARTBEAT, HEARTBEAT_REPLY = FrameKind.HEARTBEAT, FrameKind.HEARTBEAT_REPLY
 
 # -- records in lists ---------------------------------------------------------------
 
@@ -116,9 +116,9 @@
     # label, epoch, whether the state service answers, room revision
     PONG: ("s", "Q", "?", "Q"),
     # the same as in PING, incarnation, revision up to which the records under `c/` are known
-    BEAT: ("s", "Q", "?", "Q", DEMAND, "s", "Q"),
+    HEARTBEAT: ("s", "Q", "?", "Q", DEMAND, "s", "Q"),
     # the same as in PONG, incarnation, whether it promises
-    BEATEN: ("s", "Q", "?", "Q", "s", "?"),
+    HEARTBEAT_REPLY: ("s", "Q", "?", "Q", "s", "?"),
     # epoch, job, attempt, list of (machine, task number)
     RESERVE: ("Q", "s", "Q", ("s", "I")),
     # whether answered, list of whether granted, in the order of the request
@@ -132,16 +132,16 @@
     # whether agreed
     ACK: ("?",),
     # epoch, list of (machine, task, attempt, state, cause, whether it has saved)
-    STATES: ("Q", ("s", "s", "Q", "s", "s", "?")),
+    TASK_STATES: ("Q", ("s", "s", "Q", "s", "s", "?")),
     # whether answered, list of verdicts, in the order of the request
     VERDICTS: ("?", ("B",)),
     # epoch, revision of the table that the sender knows, machines to be told anyway
-    ROOM: ("Q", "Q", ("s",)),
+    FREE_ROOM: ("Q", "Q", ("s",)),
     # whether answered, room revision, whether this is the whole table or what has changed since,
     # machines that are gone, machines, what is taken on them
     TABLE: ("?", "Q", "?", ("s",), MACHINE, TAKEN),
     # job, its final state
-    ENDED: ("s", "s"),
+    JOB_ENDED: ("s", "s"),
     # epoch, job
     COUNTS: ("Q", "s"),
     # whether answered, tasks that are done, tasks that run
@@ -168,11 +168,11 @@
     # history, its number, highest revision seen, whether the sender stands still, revision up to
     # which it holds the records under `c/` in memory
     HISTORY: ("s", "Q", "Q", "?", "Q"),
-    HISTORY_TOLD: ("s", "Q", "Q", "?", "Q"),
+    HISTORY_REPLY: ("s", "Q", "Q", "?", "Q"),
     # history that is to be, number of the part
     EVIDENCE: ("s", "I"),
     # number of parts, the part
-    EVIDENCE_TOLD: ("I", "b"),
+    EVIDENCE_REPLY: ("I", "b"),
 }
 
 
--- a/tests/test_peer_requests.py
+++ b/tests/test_peer_requests.py
@@ -19,21 +19,21 @@
 
 ANSWERS = {
     frames.PONG,
-    frames.BEATEN,
+    frames.HEARTBEAT_REPLY,
     frames.RESERVED,
     frames.ACK,
     frames.VERDICTS,
     frames.TABLE,
     frames.COUNTED,
     frames.REPORTED,
-    frames.HISTORY_TOLD,
-    frames.EVIDENCE_TOLD,
+    frames.HISTORY_REPLY,
+    frames.EVIDENCE_REPLY,
 }
 # What acts in any epoch, and why that is safe.
 ANY_GENERATION = {
     frames.PING,  # tells, and asks for nothing
-    frames.BEAT,
-    frames.ENDED,  # final states never change
+    frames.HEARTBEAT,
+    frames.JOB_ENDED,  # final states never change
     frames.HISTORY,
     frames.EVIDENCE,
     frames.INSPECT,  # reads only
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -431,10 +431,10 @@
             (3, [("i-1", "j-000001/5", 2, 1.5, False)]),
         ),
         ("c1a70208000000010000000101", frames.ACK, (True,)),
-        ("c1a70209000000010000000c000000000000000300000000", frames.STATES, (3, [])),
+        ("c1a70209000000010000000c000000000000000300000000", frames.TASK_STATES, (3, [])),
         (
             "c1a7020d0000000100000019000000086a2d3030303030310000000963616e63656c6c6564",
-            frames.ENDED,
+            frames.JOB_ENDED,
             ("j-000001", "cancelled"),
         ),
     ],
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -322,7 +322,7 @@
         assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
         # No user is told before all who may renew a lease have acknowledged it.
         assert sorted(heard) == [
-            (label, frames.ENDED, ("j-000001", "cancelled")) for label in sorted(c.peers)
+            (label, frames.JOB_ENDED, ("j-000001", "cancelled")) for label in sorted(c.peers)
         ]
         assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
         assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -305,7 +305,7 @@
         frames.MOVE: (4, "j-000001", 1, "i-000003", True),
         frames.EVACUATE: (4, "i-000010", True),
         frames.PREEMPT: (2, "i-000008", "j-000005", 3, 4.5, [("tight",), ("free",)]),
-        frames.ENDED: ("j-000022", "cancelled"),
+        frames.JOB_ENDED: ("j-000022", "cancelled"),
     }
     for kind, fields in sent.items():
         assert frames.decode_body(kind, FRAMES[kind][frames.HEADER.size :]) == fields
