--- /dev/null
+++ b/clayport/machines/eviction.py
@@ -0,0 +1,103 @@
+"""Moving work off machines: for work of higher rank, and before a machine is returned."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+from clayport.machines.machine import Machine, TaskKey, job_id
+from clayport.model import SERVICE, Job
+from clayport.scheduling.placement import Room, capacity
+
+if TYPE_CHECKING:
+    from clayport.machines.table import MachineTable
+
+log = logging.getLogger(__name__)
+
+
+def preempt(
+    table: MachineTable,
+    job: Job,
+    machine: Machine,
+    grace_s: float,
+    now: float,
+    borrowers: Iterable[str],
+    count: int,
+) -> bool:
+    """Stop work of lower rank until `count` tasks of `job` fit; see `MachineTable.preempt`."""
+    if not table.open(machine) or machine.held_for_other(job.id, now):
+        return False
+    room = table.room(machine)
+    chosen: list[tuple[TaskKey, Job]] = []
+    for key, victim in _victims(table, job, machine, room, borrowers):
+        if capacity(job, room) >= count:
+            break
+        room.take(victim, -1)
+        chosen.append((key, victim))
+    if not room.fits(job):
+        return False  # not worth stopping anything
+    longest_s = 0.0
+    for key, victim in chosen:
+        saves = victim.checkpoint_s > 0 and victim.save_s <= grace_s
+        machine.kills[key] = victim.save_s if saves else 0.0
+        longest_s = max(longest_s, machine.kills[key])
+    if machine.hold_job != job.id:
+        table.touch(machine.name)
+    machine.hold_job = job.id
+    machine.hold_until = now + longest_s + table.direct_pause_s
+    log.info("machine=%s job=%s event=preempt tasks=%d", machine.name, job.id, len(chosen))
+    return True
+
+
+def _victims(
+    table: MachineTable, job: Job, machine: Machine, room: Room, borrowers: Iterable[str]
+) -> list[tuple[TaskKey, Job]]:
+    """The tasks that may be preempted, the first to stop first.
+
+    Those that are being stopped already are on their way out: `room` is given theirs.
+    """
+    victims = []
+    for key, status in machine.reported_tasks.items():
+        victim = table.job_of(job_id(key))
+        if victim is None or status.state == "exited":
+            continue
+        if key in machine.kills or status.state == "saving":
+            room.take(victim, -1)
+        elif victim.rank < job.rank or (victim.team in borrowers and victim.kind != SERVICE):
+            victims.append((victim.standing, victim.checkpoint_s == 0, key, victim))
+    victims.sort(key=lambda v: v[:3])
+    return [(key, victim) for _, _, key, victim in victims]
+
+
+def drain(table: MachineTable, machine: Machine) -> bool:
+    """Close an idle machine for good; see `MachineTable.drain`."""
+    room = table.room(machine)
+    if room.tasks and room.idle:
+        machine.draining = True
+        for key, status in machine.reported_tasks.items():
+            job = table.job_of(job_id(key))
+            if job is not None and job.checkpoint_s > 0 and status.state == "running":
+                machine.kills.setdefault(key, job.save_s)
+        table.touch(machine.name)
+        return False
+    if machine.desired or machine.occupying():
+        # What has exited is emitted again: where the leader's answer was lost, with nothing
+        # else to remind it, the machine was never given back.
+        for key in machine.desired:
+            if machine.has_exited(key):
+                machine.emitted.pop(key, None)
+        return False
+    machine.draining = True
+    table.touch(machine.name)
+    return True
+
+
+def replicas(table: MachineTable, machine: Machine) -> list[tuple[TaskKey, Job]]:
+    """The replicas of services on a machine that would have to move."""
+    found = []
+    for key in machine.occupying():
+        job = table.job_of(job_id(key))
+        if job is not None and job.kind == SERVICE:
+            found.append((key, job))
+    return found
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -14,6 +14,7 @@
 from clayport.jobs.dispatcher import EpochEndedError
 from clayport.jobs.managed_job import JOB_AT_FAULT, MACHINE_AT_FAULT, OK, ManagedJob
 from clayport.limits import Deadline
+from clayport.machines.machine import TaskStatus
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, should_leave
 from clayport.model import Job, MachineType
 from clayport.records.chunk import Chunk, chunk_size
@@ -574,10 +575,8 @@
             c.owner.reserve(job, [(f"m{number}", number)], 1, home.now)
             c.owner.launch([(f"m{number}", f"j-000001/{number}", 1)])
             home.report(f"m{number}", "north", "plain")
-            c.owner.machines[f"m{number}"].listed[(f"j-000001/{number}", 1)] = (
-                "exited",
-                "done",
-                False,
+            c.owner.machines[f"m{number}"].reported_tasks[(f"j-000001/{number}", 1)] = TaskStatus(
+                "exited", "done", False
             )
 
     async def give_back(names: list[str]) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -9,7 +9,7 @@
 import curio
 import pytest
 
-from clayport.machines.table import SENT
+from clayport.machines.machine import SENT
 
 from .test_model import JOBS_A_DAY, until_over, work
 from .test_restarts import again
