--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -51,8 +51,9 @@
     _take_statuses(table, machine)
     if changed:
         _note_images(table, machine)
-    settle_launches(machine, machine.by_response)
-    machine.by_response = []
+    if machine.by_response:
+        settle_launches(machine, machine.by_response)
+        machine.by_response = []
     if machine.kills:
         machine.kills = {
             key: grace_s
@@ -61,7 +62,7 @@
         }
     if machine.notice_at is not None:
         _checkpoint(table, machine)
-    if machine.fenced:
+    if machine.fenced and machine.desired:
         _emit_missing(table, machine)
     if len(machine.emitted) > len(reported):
         for key in [k for k in machine.emitted if k not in reported and k not in machine.desired]:
@@ -142,23 +143,22 @@
 
 def _note_images(table: MachineTable, machine: Machine) -> None:
     """Note the images that the machine's tasks have made it load."""
-    for key, status in machine.reported_tasks.items():
-        if status.state == "running" or status.cause == "done":
-            _note_image(table, machine, key)
-
-
-def _note_image(table: MachineTable, machine: Machine, key: TaskKey) -> None:
-    job = table.job_of(job_id(key))
     machine_type = table.types.get(machine.type)
-    if job is None or machine_type is None:
+    if machine_type is None:
         return
-    images = machine.images
-    images[job.image] = job.image_gb
-    images.move_to_end(job.image)
-    # The worker keeps the most recently used images that fit its cache.
-    held_gb = sum(images.values())
-    while held_gb > machine_type.cache_gb and len(images) > 1:
-        held_gb -= images.popitem(last=False)[1]
+    images, cache_gb, job_of = machine.images, machine_type.cache_gb, table.job_of
+    for key, status in machine.reported_tasks.items():
+        if status.state != "running" and status.cause != "done":
+            continue
+        job = job_of(key[0].partition("/")[0])  # in place: this runs for every task
+        if job is None:
+            continue
+        images[job.image] = job.image_gb
+        images.move_to_end(job.image)
+        # The worker keeps the most recently used images that fit its cache.
+        held_gb = sum(images.values())
+        while held_gb > cache_gb and len(images) > 1:
+            held_gb -= images.popitem(last=False)[1]
 
 
 def _checkpoint(table: MachineTable, machine: Machine) -> None:
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -329,7 +329,7 @@
             and machine.notice_at is None
             and not machine.fencing
             and not machine.lapsed
-            and not self.faults.unhealthy(machine)
+            and not (machine.errors and self.faults.unhealthy(machine))
         )
 
     def room(self, machine: Machine, owner: str = "", now: float | None = None) -> Room:
