--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -64,7 +64,7 @@
         for key in [
             key
             for key, desired in machine.desired.items()
-            if desired.phase is RESERVED and now - desired.since > table.reserve_s
+            if desired.phase is RESERVED and now - desired.since > table.reservation_s
         ]:
             del machine.desired[key]
             table.touch(machine.name)
@@ -100,7 +100,7 @@
             continue
         key = (task, attempt)
         desired = machine.desired.get(key)
-        if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.tried:
+        if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.launch_sent:
             # Never sent: settled at once.
             del machine.desired[key]
             table.touch(name)
--- a/clayport/machines/commands.py
+++ b/clayport/machines/commands.py
@@ -49,7 +49,7 @@
             continue
         launches.append(key)
         machine.desired[key].phase = SENT
-        machine.desired[key].tried = True
+        machine.desired[key].launch_sent = True
         orders.append(launch_order(key))
     return orders, launches
 
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -47,14 +47,14 @@
     Attributes:
         phase: How far its launch has come.
         since: When it was reserved or adopted, in seconds of the monotonic clock.
-        tried: Whether a launch has been sent at least once.
+        launch_sent: Whether a launch has been sent at least once.
     """
 
-    __slots__ = ("phase", "since", "tried")
+    __slots__ = ("launch_sent", "phase", "since")
 
     def __init__(self, phase: Phase, since: float) -> None:
         self.phase, self.since = phase, since
-        self.tried = False
+        self.launch_sent = False
 
 
 class Machine:
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -46,7 +46,7 @@
         job_of: Finds a job's description.
         is_cancelled: Whether a job is known to be cancelled.
         emit: Hands an event to the leader of the job with this id.
-        reserve_s: For how long room is kept for tasks whose launch isn't asked for.
+        reservation_s: For how long room is kept for tasks whose launch isn't asked for.
         direct_pause_s: For how long a machine that didn't answer a command gets its commands
             in the responses to its reports.
 
@@ -65,11 +65,11 @@
         job_of: Callable[[str], Job | None],
         is_cancelled: Callable[[str], bool],
         emit: Callable[[str, TaskEvent], None],
-        reserve_s: float,
+        reservation_s: float,
         direct_pause_s: float,
     ) -> None:
         self.job_of, self.is_cancelled, self.emit = job_of, is_cancelled, emit
-        self.reserve_s, self.direct_pause_s = reserve_s, direct_pause_s
+        self.reservation_s, self.direct_pause_s = reservation_s, direct_pause_s
         self.machines: dict[str, Machine] = {}
         self.gone: OrderedDict[str, None] = OrderedDict()
         self.types: dict[str, MachineType] = {}
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -408,7 +408,7 @@
     assert owner.room(m).cpus == 8.0
     assert owner.reserve(job, [("m1", n) for n in range(5)], 1, home.now) == [True] * 4 + [False]
     assert owner.room(m).cpus == 0.0
-    home.now += owner.reserve_s + 1.0
+    home.now += owner.reservation_s + 1.0
     owner.expire(home.now)
     assert owner.room(m).cpus == 8.0
     del home.c.live[job.id]
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -104,111 +104,111 @@
     ],
 )
 def test_gone(steps: list[str], gone: bool) -> None:
-    b = Bench()
-    b.report()
-    b.report()
+    bench = Bench()
+    bench.report()
+    bench.report()
     sent: tuple[list[Any], list[Any]] = ([], [])
     for step in steps:
         if step == "launch":
-            b.launch()
+            bench.launch()
         elif step == "reserve":
-            b.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
+            bench.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
         elif step == "adopt":
-            b.machine.fenced = False
-            b.owner.adopt([("m1", *KEY)], 0.0)
+            bench.machine.fenced = False
+            bench.owner.adopt([("m1", *KEY)], 0.0)
         elif step == "send":
-            sent = b.owner.orders(b.machine)
+            sent = bench.owner.orders(bench.machine)
         elif step == "answer":
-            b.owner.answered(b.machine, *sent)
+            bench.owner.answered(bench.machine, *sent)
         elif step == "lost":
-            b.owner.unanswered(b.machine, sent[1], True, 0.0)
+            bench.owner.unanswered(bench.machine, sent[1], True, 0.0)
         elif step == "kill":
-            b.owner.stop([("m1", *KEY, 0.0, False)])
+            bench.owner.stop([("m1", *KEY, 0.0, False)])
         elif step == "report":
-            b.report()
+            bench.report()
         elif step == "running":
-            b.report(RUN)
+            bench.report(RUN)
         elif step == "old_report":
-            b.report(token=b.machine.token - 1)
+            bench.report(token=bench.machine.token - 1)
         elif step == "late_report":
-            assert not b.report(seq=1)
+            assert not bench.report(seq=1)
         elif step == "session":
-            b.report(session=2, seq=1)
-    assert b.gone() == gone
+            bench.report(session=2, seq=1)
+    assert bench.gone() == gone
 
 
 def test_unanswered_command_raises_the_token() -> None:
     """What may still be on its way is void once the worker has seen a higher token."""
-    b = Bench()
-    b.report()
-    b.launch()
-    token = b.machine.token
-    _, launches = b.owner.orders(b.machine)
-    b.owner.unanswered(b.machine, launches, True, 0.0)
-    assert b.machine.token > token and not b.machine.fenced
+    bench = Bench()
+    bench.report()
+    bench.launch()
+    token = bench.machine.token
+    _, launches = bench.owner.orders(bench.machine)
+    bench.owner.unanswered(bench.machine, launches, True, 0.0)
+    assert bench.machine.token > token and not bench.machine.fenced
     # Never sent at all: nothing to void.
-    b.owner.unanswered(b.machine, [], False, 0.0)
-    assert b.machine.token == token + 1
+    bench.owner.unanswered(bench.machine, [], False, 0.0)
+    assert bench.machine.token == token + 1
 
 
 def test_launch_needs_a_standing_reservation() -> None:
     """A launch request held in the network must not start a settled attempt again."""
-    b = Bench()
-    b.report()
-    assert b.owner.launch([("m1", *KEY)]) == [0]
-    b.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
-    b.owner.expire(100.0)
-    assert b.owner.launch([("m1", *KEY)]) == [0]
-    assert b.owner.launch([("elsewhere", *KEY)]) == [0]
+    bench = Bench()
+    bench.report()
+    assert bench.owner.launch([("m1", *KEY)]) == [0]
+    bench.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
+    bench.owner.expire(100.0)
+    assert bench.owner.launch([("m1", *KEY)]) == [0]
+    assert bench.owner.launch([("elsewhere", *KEY)]) == [0]
 
 
 def test_launch_twice_is_one() -> None:
-    b = Bench()
-    b.report()
-    b.launch()
-    b.owner.answered(b.machine, *b.owner.orders(b.machine))
-    assert b.owner.launch([("m1", *KEY)]) == [1]
-    assert b.owner.orders(b.machine) == ([], [])
+    bench = Bench()
+    bench.report()
+    bench.launch()
+    bench.owner.answered(bench.machine, *bench.owner.orders(bench.machine))
+    assert bench.owner.launch([("m1", *KEY)]) == [1]
+    assert bench.owner.orders(bench.machine) == ([], [])
 
 
 def test_room_counts_everything_that_may_run() -> None:
-    b = Bench()
-    b.report()
-    assert b.owner.reserve(JOB, [("m1", n) for n in range(5)], 1, 0.0) == [True] * 4 + [False]
-    assert b.owner.room(b.machine).cpus == 0.0
+    bench = Bench()
+    bench.report()
+    assert bench.owner.reserve(JOB, [("m1", n) for n in range(5)], 1, 0.0) == [True] * 4 + [False]
+    assert bench.owner.room(bench.machine).cpus == 0.0
 
 
 def test_new_idle_machine_moves_the_room_revision() -> None:
     """Peers pull a table only when its revision moved: they once never saw new machines."""
-    b = Bench()
-    before = b.owner.room_rev
-    b.report()
-    assert b.owner.room_rev > before
-    before = b.owner.room_rev
-    b.report()
-    assert b.owner.room_rev == before
-    b.report(notice=10.0)
-    assert b.owner.room_rev > before and not b.owner.open(b.machine)
+    bench = Bench()
+    before = bench.owner.room_rev
+    bench.report()
+    assert bench.owner.room_rev > before
+    before = bench.owner.room_rev
+    bench.report()
+    assert bench.owner.room_rev == before
+    bench.report(notice=10.0)
+    assert bench.owner.room_rev > before and not bench.owner.open(bench.machine)
 
 
 @pytest.mark.parametrize(
-    "raised_by, entitled",
+    "raised_by, accepted",
     [(0, True), (1, True), (1 << TOKEN_COUNTER_BITS - 1, True), (1 << TOKEN_COUNTER_BITS, False)],
 )
-def test_only_a_later_epoch_takes_the_machine_away(raised_by: int, entitled: bool) -> None:
+def test_only_a_later_epoch_takes_the_machine_away(raised_by: int, accepted: bool) -> None:
     """A higher token of our epoch, given out by a peer, is taken over: what was sent
     under the one before can't run any more, and says nothing of what is gone."""
-    b = Bench()
-    b.report()
-    b.launch()
-    token = b.machine.token + raised_by
+    bench = Bench()
+    bench.report()
+    bench.launch()
+    token = bench.machine.token + raised_by
     report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, 1, 99, token, [])
-    assert b.owner.entitled(report) == entitled
-    if entitled:
-        b.owner.take_report(report, 1.0, True)
-        assert b.machine.token == token and b.machine.fenced and not b.gone()
-        assert b.report(token=token - 1, seq=100)
-        assert not b.machine.fenced
+    assert bench.owner.entitled(report) == accepted
+    if accepted:
+        bench.owner.take_report(report, 1.0, True)
+        assert bench.machine.token == token and bench.machine.fenced and not bench.gone()
+        assert bench.report(token=token - 1, seq=100)
+        assert not bench.machine.fenced
 
 
 @pytest.mark.parametrize(
@@ -228,56 +228,58 @@
 def test_who_only_answers_after_its_lease_is_closed(
     reports: list[tuple[int, bool]], open_: bool
 ) -> None:
-    b = Bench()
+    bench = Bench()
     for seq, (session, reported) in enumerate(reports, 1):
         report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, session, seq, 1, [])
-        b.owner.take_report(report, float(seq), reported)
-    assert b.owner.open(b.machine) == open_ == b.owner.room(b.machine).open
+        bench.owner.take_report(report, float(seq), reported)
+    assert bench.owner.open(bench.machine) == open_ == bench.owner.room(bench.machine).open
 
 
 def test_epoch_keeps_machines_but_settles_nothing() -> None:
-    b = Bench()
-    b.report()
-    b.report(RUN)
-    token = b.machine.token
-    b.owner.begin(Epoch(4, {"c0": "x"}, 9), "c0")
-    assert b.machine.token > token and not b.machine.fenced and not b.machine.desired
-    b.owner.begin(Epoch(5, {"c1": "y"}, 10), "c0")
-    assert b.owner.machines == {}
+    bench = Bench()
+    bench.report()
+    bench.report(RUN)
+    token = bench.machine.token
+    bench.owner.begin(Epoch(4, {"c0": "x"}, 9), "c0")
+    assert bench.machine.token > token and not bench.machine.fenced and not bench.machine.desired
+    bench.owner.begin(Epoch(5, {"c1": "y"}, 10), "c0")
+    assert bench.owner.machines == {}
 
 
 def test_sick_machine_closes() -> None:
-    b = Bench()
-    b.report()
-    b.report((KEY, "exited", "error"))
-    assert b.owner.open(b.machine)
-    b.report((KEY, "exited", "error"), (("j-000002/0", 1), "exited", "error"))
-    assert not b.owner.open(b.machine)
+    bench = Bench()
+    bench.report()
+    bench.report((KEY, "exited", "error"))
+    assert bench.owner.open(bench.machine)
+    bench.report((KEY, "exited", "error"), (("j-000002/0", 1), "exited", "error"))
+    assert not bench.owner.open(bench.machine)
 
 
 def test_preemption_saves_where_there_is_time() -> None:
     for grace, expected in ((10.0, 4.0), (1.0, 0.0)):
-        b = Bench()
+        bench = Bench()
         low = msgspec.convert(
             wire_job(1, pieces=9, rank="best_effort", snapshot_every_s=15.0, snapshot_s=4.0), Job
         )
-        b.owner.job_of = lambda _, low=low: low
-        b.report()
-        b.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
+        bench.owner.job_of = lambda _, low=low: low
+        bench.report()
+        bench.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
         high = msgspec.convert(wire_job(2, rank="high", vcpus=4.0), Job)
-        b.owner.preempt(high, "m1", grace, 1.0)
-        assert list(b.machine.kills.values()) == [expected] * 2
-        assert b.owner.reserve(msgspec.convert(wire_job(3), Job), [("m1", 0)], 1, 1.5) == [False]
+        bench.owner.preempt(high, "m1", grace, 1.0)
+        assert list(bench.machine.kills.values()) == [expected] * 2
+        assert bench.owner.reserve(msgspec.convert(wire_job(3), Job), [("m1", 0)], 1, 1.5) == [
+            False
+        ]
 
 
 @pytest.mark.parametrize("over, stopped", [([], False), (["free"], True), (["tight"], False)])
 def test_guarantee_is_claimed_from_those_who_borrowed(over: list[str], stopped: bool) -> None:
-    b = Bench()
-    b.report()
-    b.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
+    bench = Bench()
+    bench.report()
+    bench.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
     claim = msgspec.convert(wire_job(2, owner="tight"), Job)
-    assert b.owner.preempt(claim, "m1", 9.0, 1.0, over) == stopped
-    assert len(b.machine.kills) == stopped
+    assert bench.owner.preempt(claim, "m1", 9.0, 1.0, over) == stopped
+    assert len(bench.machine.kills) == stopped
 
 
 @pytest.mark.parametrize(
@@ -286,17 +288,17 @@
 )
 def test_homes_hear_of_a_returned_machine(steps: list[str], told: bool) -> None:
     """A home that took over after the return was announced waited for ever."""
-    b = Bench()
-    b.report()
+    bench = Bench()
+    bench.report()
     if "reserve" in steps:
-        b.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
+        bench.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
     if "launch" in steps:
-        b.owner.launch([("m1", *KEY)])
+        bench.owner.launch([("m1", *KEY)])
     if "adopt" in steps:
-        b.owner.machine("m1", 0.0).known = False
-        b.owner.adopt([("m1", *KEY)], 0.0)
-    b.owner.removed(["m1"])
-    assert b.gone() == told and "m1" not in b.owner.machines
+        bench.owner.machine("m1", 0.0).known = False
+        bench.owner.adopt([("m1", *KEY)], 0.0)
+    bench.owner.removed(["m1"])
+    assert bench.gone() == told and "m1" not in bench.owner.machines
 
 
 # -- epochs ---------------------------------------------------------
@@ -346,17 +348,17 @@
 
 def test_an_exited_task_that_nobody_cleared_is_told_again() -> None:
     """Its home's answer was lost; the machine was kept rented until the next epoch."""
-    b = Bench()
-    b.report()
-    b.launch()
-    b.owner.answered(b.machine, *b.owner.orders(b.machine))
+    bench = Bench()
+    bench.report()
+    bench.launch()
+    bench.owner.answered(bench.machine, *bench.owner.orders(bench.machine))
     done = (KEY, "exited", "done")
-    b.report(done)
-    told = len(b.events)
-    b.report(done)
-    assert len(b.events) == told and not b.owner.drain("m1")
-    b.report(done)
-    assert [e[1:5] for e in b.events[told:]] == [(*KEY, "exited", "done")]
-    b.owner.stop([("m1", *KEY, 0.0, True)])
-    b.report()
-    assert b.owner.drain("m1")
+    bench.report(done)
+    told = len(bench.events)
+    bench.report(done)
+    assert len(bench.events) == told and not bench.owner.drain("m1")
+    bench.report(done)
+    assert [e[1:5] for e in bench.events[told:]] == [(*KEY, "exited", "done")]
+    bench.owner.stop([("m1", *KEY, 0.0, True)])
+    bench.report()
+    assert bench.owner.drain("m1")
