--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -249,7 +249,7 @@
             # Held on its way: a machine that had been returned was open for work again, until
             # its silence was noticed.
             return 503, {}
-        if not self.machines.entitled(report):
+        if not self.machines.accepts_token(report):
             self.membership.request_rescan()
             return 503, {}
         new = report.machine not in self.machines.machines
@@ -272,8 +272,8 @@
         if m.orders and not m.busy:
             # Exited tasks take no room: that they are cleared can wait for a report's answer,
             # which costs nothing, and is repeated until they are no longer listed.
-            if now < m.bad_until or not m.urgent:
-                answer["orders"], m.by_response = self.machines.orders(m)
+            if now < m.direct_paused_until or not m.urgent:
+                answer["orders"], m.launches_in_response = self.machines.orders(m)
             else:
                 self.routines.spawn(self.pump(m))
         self.cached_state.note_own_room()
@@ -305,7 +305,7 @@
             and m.urgent
             and not m.busy
             and m.known
-            and time.monotonic() >= m.bad_until
+            and time.monotonic() >= m.direct_paused_until
         ):
             m.busy = True
             self.routines.spawn(self.pump(m, True))
@@ -362,7 +362,7 @@
             return
         if report.machine != m.name:
             return
-        if self.machines.entitled(report):
+        if self.machines.accepts_token(report):
             heard = m.heard
             self.machines.take_report(report, time.monotonic(), False)
             m.heard = max(heard, m.heard)
@@ -416,7 +416,7 @@
         key: Key = (task, attempt)
         owner = self.machines
         if verdict == Verdict.LATER:
-            owner.retell(machine, key)
+            owner.emit_again(machine, key)
         elif verdict in (Verdict.JOB_AT_FAULT, Verdict.MACHINE_AT_FAULT):
             owner.judge(machine, task.partition("/")[0], verdict == Verdict.JOB_AT_FAULT)
         elif state == GONE:
@@ -436,7 +436,7 @@
             or m.evacuating
             or not self.machines.replicas(m)
             or now - m.evacuated_at < self.settings.cluster.workers.lease_s / 2
-            or not (self.machines.open(m) or self.machines.unhealthy(m))
+            or not (self.machines.open(m) or self.machines.is_unhealthy(m))
         ):
             return False
         log.info(
@@ -458,7 +458,7 @@
             while (
                 self.membership.epoch is epoch and self.membership.serving and m.notice_at is None
             ):
-                replicas = [r for r in self.machines.replicas(m) if r[0] not in m.kills]
+                replicas = [r for r in self.machines.replicas(m) if r[0] not in m.pending_kills]
                 kind = self.machines.types.get(m.type)
                 if kind is None or not replicas:
                     return
@@ -467,7 +467,7 @@
                     return
                 for key, job in replicas:
                     if await self._movable(m, key, job, drain):
-                        m.kills.setdefault(key, 0.0)
+                        m.pending_kills.setdefault(key, 0.0)
                         self.poke(m.name)
                         await self.routines.flush()
                         break
@@ -510,7 +510,7 @@
             mine = list(self.machines.machines.values())
             for m in mine:
                 # Not at once: the job that failed there may yet prove to be at fault.
-                m.unhealthy_checks = m.unhealthy_checks + 1 if self.machines.unhealthy(m) else 0
+                m.unhealthy_checks = m.unhealthy_checks + 1 if self.machines.is_unhealthy(m) else 0
                 if m.unhealthy_checks >= 3 and m.known:
                     self.evacuate(m.name, True)
             silent = [
@@ -570,7 +570,7 @@
 
     def _useless(self, m: Machine) -> bool:
         """Whether a machine answers commands, but has let its lease run out for long."""
-        return m.lapsed and (
+        return m.lease_expired and (
             time.monotonic() - m.reported_at > self.settings.cluster.workers.cancel_s / 2
         )
 
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -102,6 +102,6 @@
         self.store.last_bad = now
         for peer in self.peers.values():
             peer.heard += gap_s
-        self.machines.stood_still(gap_s)
+        self.machines.discount_stall(gap_s)
         self.provisioner.began_at = now
         self.routines.signal("lease")
--- a/clayport/scaling/catalogue.py
+++ b/clayport/scaling/catalogue.py
@@ -59,4 +59,4 @@
         self.jobs.dependencies.fetch_gb_per_s = min(
             (t.fetch_gb_per_s for t in self.types if t.fetch_gb_per_s > 0), default=1.0
         )
-        self.machines.touch_all()
+        self.machines.mark_all_changed()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -98,7 +98,7 @@
     before = owner.room_rev
     home.now += 100.0  # its home has gone: it lapses, and that shows in the table
     owner.expire(home.now)
-    assert owner.machines["m1"].hold_job == "" and "m1" in (owner.changed(before) or [])
+    assert owner.machines["m1"].held_for_job == "" and "m1" in (owner.changed(before) or [])
 
 
 @pytest.mark.parametrize(
@@ -147,7 +147,7 @@
     home.report("m2", "north", "accel")
     hurried = home.wait(msgspec.convert(wire_job(4, pieces=3, loaners=False, due_s=12.0), Job))
     home.look()
-    kills = home.c.machines.machines["m1"].kills
+    kills = home.c.machines.machines["m1"].pending_kills
     assert len(kills) == 3 and not hurried.starts
     home.now += 30.0  # it didn't help: rather late on a dear machine than not at all
     home.report("m1", "north", "plain", *(f"{n}/0" for n in ("j-9", "j-8", "j-7", "j-6")))
@@ -175,7 +175,7 @@
         )
     )
     home.look()
-    assert len(home.c.machines.machines["m1"].kills) == 2
+    assert len(home.c.machines.machines["m1"].pending_kills) == 2
 
 
 def test_a_guarantee_is_claimed_where_no_lower_rank_can_be_stopped(
@@ -362,7 +362,7 @@
     elif happens == "room kept for it":
         home.report("m2", "north", "plain")
         m = home.c.machines.machines["m2"]
-        m.hold_job, m.hold_until = second.job.id, home.now + 10.0
+        m.held_for_job, m.held_until = second.job.id, home.now + 10.0
     elif happens == "time":
         home.now += home.c.membership.lease_ttl_s / 6
     elif happens == "prices":
@@ -413,7 +413,7 @@
     assert owner.room(m).cpus == 8.0
     assert owner.reserve(job, [("m1", n) for n in range(5)], 1, home.now) == [True] * 4 + [False]
     assert owner.room(m).cpus == 0.0
-    home.now += owner.reserve_s + 1.0
+    home.now += owner.reservation_s + 1.0
     owner.expire(home.now)
     assert owner.room(m).cpus == 8.0
     del home.c.jobs.live[job.id]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,6 +16,7 @@
 from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.jobs.verdicts import Verdict
 from clayport.limits import Deadline
+from clayport.machines.machine import TaskStatus
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
 from clayport.membership.isolation import should_leave
 from clayport.model import Job, MachineType
@@ -163,7 +164,7 @@
             b.owner.judge("m1", *args)
         else:
             b.owner.ended(*args)
-    assert b.owner.unhealthy(b.machine) == sick
+    assert b.owner.is_unhealthy(b.machine) == sick
 
 
 @pytest.mark.parametrize(
@@ -186,7 +187,7 @@
         home.report(f"m{number}", "north", "plain")  # 64 CPUs
     for number in range(4):
         home.c.machines.machines[f"m{number}"].spot = True
-    home.c.machines.touch_all()
+    home.c.machines.mark_all_changed()
     guest = home.wait(made(1, jobclass="unnamed", rank="best_effort", pieces=32))
     late = home.wait(made(2, rank=rank, pieces=4, loaners=False))
     late.waiting_since -= 500.0
@@ -244,7 +245,7 @@
     home.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
     assert owner.room(owner.machines["m1"]).idle_since == idle_since
     assert not owner.drain("m1")  # it still holds them
-    assert not owner.open(owner.machines["m1"]) and len(owner.machines["m1"].kills) == kills
+    assert not owner.open(owner.machines["m1"]) and len(owner.machines["m1"].pending_kills) == kills
     home.report("m1", "north", "plain")
     assert owner.drain("m1")
 
@@ -264,7 +265,10 @@
         home.c.jobs.live[job.id] = (job, 1)
     home.report("m1", "north", "plain", "j-000001/0", "j-000001/1", "j-000002/0", "j-000002/1")
     assert home.c.machines.preempt(made(3), "m1", 0.0, home.now, (), 2)
-    assert {k[0] for k in home.c.machines.machines["m1"].kills} == {"j-000002/0", "j-000002/1"}
+    assert {k[0] for k in home.c.machines.machines["m1"].pending_kills} == {
+        "j-000002/0",
+        "j-000002/1",
+    }
 
 
 @pytest.mark.parametrize("still_s", [0.0, 2.0, 5.0, 10.0, 20.0, 60.0])
@@ -521,7 +525,7 @@
             curio.run(step, old)
         assert not c.machines.machines["m1"].desired
     curio.run(c.dispatcher._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
-    assert not c.machines.machines["m1"].kills
+    assert not c.machines.machines["m1"].pending_kills
 
 
 def test_a_reservation_never_replaces_what_is_there() -> None:
@@ -579,10 +583,8 @@
             c.machines.reserve(job, [(f"m{number}", number)], 1, home.now)
             c.machines.launch([(f"m{number}", f"j-000001/{number}", 1)])
             home.report(f"m{number}", "north", "plain")
-            c.machines.machines[f"m{number}"].listed[(f"j-000001/{number}", 1)] = (
-                "exited",
-                "done",
-                False,
+            c.machines.machines[f"m{number}"].reported_tasks[(f"j-000001/{number}", 1)] = (
+                TaskStatus("exited", "done", False)
             )
 
     async def give_back(names: list[str]) -> None:
@@ -595,7 +597,7 @@
     async def rounds() -> None:
         for _ in range(3):
             home.now += 1.0
-            c.machines.touch_all()
+            c.machines.mark_all_changed()
             await c.provisioner._return_idle(types, [], [], OPEN, home.now)
 
     curio.run(rounds)
@@ -625,7 +627,7 @@
     monkeypatch.setattr(c.cloud, "give_back", give_back)
     monkeypatch.setattr(type(c.provisioner), "_lost", staticmethod(count))
     home.now += 1000.0
-    c.machines.touch_all()
+    c.machines.mark_all_changed()
     needs = [Demand(made(1, vcpus=2.0), spare)] if spare else []
     curio.run(
         c.provisioner._return_idle,
@@ -651,7 +653,7 @@
         home.report(f"m{number}", "north", "plain", *(f"j-000007/{number}{n}" for n in range(4)))
     archive = made(7, jobclass="unnamed", rank="best_effort", pieces=100)
     home.c.jobs.live[archive.id] = (archive, 1)
-    home.c.machines.touch_all()
+    home.c.machines.mark_all_changed()
     gang = home.wait(
         made(
             1, jobclass="unnamed", shape="ensemble", pieces=1, vcpus=16.0, cards=2.0, loaners=False
@@ -670,11 +672,11 @@
     home.report("m10", "north", "accel", *(f"j-000005/{n}" for n in range(4)))
     other = made(5, jobclass="unnamed", pieces=100)
     home.c.jobs.live[other.id] = (other, 1)
-    home.c.machines.touch_all()
+    home.c.machines.mark_all_changed()
     home.now += home.c.membership.lease_ttl_s
     home.look()
-    assert gang.starts == [] and home.c.machines.machines["m10"].kills == {}
-    assert {k[0] for k in home.c.machines.machines["m9"].kills} == {
+    assert gang.starts == [] and home.c.machines.machines["m10"].pending_kills == {}
+    assert {k[0] for k in home.c.machines.machines["m9"].pending_kills} == {
         f"j-000007/9{n}" for n in range(4)
     }
     home.report("m9", "north", "accel")
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -424,11 +424,11 @@
                 and c.membership.epoch.member_for("j-000001") == c.membership.label
             ):
                 for machine in c.machines.machines.values():
-                    machine.hold_job, machine.hold_until = "other", clock() + 60.0
+                    machine.held_for_job, machine.held_until = "other", clock() + 60.0
     worker = on()[0]
     owner = next(c for c in world.controllers.values() if worker.name in c.machines.machines).owner
     machine = owner.machines[worker.name]
-    machine.hold_job, machine.hold_until = "other", clock() + 25.0  # not there again
+    machine.held_for_job, machine.held_until = "other", clock() + 25.0  # not there again
     owner.touch(worker.name)
     owner.stop([(worker.name, *next(k for k in worker.on() if k[0] == key[0]), 0.0, False)])
     while on() in ([], [worker]):
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -349,7 +349,7 @@
     home.report("m0", "north", "plain", *left)
     home.look()
     assert bool(low.starts) == served
-    assert not any(m.kills for m in home.c.machines.machines.values())
+    assert not any(m.pending_kills for m in home.c.machines.machines.values())
 
 
 def test_what_was_given_is_not_stopped_for_the_flood(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -363,11 +363,11 @@
     home.report("m0", "north", "plain", f"{low.job.id}/0", f"{low.job.id}/1")
     low.waiting_since -= 25.0
     home.look()
-    assert not home.c.machines.machines["m0"].kills
+    assert not home.c.machines.machines["m0"].pending_kills
     home.c.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
     home.now += home.c.membership.lease_ttl_s
     home.look()
-    assert home.c.machines.machines["m0"].kills
+    assert home.c.machines.machines["m0"].pending_kills
 
 
 @pytest.mark.parametrize(
