--- a/clayport/rebuild/__init__.py
+++ b/clayport/rebuild/__init__.py
@@ -1,8 +1,10 @@
 """Rebuilding the records after the state service has lost some of them.
 
-`history` notices, and stands in the way of every commit that rests on a history that is
-gone; `evidence` is what each controller still knows; `merge` says what the records have to
-be and `plan` how they are written; `recovery` watches over the history and joins it,
-`rebuilder` carries a rebuild out, `inventory` asks the machines, and `late_evidence` adds what
-others could not know. `docs/rebuild.md` has the ways weighed and what is provable.
+`history` detects a loss, and keeps commits from resting on records that are gone; `evidence`
+is what each controller still knows; `merge` and `chunk_merge` compute what the records have
+to be, and `plan` divides the writes into transactions; `recovery` watches the history and
+joins a new one, `rebuilder` carries a rebuild out, `inventory` asks the machines, and
+`late_evidence` adds what a controller that was cut off knew. `recorder` keeps snapshots,
+`files` reads and writes them, and `commands` is their command line. `docs/rebuild.md` has the
+alternatives considered and what is provable.
 """
--- a/clayport/rebuild/files.py
+++ b/clayport/rebuild/files.py
@@ -20,7 +20,7 @@
 import msgspec
 import zstandard
 
-from clayport.rebuild.merge import Values
+from clayport.rebuild.chunk_merge import Records
 
 MAGIC = b"CLAYREC1"
 BLOCK = struct.Struct("!III")
@@ -279,7 +279,7 @@
         path.unlink(missing_ok=True)
 
 
-def rows_of(records: Values) -> Iterator[Row]:
+def rows_of(records: Records) -> Iterator[Row]:
     """Yield the records as rows in the order of their keys."""
     for key, (value, rev) in sorted(records.items()):
         yield Row(key, value, rev)
