--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -1,10 +1,19 @@
-"""Which history of the records a controller acts on, and when to doubt it. Pure: no I/O.
-
-Revisions alone don't tell one history from another: after a loss the numbers come back, and
-a condition from before holds by accident. So each history has a name that is never used
-again, and under each prefix a key of that name, its anchor. Every commit names the anchors
-of the prefixes that it touches; a rebuild begins by removing them, and whatever was sent
-before, however late it is applied, fails from then on.
+"""The history (lineage) of the records that a controller acts on, and checks that it holds.
+
+The rest of the scheduler relies on compare-and-swap: a commit names the revisions of the keys
+it read, and fails if one has changed. This holds only as long as the state service never
+loses a commit. If it does (a replica that was behind has taken over, a backup was put back),
+revisions are given out a second time, and a condition on a revision from before the loss can
+hold by accident. Revisions alone can't show that.
+
+So each run of the records without a loss is a history. It has a random name that is never
+used again, and under each prefix that is kept for good an anchor: a key that contains the
+name. Every commit has the anchors of the prefixes that it touches among its conditions. A
+rebuild after a loss begins a new history by deleting the old anchors, so a commit that was
+sent before fails however late it arrives. (This is what a fencing token does for a lock.)
+
+A controller that sees a sign of a loss suspects its history: it commits nothing more until
+the records have been rebuilt and it has joined the new history. Pure: no I/O, no clock.
 """
 
 from __future__ import annotations
@@ -15,8 +24,9 @@
 from clayport.records.keys import HEAD_KEY as HEAD_KEY
 from clayport.records.keys import is_anchor as is_anchor
 
-# Where records are kept for good.
+# The prefixes of the records that are kept for good; each has an anchor.
 PREFIXES = ("c/", "run/", "end/", "quota/")
+# The states of a history, as they are stored under HEAD_KEY.
 REBUILDING, WHOLE = "rebuilding", "whole"
 
 
@@ -26,55 +36,79 @@
 
 
 def anchor_value(name: str) -> dict[str, Any]:
-    """Reads as a quota of nothing, for whoever lists them."""
+    """Return the value of an anchor.
+
+    It also has the fields of an empty quota, so that whoever lists the quotas can read it.
+    """
     return {"id": name, "c": 0.0, "g": 0.0}
 
 
 class History:
-    """What one controller knows of the history that it acts on.
-
-    `name` is empty as long as there is none: nothing is named in conditions then, and
-    nothing is doubted. `doubt` says why it stands still, and is empty while it doesn't.
+    """What one controller knows of the history that it acts on, and whether to trust it.
+
+    Args:
+        on_suspicion: Called when the history becomes suspect.
+
+    Attributes:
+        name: The name of the history; empty while there is none. Without one, commits have
+            no conditions on anchors and nothing is suspected on account of revisions.
+        number: Counts the histories of a deployment; one more with each rebuild.
+        anchors: The revision of each anchor, by its key.
+        floor: The highest revision that any answer has shown, to this controller or a peer.
+        doubt: Why the history is suspect; empty if it isn't.
+        unsure: Whether the state service has failed to answer since the peers were last
+            asked for the revisions they have seen. It may have come back with less.
     """
 
     ANCHORS = len(PREFIXES)  # conditions that a commit may have beside its own
 
-    def __init__(self, doubted: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, on_suspicion: Callable[[], None] = lambda: None) -> None:
         self.name = ""
-        self.number = 0  # one more with each rebuild
-        self.revs: dict[str, int] = {}  # anchor: revision
-        self.floor = 0  # the highest revision that any answer has shown, here or to a peer
+        self.number = 0
+        self.anchors: dict[str, int] = {}
+        self.floor = 0
         self.doubt = ""
-        # The service has not answered since the peers were last asked what they have seen:
-        # it may have come back with less.
         self.unsure = False
-        self._doubted = doubted
+        self._on_suspicion = on_suspicion
 
     def conditions(self, keys: Iterable[str]) -> dict[str, int]:
-        """The anchors that a commit with these keys has to name, with their revisions."""
+        """Return the anchors, with their revisions, on which a commit of these keys depends."""
         if not self.name:
             return {}
         touched = {"c/", *(p for key in keys for p in PREFIXES if key.startswith(p))}
         return {
-            anchor: rev
-            for anchor, rev in self.revs.items()
+            anchor: revision
+            for anchor, revision in self.anchors.items()
             if anchor[: -len(self.name) - 1] in touched
         }
 
-    def answered(self, rev: int, floor: int, wrote: bool = False) -> bool:
-        """Take note of a revision in an answer; False if it lies below what was known when
-        it was asked for (or at it, where something was written), so that the answer comes
-        from a history with a gap."""
-        if self.name and rev < floor + wrote:
-            self.suspect(f"revision {rev} after {floor}")
+    def answered(self, revision: int, floor: int, wrote: bool = False) -> bool:
+        """Check the revision of the state service that an answer shows.
+
+        Args:
+            revision: The revision in the answer.
+            floor: The highest revision that was known when the request was sent.
+            wrote: Whether the request was a commit that succeeded: the revision has to be
+                higher then.
+
+        Returns:
+            False if the revision is too low, so that commits have been lost; the history is
+            suspect then.
+        """
+        if self.name and revision < floor + wrote:
+            self.suspect(f"revision {revision} after {floor}")
             return False
-        self.floor = max(self.floor, rev)
+        self.floor = max(self.floor, revision)
         return True
 
     def told(self, name: str, number: int, floor: int, doubt: bool) -> None:
-        """What a peer has seen, and whether it stands still."""
+        """Take in what a peer says of its own history: the attributes of the same names.
+
+        `doubt` is only whether its history is suspect. A peer without a history, or with an
+        earlier one, has just started or is behind, and changes nothing.
+        """
         if not name or not self.name or number < self.number:
-            return  # it has only begun, or is behind
+            return
         if name != self.name:
             self.suspect("a peer acts on another history")
             return
@@ -83,27 +117,35 @@
             self.suspect("a peer stands still")
 
     def complete(self, prefix: str, keys: Iterable[str]) -> bool:
-        """Whether all keys with the prefix, as just read, have their anchor among them: if
-        not, they are not what was left there."""
+        """Check all keys under a prefix, as just read; the anchor has to be among them.
+
+        Returns:
+            False if it is missing, so that records are too; the history is suspect then.
+        """
         if self.name and anchor_key(prefix, self.name) not in keys:
             self.suspect(f"nothing holds {prefix}")
             return False
         return True
 
     def failed(self, keys: Iterable[str]) -> bool:
-        """Whether a commit failed for its anchors: the history has moved on, or is gone."""
-        if any(key in self.revs for key in keys):
+        """Check the keys whose conditions made a commit fail.
+
+        Returns:
+            True if an anchor is among them, so that the history has ended or was lost; it is
+            suspect then.
+        """
+        if any(key in self.anchors for key in keys):
             self.suspect("the history has moved on")
             return True
         return False
 
-    def suspect(self, why: str) -> None:
-        """Stand still until it is known what holds."""
+    def suspect(self, reason: str) -> None:
+        """Mark the history as suspect, unless it already is; the first reason is kept."""
         if not self.doubt:
-            self.doubt = why
-            self._doubted()
+            self.doubt = reason
+            self._on_suspicion()
 
-    def join(self, name: str, number: int, revs: Mapping[str, int], floor: int) -> None:
-        """Act on this history from now on (without a name: as if there were none)."""
-        self.name, self.number, self.revs, self.floor = name, number, dict(revs), floor
+    def join(self, name: str, number: int, anchors: Mapping[str, int], floor: int) -> None:
+        """Act on this history from now on, without suspicion (an empty name: on none)."""
+        self.name, self.number, self.anchors, self.floor = name, number, dict(anchors), floor
         self.doubt, self.unsure = "", False
