--- /dev/null
+++ b/clayport/rebuild/snapshot_base.py
@@ -0,0 +1,80 @@
+"""The base of a snapshot: all records as of a revision.
+
+A base is written under a temporary name, synced, and only then given its own. So one that
+is cut off at any moment is never taken for whole.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Iterable
+from pathlib import Path
+from typing import Any
+
+from clayport.rebuild.snapshot_format import (
+    MAGIC,
+    ROWS,
+    BlockWriter,
+    End,
+    Header,
+    Row,
+    SnapshotError,
+    decode,
+    name_of,
+    read_blocks,
+    sync_directory,
+)
+
+
+def write_base(directory: Path, header: Header, rows: Iterable[Row]) -> Path:
+    """Write a base, and return its path once all of it is on the disk.
+
+    Raises:
+        OSError: It can't be written; a file `*.part` may be left.
+    """
+    path = directory / name_of(header)
+    draft = path.with_suffix(".part")
+    with open(draft, "wb") as file:
+        file.write(MAGIC)
+        writer = BlockWriter(file)
+        writer.write(header)
+        count = 0
+        block: list[Row] = []
+        for row in rows:
+            block.append(row)
+            count += 1
+            if len(block) == ROWS:
+                writer.write(block)
+                block = []
+        if block:
+            writer.write(block)
+        writer.write(End(count))
+        writer.sync()
+    os.replace(draft, path)
+    sync_directory(directory)
+    return path
+
+
+def read_base(path: Path) -> tuple[Header, dict[str, tuple[Any, int]]]:
+    """Read a base: its header, and value and revision of each record by its key.
+
+    Raises:
+        SnapshotError: It is not a base, or not whole: no part of it is used then.
+    """
+    header: Header | None = None
+    records: dict[str, tuple[Any, int]] = {}
+    last: list[Row] | End | None = None
+    for raw in read_blocks(path):
+        if header is None:
+            header = decode(path, raw, Header)
+            if header.kind != "base":
+                raise SnapshotError(f"{path}: a {header.kind}, not a base")
+            continue
+        last = decode(path, raw, list[Row] | End)
+        if isinstance(last, list):
+            records.update({row.key: (row.value, row.rev) for row in last})
+    if header is None:
+        raise SnapshotError(f"{path}: empty")
+    if not isinstance(last, End) or last.count != len(records):
+        raise SnapshotError(f"{path}: its end is missing")
+    return header, records
