--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -1,8 +1,6 @@
-"""`clayport snapshot take|verify|show` and `clayport restore`, for people.
+"""The command line of snapshots: `clayport snapshot take|verify|show`, `clayport restore`.
 
-Nothing is written anywhere before all of it has been read and checked. A restore writes
-under a history of its own that is left as being rebuilt: the controllers, when they are
-started, ask the machines what runs and go on from there.
+Parsing, printing and exit statuses are here; what a restore reads and writes is in `restore`.
 """
 
 from __future__ import annotations
@@ -12,105 +10,95 @@
 import time
 from collections import Counter
 from pathlib import Path
-from typing import Any
 
 import curio
 
-from clayport.rebuild import files, plan
+from clayport.rebuild import files, restore
 from clayport.rebuild.files import Found, Header, SnapshotError
-from clayport.rebuild.history import (
-    HEAD_KEY,
-    PREFIXES,
-    REBUILDING,
-    anchor_key,
-    anchor_value,
-    is_anchor,
-)
-from clayport.rebuild.merge import Merged, merge
-from clayport.rebuild.recorder import remembered
-from clayport.records.chunk import chunk_size
+from clayport.rebuild.history import is_anchor
+from clayport.rebuild.restore import RestoreRefusedError
 from clayport.records.store import (
     ConflictError,
     OutcomeUnknownError,
     StateStore,
-    Txn,
     UnavailableError,
 )
 from clayport.settings import ConfigError, Settings, endpoint, load
 
-# Who writes, where a controller's label would stand.
-BY = "clayport restore"
-
-
-class RestoreRefusedError(Exception):
-    """It can't be done; the message says why."""
-
 
 def parser() -> argparse.ArgumentParser:
     """Build the parser of the `snapshot` and `restore` commands."""
-    p = argparse.ArgumentParser(
+    root = argparse.ArgumentParser(
         prog="clayport", description="Snapshots of the records, and putting them back."
     )
-    verbs = p.add_subparsers(dest="verb", required=True)
-    snapshot = verbs.add_parser("snapshot", help="take, verify or show snapshots")
-    actions = snapshot.add_subparsers(dest="action", required=True)
-    take = actions.add_parser("take", help="read all records and write a base")
-    take.add_argument(
-        "--config",
-        metavar="FILE",
-        required=True,
-        help="the settings of one of the controllers (JSON)",
-    )
-    take.add_argument("directory", type=Path)
-    for name, text in (
-        ("verify", "read every file; exit 1 if one is damaged"),
-        ("show", "what the newest that can be used holds"),
-    ):
-        action = actions.add_parser(name, help=text)
-        action.add_argument("directory", type=Path)
-        if name == "show":
-            action.add_argument("--config", metavar="FILE", help="only of this deployment")
-    restore = verbs.add_parser(
+    commands = root.add_subparsers(dest="command", required=True)
+    _add_snapshot_actions(commands.add_parser("snapshot", help="take, verify or show snapshots"))
+    restoring = commands.add_parser(
         "restore",
         help="put the newest snapshot back (says what it would do unless --write)",
         description="With no controller running. Without --write nothing is changed.",
     )
-    restore.add_argument(
+    _add_config(restoring)
+    restoring.add_argument("--write", action="store_true", help="do it")
+    restoring.add_argument("directory", type=Path)
+    return root
+
+
+def _add_snapshot_actions(snapshot: argparse.ArgumentParser) -> None:
+    actions = snapshot.add_subparsers(dest="action", required=True)
+    take = actions.add_parser("take", help="read all records and write a base")
+    _add_config(take)
+    take.add_argument("directory", type=Path)
+    verify = actions.add_parser("verify", help="read every file; exit 1 if one is damaged")
+    verify.add_argument("directory", type=Path)
+    show = actions.add_parser("show", help="what the newest that can be used holds")
+    show.add_argument("directory", type=Path)
+    show.add_argument("--config", metavar="FILE", help="only of this deployment")
+
+
+def _add_config(command: argparse.ArgumentParser) -> None:
+    command.add_argument(
         "--config",
         metavar="FILE",
         required=True,
         help="the settings of one of the controllers (JSON)",
     )
-    restore.add_argument("--write", action="store_true", help="do it")
-    restore.add_argument("directory", type=Path)
-    return p
 
 
 def main(argv: list[str]) -> int:
-    """Run a `snapshot` or `restore` command; return the exit status."""
+    """Run a `snapshot` or `restore` command; return the exit status.
+
+    Status 0: done; 1: a snapshot is damaged; 2: it could not be done, for the reason printed.
+    """
     args = parser().parse_args(argv)
-    status: int
     try:
-        if args.verb == "restore":
-            status = curio.run(_restore, load(args.config), args.directory, args.write)
-            return status
-        if args.action == "take":
-            status = curio.run(_take, load(args.config), args.directory)
-            return status
-        if args.action == "verify":
-            return _verify(args.directory)
-        return _show(args.directory, load(args.config) if args.config else None)
-    except (ConfigError, SnapshotError, RestoreRefusedError) as exc:
-        print(f"clayport: {exc}", file=sys.stderr)
-    except OSError as exc:
+        return _run(args)
+    except (ConfigError, SnapshotError, RestoreRefusedError, OSError) as exc:
         print(f"clayport: {exc}", file=sys.stderr)
     except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
         print(f"clayport: state service: {exc}", file=sys.stderr)
     return 2
 
 
-def store_of(settings: Settings) -> StateStore:
-    """The state service, with a controller's share of its limits."""
+def _run(args: argparse.Namespace) -> int:
+    status: int
+    if args.command == "restore":
+        status = curio.run(restore_snapshot, load(args.config), args.directory, args.write)
+    elif args.action == "take":
+        status = curio.run(take_snapshot, load(args.config), args.directory)
+    elif args.action == "verify":
+        status = verify_snapshots(args.directory)
+    else:
+        status = show_snapshot(args.directory, load(args.config) if args.config else None)
+    return status
+
+
+def open_store(settings: Settings) -> StateStore:
+    """Return the state service, with a controller's share of its limits.
+
+    Raises:
+        ConfigError: Its address in the settings can't be used.
+    """
     state, workers = settings.cluster.state, settings.cluster.workers
     return StateStore(
         *endpoint(settings.services.state, "services.state"),
@@ -121,174 +109,128 @@
     )
 
 
-async def read_all(store: StateStore) -> tuple[dict[str, tuple[Any, int]], int]:
-    """Every record, and a revision up to which all changes are among them."""
-    return await store.scan_all(
-        PREFIXES, read=lambda prefix, count: print(f"{prefix} {count} records", file=sys.stderr)
-    )
-
-
-async def _take(settings: Settings, directory: Path) -> int:
-    found, rev = await read_all(store_of(settings))
-    head = found.get(HEAD_KEY)
+async def take_snapshot(settings: Settings, directory: Path) -> int:
+    """Write a base of all records, and print its path; return the exit status."""
+    records, rev = await restore.read_all(open_store(settings))
+    head = restore.read_head(records)
     directory.mkdir(parents=True, exist_ok=True)
     header = Header(
         "base",
         list(settings.labels),
-        str(head[0]["id"]) if head else "",
-        int(head[0]["n"]) if head else 0,
+        head.name if head else "",
+        head.number if head else 0,
         rev,
         time.time(),
     )
-    print(files.write_base(directory, header, files.rows_of(found)))
+    print(files.write_base(directory, header, files.rows_of(records)))
     return 0
 
 
-def _verify(directory: Path) -> int:
+def verify_snapshots(directory: Path) -> int:
+    """Read all snapshots, and print for each whether it is whole; return the exit status.
+
+    Raises:
+        SnapshotError: There is no snapshot in the directory.
+    """
     if not directory.is_dir():
         raise SnapshotError(f"{directory}: no such directory")
-    bad = 0
+    damaged = 0
     for path in files.bases(directory):
         try:
             header, records = files.read_base(path)
         except SnapshotError as exc:
             print(f"DAMAGED {exc}")
-            bad += 1
+            damaged += 1
             continue
-        log = path.with_name("log" + path.name[len("base") :])
-        rev, why = files.read_log(log, header, records) if log.exists() else (header.rev, "")
+        log = files.log_path(path)
+        rev, problem = files.read_log(log, header, records) if log.exists() else (header.rev, "")
         print(
             f"good    {path}: revision {header.rev}, with its log {rev}, "
-            f"{len(records)} records" + (f"; {why}" if why else "")
+            f"{len(records)} records" + (f"; {problem}" if problem else "")
         )
     if not files.bases(directory):
         raise SnapshotError(f"{directory}: no records")
-    return 1 if bad else 0
+    return 1 if damaged else 0
 
 
-def counts(found: Found) -> str:
-    """Describe how many records of each kind a snapshot holds."""
-    kinds = Counter(
-        k.partition("/")[0] if not k.startswith("c/") else k.split("/")[1]
-        for k in found.records
-        if not is_anchor(k)
-    )
-    return ", ".join(f"{name} {count}" for name, count in sorted(kinds.items()))
+def show_snapshot(directory: Path, settings: Settings | None) -> int:
+    """Print what the newest snapshot holds; return the exit status.
 
+    Args:
+        directory: Where the snapshots are.
+        settings: Of the deployment whose snapshots count; None: that of the newest file.
 
-def _show(directory: Path, settings: Settings | None) -> int:
-    labels = settings.labels if settings is not None else None
-    if labels is None:
-        for path in files.bases(directory):
-            try:
-                labels = files.read_header(path).labels
-                break
-            except SnapshotError:
-                continue
-    found = files.newest(directory, labels or [])
-    for why in found.refused:
-        print(f"not used: {why}")
+    Raises:
+        SnapshotError: There is no snapshot that can be used.
+    """
+    labels = settings.labels if settings is not None else _newest_labels(directory)
+    found = files.newest(directory, labels)
+    _print_refused(found)
     at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.header.at))
     print(
         f"controllers {', '.join(found.header.labels)}; history {found.header.history or '-'} "
         f"(number {found.header.number}); base of {at} UTC, revision {found.rev}"
     )
-    print(counts(found))
+    print(_describe_counts(found))
     return 0
 
 
-def planned(settings: Settings, found: Found, records: dict[str, tuple[Any, int]]) -> Merged:
-    """What a restore would change."""
-    limits = {t.name: (t.cpus_max, t.gpus_max) for t in settings.cluster.teams}
-    said = remembered(found, "snapshot")
-    return merge(
-        {k: v for k, v in records.items() if not is_anchor(k)},
-        {said.label: said},
-        (),
-        limits,
-        chunk_size(settings.cluster.state.value_kb),
+def _newest_labels(directory: Path) -> list[str]:
+    """The controllers in the newest header that can be read; none without any."""
+    for path in files.bases(directory):
+        try:
+            return files.read_header(path).labels
+        except SnapshotError:
+            continue
+    return []
+
+
+def _print_refused(found: Found) -> None:
+    for problem in found.refused:
+        print(f"not used: {problem}")
+
+
+def _describe_counts(found: Found) -> str:
+    """How many records of each kind a snapshot holds."""
+    kinds = Counter(
+        key.partition("/")[0] if not key.startswith("c/") else key.split("/")[1]
+        for key in found.records
+        if not is_anchor(key)
     )
+    return ", ".join(f"{name} {count}" for name, count in sorted(kinds.items()))
+
 
+async def restore_snapshot(settings: Settings, directory: Path, write: bool) -> int:
+    """Put the newest snapshot back, or print what that would do; return the exit status.
 
-async def _restore(settings: Settings, directory: Path, write: bool) -> int:
+    Args:
+        settings: Those of one of the controllers.
+        directory: Where the snapshots are.
+        write: Whether to change anything.
+
+    Raises:
+        SnapshotError: There is no snapshot that can be used.
+        RestoreRefusedError: It can't be put back over the records as they are.
+    """
     found = files.newest(directory, settings.labels)
-    for why in found.refused:
-        print(f"not used: {why}")
-    store = store_of(settings)
-    records, _ = await read_all(store)
-    here = sorted(k[len("c/node/") :] for k in records if k.startswith("c/node/"))
-    if here:
-        raise RestoreRefusedError(
-            f"controllers are running ({', '.join(here)}): they rebuild by themselves"
-        )
-    head = records.get(HEAD_KEY)
-    if head is not None and int(head[0]["n"]) > found.header.number + (head[0].get("by") == BY):
-        raise RestoreRefusedError(
-            f"the snapshot is of history {found.header.number}, the records of "
-            f"{head[0]['n']}: they have been rebuilt since"
-        )
-    merged = planned(settings, found, records)
+    _print_refused(found)
+    store = open_store(settings)
+    records, _ = await restore.read_all(store)
+    restore.check_allowed(found, records)
+    merged = restore.plan_restore(settings, found, records)
     print(
-        f"live jobs {merged.jobs}, {merged.found} of them restored; final records restored "
+        f"live jobs {merged.jobs}, {merged.restored} of them restored; final records restored "
         f"{merged.ended}; {len(merged.changes)} changes"
     )
     if not write:
         print("nothing written; --write does it")
         return 0
-    await _begin(store, records, head, found.header)
-    records, _ = await read_all(store)
-    anchor = anchor_key("c/", _name(found))
-    done = 0
-    for txn in plan.transactions(
-        merged.changes,
+    await restore.write(
+        store,
+        found.header,
         records,
-        (anchor, records[anchor][1]),
+        merged.changes,
         settings.cluster.state.least().txn_ops,
-    ):
-        await _settled(store, txn)
-        done += len(txn.writes)
-        print(f"{done} of {len(merged.changes)}", file=sys.stderr)
+    )
     print("written; start the controllers, which ask the machines for what runs")
     return 0
-
-
-def _name(found: Found | Header) -> str:
-    header = found.header if isinstance(found, Found) else found
-    return f"restored-{header.history or 'none'}-{header.rev}"
-
-
-async def _begin(
-    store: StateStore,
-    records: dict[str, tuple[Any, int]],
-    head: tuple[Any, int] | None,
-    header: Header,
-) -> None:
-    """A history of its own: what was sent before is not applied any more, and the controllers
-    find it to be rebuilt."""
-    name = _name(header)
-    txn = Txn().require(HEAD_KEY, head[1] if head else 0)
-    for key, (_, rev) in records.items():
-        if key.startswith("c/~") and key != anchor_key("c/", name):
-            txn.require(key, rev).delete(key)
-    txn.put(anchor_key("c/", name), anchor_value(name))
-    txn.put(HEAD_KEY, {"id": name, "n": header.number + 1, "state": REBUILDING, "by": BY})
-    await _settled(store, txn)
-
-
-async def _settled(store: StateStore, txn: Txn) -> None:
-    """Commit, asked again as long as no answer comes. (A second copy conflicts.)"""
-    attempt = store.begin()
-    unsure = False
-    while True:
-        try:
-            await store.commit(txn)
-            return
-        except ConflictError:
-            if unsure:
-                return
-            raise RestoreRefusedError("the records have changed meanwhile: begin again") from None
-        except OutcomeUnknownError:
-            unsure = True
-        except UnavailableError:
-            pass
-        await store.back_off(attempt)
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -13,6 +13,7 @@
 from clayport.cli import main
 from clayport.rebuild import commands, files
 from clayport.rebuild.files import Header, Log, Row, SnapshotError, newest, read_base, write_base
+from clayport.rebuild.restore import ControllersRunningError
 from clayport.records.store import StateStore
 
 from .test_model import JOBS
@@ -176,17 +177,17 @@
         made.client = world.client("operator", "state")
         return made
 
-    monkeypatch.setattr(commands, "store_of", store)
+    monkeypatch.setattr(commands, "open_store", store)
     monkeypatch.setattr("builtins.print", lambda *a, **_: lines.append(" ".join(map(str, a))))
-    assert await commands._take(its, directory) == 0
-    with pytest.raises(commands.RestoreRefusedError, match="running"):
-        await commands._restore(its, directory, True)
+    assert await commands.take_snapshot(its, directory) == 0
+    with pytest.raises(ControllersRunningError, match="running"):
+        await commands.restore_snapshot(its, directory, True)
     for label in world.labels:
         await world.crash(label)
     world.state.lose(1e6)
-    assert await commands._restore(its, directory, False) == 0 and world.state.keys == {}
+    assert await commands.restore_snapshot(its, directory, False) == 0 and world.state.keys == {}
     for _ in range(2):  # once more does no harm
-        assert await commands._restore(its, directory, True) == 0
+        assert await commands.restore_snapshot(its, directory, True) == 0
     for label in world.labels:
         await world.start(label)
     end = clock() + 200.0
