--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -54,7 +54,7 @@
             no conditions on anchors and nothing is suspected on account of revisions.
         number: Counts the histories of a deployment; one more with each rebuild.
         anchors: The revision of each anchor, by its key.
-        floor: The highest revision that an answer has shown to this controller or a peer.
+        floor: The highest revision that an answer has shown, here or to a peer.
         doubt: Why the history is suspect; empty if it isn't.
         unsure: Whether the state service has failed to answer since the peers were last
             asked for the revisions they have seen. It may have come back with less.
