--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -13,7 +13,13 @@
 from clayport.cli import main
 from clayport.rebuild import commands, files
 from clayport.rebuild.files import Header, Log, Row, SnapshotError, newest, read_base, write_base
-from clayport.rebuild.restore import ControllersRunningError
+from clayport.rebuild.restore import (
+    WRITER,
+    ControllersRunningError,
+    OutdatedSnapshotError,
+    RestoreRefusedError,
+    check_allowed,
+)
 from clayport.records.store import StateStore
 
 from .test_model import JOBS
@@ -212,6 +218,32 @@
     assert any("nothing written" in line for line in lines)
 
 
+def head_record(number: int, by: str = "c0") -> dict[str, Any]:
+    return {"c/lineage": ({"id": "x", "n": number, "state": "whole", "by": by}, 9)}
+
+
+@pytest.mark.parametrize(
+    "here, refused",
+    [
+        ({}, None),
+        (head_record(1), None),
+        (head_record(2, WRITER), None),  # a restore that was begun is run again
+        (head_record(2), OutdatedSnapshotError),
+        (head_record(3, WRITER), OutdatedSnapshotError),
+        ({"c/node/c1": ({}, 9), **head_record(1)}, ControllersRunningError),
+    ],
+)
+def test_a_restore_over_later_records_or_beside_controllers_is_refused(
+    here: dict[str, Any], refused: type[RestoreRefusedError] | None
+) -> None:
+    found = files.Found(header(number=1), dict(RECORDS), 50, [])
+    if refused is None:
+        check_allowed(found, here)
+    else:
+        with pytest.raises(refused):
+            check_allowed(found, here)
+
+
 @pytest.mark.parametrize(
     "words, status, says",
     [
