--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -13,6 +13,13 @@
 from clayport.cli import main
 from clayport.rebuild import commands, files
 from clayport.rebuild.files import Header, Log, Row, SnapshotError, newest, read_base, write_base
+from clayport.rebuild.restore import (
+    WRITER,
+    ControllersRunningError,
+    OutdatedSnapshotError,
+    RestoreRefusedError,
+    check_allowed,
+)
 from clayport.records.store import StateStore
 
 from .test_model import JOBS
@@ -176,17 +183,17 @@
         made.client = world.client("operator", "state")
         return made
 
-    monkeypatch.setattr(commands, "store_of", store)
+    monkeypatch.setattr(commands, "open_store", store)
     monkeypatch.setattr("builtins.print", lambda *a, **_: lines.append(" ".join(map(str, a))))
-    assert await commands._take(its, directory) == 0
-    with pytest.raises(commands.RestoreRefusedError, match="running"):
-        await commands._restore(its, directory, True)
+    assert await commands.take_snapshot(its, directory) == 0
+    with pytest.raises(ControllersRunningError, match="running"):
+        await commands.restore_snapshot(its, directory, True)
     for label in world.labels:
         await world.crash(label)
     world.state.lose(1e6)
-    assert await commands._restore(its, directory, False) == 0 and world.state.keys == {}
+    assert await commands.restore_snapshot(its, directory, False) == 0 and world.state.keys == {}
     for _ in range(2):  # once more does no harm
-        assert await commands._restore(its, directory, True) == 0
+        assert await commands.restore_snapshot(its, directory, True) == 0
     for label in world.labels:
         await world.start(label)
     end = clock() + 200.0
@@ -211,6 +218,32 @@
     assert any("nothing written" in line for line in lines)
 
 
+def head_record(number: int, by: str = "c0") -> dict[str, Any]:
+    return {"c/lineage": ({"id": "x", "n": number, "state": "whole", "by": by}, 9)}
+
+
+@pytest.mark.parametrize(
+    "here, refused",
+    [
+        ({}, None),
+        (head_record(1), None),
+        (head_record(2, WRITER), None),  # a restore that was begun is run again
+        (head_record(2), OutdatedSnapshotError),
+        (head_record(3, WRITER), OutdatedSnapshotError),
+        ({"c/node/c1": ({}, 9), **head_record(1)}, ControllersRunningError),
+    ],
+)
+def test_a_restore_over_later_records_or_beside_controllers_is_refused(
+    here: dict[str, Any], refused: type[RestoreRefusedError] | None
+) -> None:
+    found = files.Found(header(number=1), dict(RECORDS), 50, [])
+    if refused is None:
+        check_allowed(found, here)
+    else:
+        with pytest.raises(refused):
+            check_allowed(found, here)
+
+
 @pytest.mark.parametrize(
     "words, status, says",
     [
