--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -93,7 +93,7 @@
             MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
         """
         entries, _ = await self.store.scan("run/")
-        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.complete(
+        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
             "run/", [e.key for e in entries]
         ):
             return  # records are gone: the rebuild sees to it
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -56,7 +56,7 @@
         )
         if self.rebuild.recovery is not None:
             # Who has seen more than the records show?
-            self.rebuild.recovery.history.unsure = True
+            self.rebuild.recovery.history.needs_check_in = True
         for managed in self.jobs.managed.values():
             self.routines.signal(managed.name)
         self.jobs.begin_epoch()
--- a/clayport/rebuild/chunk_merge.py
+++ b/clayport/rebuild/chunk_merge.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import ManagedJob
-from clayport.membership.epoch import rendezvous
+from clayport.jobs.committed_tasks import CommittedTasks
+from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
 from clayport.rebuild.evidence import Evidence, Task, split
 from clayport.rebuild.history import is_anchor
@@ -105,9 +105,9 @@
         keys.setdefault(job, set()).add(key)
     found = {}
     for job, chunks in raw.items():
-        managed = ManagedJob(_ANY_JOB, 1, first_size, 0.0)
-        managed.load_all(chunks)
-        found[job] = Chunks(managed.layout, managed.chunks, keys[job])
+        committed = CommittedTasks(_ANY_JOB, first_size)
+        committed.load_all(chunks)
+        found[job] = Chunks(committed.layout, committed.chunks, keys[job])
     return found
 
 
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -14,7 +14,7 @@
 import curio
 
 from clayport.rebuild import files, restore
-from clayport.rebuild.files import Found, Header, SnapshotError
+from clayport.rebuild.files import Header, Snapshot, SnapshotError
 from clayport.rebuild.history import is_anchor
 from clayport.rebuild.restore import RestoreRefusedError
 from clayport.records.store import (
@@ -185,12 +185,12 @@
     return []
 
 
-def _print_refused(found: Found) -> None:
+def _print_refused(found: Snapshot) -> None:
     for problem in found.refused:
         print(f"not used: {problem}")
 
 
-def _describe_counts(found: Found) -> str:
+def _describe_counts(found: Snapshot) -> str:
     """How many records of each kind a snapshot holds."""
     kinds = Counter(
         key.partition("/")[0] if not key.startswith("c/") else key.split("/")[1]
--- a/clayport/rebuild/files.py
+++ b/clayport/rebuild/files.py
@@ -18,14 +18,14 @@
 from clayport.rebuild.snapshot_format import Header as Header
 from clayport.rebuild.snapshot_format import Row as Row
 from clayport.rebuild.snapshot_format import SnapshotError as SnapshotError
-from clayport.rebuild.snapshot_format import name_of as name_of
+from clayport.rebuild.snapshot_format import file_name as file_name
 from clayport.rebuild.snapshot_format import read_header as read_header
 from clayport.rebuild.snapshot_format import rows_of as rows_of
-from clayport.rebuild.snapshot_log import Log as Log
+from clayport.rebuild.snapshot_log import ChangeLog as ChangeLog
 from clayport.rebuild.snapshot_log import read_log as read_log
 
 
-class Found(msgspec.Struct):
+class Snapshot(msgspec.Struct):
     """The newest records that could be read.
 
     Attributes:
@@ -51,7 +51,7 @@
     return base.with_name("log" + base.name[len("base") :])
 
 
-def newest(directory: Path, labels: Iterable[str]) -> Found:
+def newest(directory: Path, labels: Iterable[str]) -> Snapshot:
     """Read the newest base that is whole, with what its log adds.
 
     Args:
@@ -74,13 +74,13 @@
             refused.append(f"{path}: of another deployment ({', '.join(header.labels)})")
             continue
         # By the header, since a base may have been given another name.
-        log = directory / name_of(Header("log", [], "", header.number, header.rev, 0.0))
+        log = directory / file_name(Header("log", [], "", header.number, header.rev, 0.0))
         rev = header.rev
         if log.exists():
             rev, problem = read_log(log, header, records)
             if problem:
                 refused.append(problem)
-        return Found(header, records, rev, refused)
+        return Snapshot(header, records, rev, refused)
     raise SnapshotError("; ".join(refused) or f"{directory}: no records")
 
 
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -54,9 +54,9 @@
             no conditions on anchors and nothing is suspected on account of revisions.
         number: Counts the histories of a deployment; one more with each rebuild.
         anchors: The revision of each anchor, by its key.
-        floor: The highest revision that an answer has shown, here or to a peer.
-        doubt: Why the history is suspect; empty if it isn't.
-        unsure: Whether the state service has failed to answer since the peers were last
+        highest_revision: The highest revision that an answer has shown, here or to a peer.
+        suspicion: Why the history is suspect; empty if it isn't.
+        needs_check_in: Whether the state service has failed to answer since the peers were last
             asked for the revisions they have seen. It may have come back with less.
     """
 
@@ -66,9 +66,9 @@
         self.name = ""
         self.number = 0
         self.anchors: dict[str, int] = {}
-        self.floor = 0
-        self.doubt = ""
-        self.unsure = False
+        self.highest_revision = 0
+        self.suspicion = ""
+        self.needs_check_in = False
         self._on_suspicion = on_suspicion
 
     def conditions(self, keys: Iterable[str]) -> dict[str, int]:
@@ -82,12 +82,12 @@
             if anchor[: -len(self.name) - 1] in touched
         }
 
-    def answered(self, revision: int, floor: int, wrote: bool = False) -> bool:
+    def check_revision(self, revision: int, highest_revision: int, wrote: bool = False) -> bool:
         """Check the revision of the state service that an answer shows.
 
         Args:
             revision: The revision in the answer.
-            floor: The highest revision that was known when the request was sent.
+            highest_revision: The highest revision that was known when the request was sent.
             wrote: Whether the request was a commit that succeeded: the revision has to be
                 higher then.
 
@@ -95,16 +95,16 @@
             False if the revision is too low, so that commits have been lost; the history is
             suspect then.
         """
-        if self.name and revision < floor + wrote:
-            self.suspect(f"revision {revision} after {floor}")
+        if self.name and revision < highest_revision + wrote:
+            self.suspect(f"revision {revision} after {highest_revision}")
             return False
-        self.floor = max(self.floor, revision)
+        self.highest_revision = max(self.highest_revision, revision)
         return True
 
-    def told(self, name: str, number: int, floor: int, doubt: bool) -> None:
+    def note_peer(self, name: str, number: int, highest_revision: int, suspicion: bool) -> None:
         """Take in what a peer says of its own history: the attributes of the same names.
 
-        `doubt` is only whether its history is suspect. A peer without a history, or with an
+        `suspicion` is only whether its history is suspect. A peer without a history, or with an
         earlier one, has just started or is behind, and changes nothing.
         """
         if not name or not self.name or number < self.number:
@@ -112,11 +112,11 @@
         if name != self.name:
             self.suspect("a peer acts on another history")
             return
-        self.floor = max(self.floor, floor)
-        if doubt:
+        self.highest_revision = max(self.highest_revision, highest_revision)
+        if suspicion:
             self.suspect("a peer stands still")
 
-    def complete(self, prefix: str, keys: Iterable[str]) -> bool:
+    def check_prefix(self, prefix: str, keys: Iterable[str]) -> bool:
         """Check all keys under a prefix, as just read; the anchor has to be among them.
 
         Returns:
@@ -127,7 +127,7 @@
             return False
         return True
 
-    def failed(self, keys: Iterable[str]) -> bool:
+    def check_failed_keys(self, keys: Iterable[str]) -> bool:
         """Check the keys whose conditions made a commit fail.
 
         Returns:
@@ -141,11 +141,18 @@
 
     def suspect(self, reason: str) -> None:
         """Mark the history as suspect, unless it already is; the first reason is kept."""
-        if not self.doubt:
-            self.doubt = reason
+        if not self.suspicion:
+            self.suspicion = reason
             self._on_suspicion()
 
-    def join(self, name: str, number: int, anchors: Mapping[str, int], floor: int) -> None:
+    def join(
+        self, name: str, number: int, anchors: Mapping[str, int], highest_revision: int
+    ) -> None:
         """Act on this history from now on, without suspicion (an empty name: on none)."""
-        self.name, self.number, self.anchors, self.floor = name, number, dict(anchors), floor
-        self.doubt, self.unsure = "", False
+        self.name, self.number, self.anchors, self.highest_revision = (
+            name,
+            number,
+            dict(anchors),
+            highest_revision,
+        )
+        self.suspicion, self.needs_check_in = "", False
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -30,7 +30,7 @@
         attempt = parts.store.begin()
         todo = [(name, *row) for name, row in known.live.items() if name not in parts.jobs.ended]
         ends = list(known.ended.items())
-        while (todo or ends) and not self.history.doubt:
+        while (todo or ends) and not self.history.suspicion:
             try:
                 if todo:
                     name, desc, at = todo[-1]
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from clayport.jobs.managed_job import amounts, counts
+from clayport.jobs.eligibility import is_metered, quota_usage
 from clayport.model import Job
 from clayport.rebuild.chunk_merge import Records, change_chunks, chunk_sources, merge_chunks
 from clayport.rebuild.evidence import Evidence, Task
@@ -57,11 +57,6 @@
     ended: int
     unknown: set[str]
 
-    @property
-    def found(self) -> int:
-        """The former name of `restored`, which the rebuilder still uses."""
-        return self.restored
-
 
 class LiveJob(NamedTuple):
     """A job that has not ended: its description and its submission (seconds since 1970)."""
@@ -214,8 +209,8 @@
 
 def _add_usage(used: dict[str, list[float]], job: Job, tasks: int, limits: Limits) -> None:
     """Charge a job's assigned tasks to its team, if its quota counts them."""
-    cpus, gpus = amounts(job, tasks)
-    if counts(limits.get(job.team, (0.0, 0.0)), cpus, gpus):
+    cpus, gpus = quota_usage(job, tasks)
+    if is_metered(limits.get(job.team, (0.0, 0.0)), cpus, gpus):
         row = used.setdefault(job.team, [0.0, 0.0])
         row[0] += cpus
         row[1] += gpus
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -99,7 +99,7 @@
         began = time.monotonic()
         name = f"{ports.routines.rng.getrandbits(64):016x}"
         anchor = await self._begin(head, records, name, number)
-        log.info("event=rebuild-began history=%s cause=%r", name, h.doubt)
+        log.info("event=rebuild-began history=%s cause=%r", name, h.suspicion)
         parts = await self._gather(name)
         members, managed_jobs = evidence.split(parts)
         missing = sorted(set(members) - set(managed_jobs))
@@ -122,7 +122,7 @@
             "event=rebuild-found jobs=%d restored=%d ended=%d changes=%d unknown=%d "
             "controllers=%d machines=%d",
             merged.jobs,
-            merged.found,
+            merged.restored,
             merged.ended,
             len(merged.changes),
             len(merged.unknown),
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -12,7 +12,7 @@
 
 from clayport.rebuild import files
 from clayport.rebuild.evidence import Evidence
-from clayport.rebuild.files import Header, Log, Row, SnapshotError
+from clayport.rebuild.files import ChangeLog, Header, Row, SnapshotError
 from clayport.rebuild.history import PREFIXES, is_anchor
 from clayport.records.keys import EPOCH_KEY
 from clayport.records.store import Change, CompactedError, OutcomeUnknownError, UnavailableError
@@ -28,7 +28,7 @@
 LOG_LEAST = 256 * 1024
 
 
-def remembered(found: files.Found, label: str) -> Evidence:
+def remembered(found: files.Snapshot, label: str) -> Evidence:
     """A snapshot as evidence: who was there, and what had been accepted and had ended. Which
     machine holds what is left to the machines themselves: it is older than their reports."""
     said = Evidence(f"{label}/disk", "")
@@ -59,7 +59,7 @@
         self.records: dict[str, tuple[Any, int]] = {}
         self.rev = 0
         self.synced = 0  # up to this revision all is on the disk
-        self.log: Log | None = None
+        self.log: ChangeLog | None = None
         self.base_bytes = 0
 
     def load(self) -> Evidence | None:
@@ -80,14 +80,14 @@
         attempt = parts.store.begin()
         while True:
             recovery = parts.rebuild.recovery
-            if recovery is None or recovery.history.doubt or not recovery.history.name:
+            if recovery is None or recovery.history.suspicion or not recovery.history.name:
                 await curio.sleep(parts.membership.lease_ttl_s / 2)
                 continue
             name, number = recovery.history.name, recovery.history.number
             try:
                 await self._base(name, number)
                 attempt.served()
-                while recovery.history.name == name and not recovery.history.doubt:
+                while recovery.history.name == name and not recovery.history.suspicion:
                     await self._follow(name, number)
             except CompactedError:
                 log.info("event=snapshot-anew cause='too far behind'")
@@ -122,10 +122,12 @@
             self.base_bytes,
         )
 
-    def _on_disk(self, header: Header, records: dict[str, tuple[Any, int]]) -> tuple[Log, int]:
+    def _on_disk(
+        self, header: Header, records: dict[str, tuple[Any, int]]
+    ) -> tuple[ChangeLog, int]:
         self.directory.mkdir(parents=True, exist_ok=True)
         path = files.write_base(self.directory, header, files.rows_of(records))
-        after = Log(self.directory, msgspec.structs.replace(header, kind="log"))
+        after = ChangeLog(self.directory, msgspec.structs.replace(header, kind="log"))
         files.prune(self.directory, KEEP)
         return after, path.stat().st_size
 
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -44,8 +44,8 @@
 
     name: str
     number: int
-    floor: int
-    doubt: bool
+    highest_revision: int
+    suspicion: bool
     seen: int  # up to which revision it holds the records under `c/` in memory
 
 
@@ -80,7 +80,7 @@
         self.loaded, self.since = ports.membership.serving, time.monotonic()
         ports.membership.serving = False
         self.packed = ("", [])
-        log.info("event=doubt cause=%r", self.history.doubt)
+        log.info("event=doubt cause=%r", self.history.suspicion)
         ports.routines.signal("history")
 
     async def check_in(self) -> None:
@@ -101,10 +101,10 @@
                 for label, peer in ports.peers.items():
                     if now - peer.heard < ports.membership.lease_ttl_s and self._understands(label):
                         await group.spawn(self._exchange, label)
-            floor = h.floor
+            highest_revision = h.highest_revision
             _, rev = await ports.store.scan(HEAD_KEY, doubtful=True)
-            h.unsure = False
-            h.answered(rev, floor)
+            h.needs_check_in = False
+            h.check_revision(rev, highest_revision)
         except OutcomeUnknownError as exc:
             raise UnavailableError(str(exc)) from None
         finally:
@@ -118,13 +118,19 @@
             said = Said(
                 *await ports.peers[label].call(
                     frames.HISTORY,
-                    (h.name, h.number, h.floor, bool(h.doubt), ports.record_replica.seen),
+                    (
+                        h.name,
+                        h.number,
+                        h.highest_revision,
+                        bool(h.suspicion),
+                        ports.record_replica.seen,
+                    ),
                     ports.membership.lease_ttl_s / 4,
                 )
             )
         except (PeerError, KeyError):
             return None
-        h.told(*said[:4])
+        h.note_peer(*said[:4])
         return said
 
     async def second(self, rev: int, deadline: Deadline) -> None:
@@ -157,13 +163,13 @@
         """What peers ask."""
         h = self.history
         if kind == frames.HISTORY:
-            if not h.doubt:
-                h.told(*values[:4])
+            if not h.suspicion:
+                h.note_peer(*values[:4])
             return frames.HISTORY_REPLY, (
                 h.name,
                 h.number,
-                h.floor,
-                bool(h.doubt),
+                h.highest_revision,
+                bool(h.suspicion),
                 self.ports.record_replica.seen,
             )
         name, part = values
@@ -185,7 +191,7 @@
         ports = self.ports
         while True:
             await ports.routines.wait("history", ports.membership.lease_ttl_s / 4)
-            if self.history.doubt:
+            if self.history.suspicion:
                 await self._settle()
                 continue
             if not self.history.name:
@@ -195,7 +201,7 @@
             for label in ports.peers:
                 if self._understands(label):
                     await self._exchange(label)
-            if not self.history.doubt:
+            if not self.history.suspicion:
                 await self._look()
 
     async def _look(self) -> None:
@@ -227,7 +233,7 @@
         """Until there is no doubt any more."""
         ports = self.ports
         attempt = ports.store.begin()
-        while self.history.doubt:
+        while self.history.suspicion:
             try:
                 await self._step()
                 attempt.served()
@@ -298,7 +304,7 @@
             return False
         if self.history.name:
             return number > self.history.number
-        return any(t.name == name and not t.doubt for t in told)
+        return any(t.name == name and not t.suspicion for t in told)
 
     def _somebody_else(self, head: Entry | None) -> bool:
         """Whether a peer is at it, or goes first: who has begun, and of all that may begin
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from clayport.rebuild import plan
-from clayport.rebuild.files import Found, Header
+from clayport.rebuild.files import Header, Snapshot
 from clayport.rebuild.history import (
     HEAD_KEY,
     PREFIXES,
@@ -108,7 +108,7 @@
     )
 
 
-def check_allowed(found: Found, records: Records) -> None:
+def check_allowed(found: Snapshot, records: Records) -> None:
     """Check that the snapshot may be put back over the records as they are.
 
     Raises:
@@ -124,7 +124,7 @@
         raise OutdatedSnapshotError(found.header.number, head.number)
 
 
-def plan_restore(settings: Settings, found: Found, records: Records) -> Merged:
+def plan_restore(settings: Settings, found: Snapshot, records: Records) -> Merged:
     """Work out what putting the snapshot back changes of the records."""
     limits = {team.name: (team.cpus_max, team.gpus_max) for team in settings.cluster.teams}
     evidence = remembered(found, "snapshot")
--- a/clayport/rebuild/snapshot_base.py
+++ b/clayport/rebuild/snapshot_base.py
@@ -20,7 +20,7 @@
     Row,
     SnapshotError,
     decode,
-    name_of,
+    file_name,
     read_blocks,
     sync_directory,
 )
@@ -32,7 +32,7 @@
     Raises:
         OSError: It can't be written; a file `*.part` may be left.
     """
-    path = directory / name_of(header)
+    path = directory / file_name(header)
     draft = path.with_suffix(".part")
     with open(draft, "wb") as file:
         file.write(MAGIC)
--- a/clayport/rebuild/snapshot_format.py
+++ b/clayport/rebuild/snapshot_format.py
@@ -66,7 +66,7 @@
     count: int
 
 
-def name_of(header: Header) -> str:
+def file_name(header: Header) -> str:
     """Return the file name that belongs to a header; names sort by history and revision."""
     return f"{header.kind}-{header.number:08d}-{header.rev:016d}.rec"
 
--- a/clayport/rebuild/snapshot_log.py
+++ b/clayport/rebuild/snapshot_log.py
@@ -15,13 +15,13 @@
     Row,
     SnapshotError,
     decode,
-    name_of,
+    file_name,
     read_blocks,
     sync_directory,
 )
 
 
-class Log:
+class ChangeLog:
     """The changes after a base, open for writing.
 
     Args:
@@ -33,7 +33,7 @@
     """
 
     def __init__(self, directory: Path, header: Header) -> None:
-        self.path = directory / name_of(header)
+        self.path = directory / file_name(header)
         self.file = open(self.path, "wb")  # noqa: SIM115 - open as long as it is written
         self.file.write(MAGIC)
         self.writer = BlockWriter(self.file)
--- a/clayport/rebuild/support.py
+++ b/clayport/rebuild/support.py
@@ -103,4 +103,4 @@
     @property
     def in_doubt(self) -> bool:
         """Whether the records may not be those that were left: nothing rests on them then."""
-        return self.recovery is not None and bool(self.recovery.history.doubt)
+        return self.recovery is not None and bool(self.recovery.history.suspicion)
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -217,7 +217,7 @@
         self.stalls.confirmed_count = stalls
         self.membership.rescan = stalls != self.stalls.count
         keys = {e.key for e in entries}
-        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.complete(
+        if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
             "c/", keys
         ):
             self.membership.rescan = True
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -238,7 +238,7 @@
         doubtful: bool = False,
     ) -> tuple[int, bytes]:
         deadline = deadline or Deadline()
-        if self.history is not None and self.history.doubt and not doubtful:
+        if self.history is not None and self.history.suspicion and not doubtful:
             raise UnavailableError("the records are in doubt", self.timeout_s)
         now = time.monotonic()
         wait = self.requests.delay(1, now, ahead_s)
@@ -285,11 +285,11 @@
         asked in spite of that (`doubtful`)."""
         name, floor = "", 0
         if self.history is not None and not doubtful:
-            if self.history.unsure and self.check_in is not None:
+            if self.history.needs_check_in and self.check_in is not None:
                 await self.check_in()
-            if self.history.doubt:
+            if self.history.suspicion:
                 raise UnavailableError("the records are in doubt", self.timeout_s)
-            name, floor = self.history.name, self.history.floor
+            name, floor = self.history.name, self.history.highest_revision
         self.sent += 1
         try:
             status, payload = await client.request(method, path, raw, timeout_s)
@@ -317,15 +317,15 @@
         if (
             self.history.name != name
             or rev
-            and not self.history.answered(rev, floor, wrote)
-            or self.history.doubt
+            and not self.history.check_revision(rev, floor, wrote)
+            or self.history.suspicion
         ):
             raise OutcomeUnknownError("the records are in doubt")
 
     async def _failed(self) -> None:
         self.last_bad = time.monotonic()
         if self.history is not None:
-            self.history.unsure = True
+            self.history.needs_check_in = True
         await self.circuit.seen(False)
 
     async def _read(
@@ -444,7 +444,7 @@
             return int(self._decode(payload, _Revision).rev)
         if status == 409:
             failed = self._decode(payload, _Failed).failed
-            if self.history is not None and not doubtful and self.history.failed(failed):
+            if self.history is not None and not doubtful and self.history.check_failed_keys(failed):
                 raise UnavailableError("the records are in doubt", self.timeout_s)
             raise ConflictError(failed)
         if b"no such lease" in payload:
--- a/tests/test_merge.py
+++ b/tests/test_merge.py
@@ -227,8 +227,8 @@
     doubts: list[str] = []
     history = History(lambda: doubts.append("doubt"))
     history.join("x", 1, {anchor_key(p, "x"): 3 for p in ("c/", "run/")}, 0)
-    assert history.answered(rev, floor, wrote) == good
-    assert bool(doubts) != good and bool(history.doubt) != good
+    assert history.check_revision(rev, floor, wrote) == good
+    assert bool(doubts) != good and bool(history.suspicion) != good
 
 
 @pytest.mark.parametrize(
@@ -245,7 +245,7 @@
     assert history.conditions(keys) == {}
     history.join("x", 1, {anchor_key(p, "x"): 3 for p in ("c/", "run/", "end/", "quota/")}, 3)
     assert set(history.conditions(keys)) == anchors
-    assert history.failed(anchors) and history.doubt
+    assert history.check_failed_keys(anchors) and history.suspicion
 
 
 @pytest.mark.parametrize(
@@ -263,5 +263,5 @@
 def test_what_a_peer_says_of_the_history(said: Any, doubted: bool, floor: int) -> None:
     history = History()
     history.join("x", 1, {}, 3)
-    history.told(*said)
-    assert bool(history.doubt) == doubted and history.floor == floor
+    history.note_peer(*said)
+    assert bool(history.suspicion) == doubted and history.highest_revision == floor
--- a/tests/test_snapshots.py
+++ b/tests/test_snapshots.py
@@ -12,7 +12,15 @@
 
 from clayport.cli import main
 from clayport.rebuild import commands, files
-from clayport.rebuild.files import Header, Log, Row, SnapshotError, newest, read_base, write_base
+from clayport.rebuild.files import (
+    ChangeLog,
+    Header,
+    Row,
+    SnapshotError,
+    newest,
+    read_base,
+    write_base,
+)
 from clayport.rebuild.restore import (
     WRITER,
     ControllersRunningError,
@@ -48,7 +56,7 @@
 
 
 def log_of(directory: Path, count: int = 6) -> Path:
-    log = Log(directory, header(kind="log"))
+    log = ChangeLog(directory, header(kind="log"))
     for n in range(count):
         log.append(
             [Row(f"end/j-{n:06d}", {"s": "done"}, 51 + n), Row(f"c/live/j-{n:06d}", None, 51 + n)]
@@ -107,7 +115,7 @@
     base(tmp_path)
     wrong = write_base(tmp_path, header(rev=99, **fields), files.rows_of(RECORDS))
     if "kind" in fields:
-        wrong.rename(tmp_path / files.name_of(header(rev=99)))
+        wrong.rename(tmp_path / files.file_name(header(rev=99)))
     found = newest(tmp_path, LABELS)
     assert found.rev == 50 and len(found.refused) == 1 and why in found.refused[0]
 
@@ -146,7 +154,7 @@
         left = allowed
         try:
             base(tmp_path, rev=70)
-            Log(tmp_path, header(rev=70, kind="log")).close()
+            ChangeLog(tmp_path, header(rev=70, kind="log")).close()
             files.prune(tmp_path, 1)
             break
         except EndedError:
@@ -236,7 +244,7 @@
 def test_a_restore_over_later_records_or_beside_controllers_is_refused(
     here: dict[str, Any], refused: type[RestoreRefusedError] | None
 ) -> None:
-    found = files.Found(header(number=1), dict(RECORDS), 50, [])
+    found = files.Snapshot(header(number=1), dict(RECORDS), 50, [])
     if refused is None:
         check_allowed(found, here)
     else:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -148,7 +148,7 @@
         assert record_values.parse_quota(value) == (value["c"], value["g"])
     others = {k: v for k, v in RECORDS.items() if k.startswith(("c/live/", "end/", "run/"))}
     limits = {team: (1000.0, 1000.0) for team in values("quota/")}
-    said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
+    said = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
     written = merge(others, {"c0": said}, (), limits, 1000).changes
     for team, value in values("quota/").items():
         same_text(written[keys.quota_key(team)], value)
@@ -164,7 +164,7 @@
 
 def test_what_is_restored_from_the_records_is_the_same() -> None:
     """Read as evidence and merged into nothing; who holds what is left to the machines."""
-    said = remembered(files.Found(header(), dict(RECORDS), 1, []), "c0")
+    said = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
     assert said.epoch == RECORDS[keys.EPOCH_KEY][0]["number"]
     assert said.members == RECORDS[keys.EPOCH_KEY][0]["members"]
     assert said.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
@@ -181,7 +181,7 @@
     live, end = sorted(WITHOUT_TIMES)
     assert "t" not in WITHOUT_TIMES[live] and "t" not in WITHOUT_TIMES[end]
     assert record_values.parse_end(WITHOUT_TIMES[end]) == ("done", None)
-    found = files.Found(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
+    found = files.Snapshot(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
     said = remembered(found, "c0")
     assert said.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
     written = merge({}, {"c0": said}, (), {}, 1000).changes
@@ -323,7 +323,7 @@
 
 
 def test_a_base_is_read_and_written_the_same(tmp_path: Path) -> None:
-    path = DATA / "snapshot" / files.name_of(header())
+    path = DATA / "snapshot" / files.file_name(header())
     assert files.read_base(path) == (header(), RECORDS)
     written = files.write_base(tmp_path, header(), files.rows_of(RECORDS))
     assert written.name == path.name and written.read_bytes() == path.read_bytes()
@@ -343,7 +343,7 @@
 
 
 def test_a_log_is_written_the_same(tmp_path: Path) -> None:
-    log = files.Log(tmp_path, header("log"))
+    log = files.ChangeLog(tmp_path, header("log"))
     for block in changes():
         log.append(block)
     log.close()
