--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -63,7 +63,7 @@
 
     def __init__(self, inflight: Inflight, longest_s: float) -> None:
         self.inflight, self.longest_s = inflight, longest_s
-        self.waiting: list[tuple[float, int, curio.Event]] = []
+        self.queue: list[tuple[float, int, curio.Event]] = []
         self.number = 0
 
     @asynccontextmanager
@@ -87,7 +87,7 @@
         event = curio.Event()
         self.number += 1
         entry = (-ahead, self.number, event)
-        heapq.heappush(self.waiting, entry)
+        heapq.heappush(self.queue, entry)
         limit = deadline.left(time.monotonic(), self.longest_s)
         try:
             await curio.timeout_after(limit, event.wait)
@@ -96,15 +96,15 @@
                 # Let in just as it left: its place goes to the next.
                 self.inflight.in_flight -= 1
                 await self._admit()
-            elif entry in self.waiting:
-                self.waiting.remove(entry)
-                heapq.heapify(self.waiting)
+            elif entry in self.queue:
+                self.queue.remove(entry)
+                heapq.heapify(self.queue)
             if isinstance(exc, curio.TaskTimeout):
                 raise GateClosedError(f"no turn in {limit:.1f} s") from None
             raise
 
     async def _admit(self) -> None:
-        while self.waiting and not self.inflight.full:
-            _, _, event = heapq.heappop(self.waiting)
+        while self.queue and not self.inflight.full:
+            _, _, event = heapq.heappop(self.queue)
             self.inflight.enter()
             await event.set()
