--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -393,7 +393,7 @@
 
     class Store:
         requests = Bucket(1000.0, 0.0)
-        beside = 0
+        anchor_conditions = 0
 
         async def commit(self, txn: Txn, timeout_s: float | None = None) -> int:
             sent.append(set(txn.when))
