--- a/clayport/records/keys.py
+++ b/clayport/records/keys.py
@@ -27,23 +27,29 @@
 
 
 def is_anchor(key: str) -> bool:
-    """Whether a key is an anchor of a history; no other key of the records has such a part."""
+    """Return whether a key is an anchor of a history; no other key has such a part."""
     return "/~" in key
 
 
 def live_key(job: str) -> str:
-    """The key of a job's live record."""
+    """Return the key of a job's live record."""
     return f"{LIVE_PREFIX}{job}"
 
 
 def end_key(job: str) -> str:
-    """The key of a job's final record."""
+    """Return the key of a job's final record."""
     return f"end/{job}"
 
 
 def chunk_key(job: str, index: int, size: int = 0) -> str:
-    """The key of a chunk; `size` where it is not the one that the first versions derive
-    from `value_kb` (they write and expect the short form)."""
+    """Return the key of a chunk.
+
+    Args:
+        job: The job's identifier.
+        index: The chunk's number within the job, from 0.
+        size: Tasks in a chunk, where that is not the number that the first versions derive
+            from `value_kb` (they write and expect the short form); 0 otherwise.
+    """
     return f"run/{job}/{size}.{index:05d}" if size else f"run/{job}/{index:05d}"
 
 
@@ -59,5 +65,5 @@
 
 
 def quota_key(team: str) -> str:
-    """The key of what a team's tasks use."""
+    """Return the key of what a team's tasks use."""
     return f"quota/{team}"
