--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -1,4 +1,4 @@
-"""Routines that wait for their turn at a bounded server."""
+"""Routines that wait for their turn at a bounded server, or for its recovery."""
 
 from __future__ import annotations
 
@@ -18,83 +18,111 @@
 
 
 class Circuit:
-    """Routines that wait to ask one server again: each until its turn comes, and all no
-    longer than until the server is seen to serve."""
+    """Routines that wait to retry at one server.
+
+    Each waits until its turn comes, and all no longer than until the server serves again.
+
+    Args:
+        retries: When requests to the server are retried.
+
+    Attributes:
+        failing: Whether the server failed to serve the latest request.
+        recovered: Is set when the server serves after a failure.
+    """
 
     def __init__(self, retries: Retries) -> None:
         self.retries = retries
-        self.out = False
-        self.back = curio.Event()
+        self.failing = False
+        self.recovered = curio.Event()
 
     def begin(self, deadline: Deadline | None = None) -> Attempt:
-        """A request sets out that is to be asked again for as long as the deadline says."""
+        """Begin a request that is to be retried for as long as the deadline allows."""
         return self.retries.begin(time.monotonic(), deadline)
 
     async def back_off(self, attempt: Attempt) -> bool:
-        """Until it may be asked again; False: that would be too late."""
-        pause = attempt.pause(time.monotonic())
+        """Wait until the request may be retried; return False where that would be too late."""
+        pause = attempt.next_pause(time.monotonic())
         if pause is None:
             return False
         async with curio.ignore_after(pause):
-            await self.back.wait()
+            await self.recovered.wait()
         return True
 
-    async def seen(self, serving: bool) -> None:
-        """How the latest request fared."""
-        if serving and self.out:
-            event, self.back = self.back, curio.Event()
+    async def record(self, serving: bool) -> None:
+        """Note whether the server served the latest request; wake those who wait if so."""
+        if serving and self.failing:
+            event, self.recovered = self.recovered, curio.Event()
             await event.set()
-        self.out = not serving
+        self.failing = not serving
+
+    seen = record  # the former name
 
 
-class Passage:
-    """What a request says of how it went, before it leaves the gate."""
+class Slot:
+    """A request's place among those in flight.
 
-    __slots__ = ("began", "served")
+    Attributes:
+        started_at: When the request was sent, in seconds on the monotonic clock.
+        served: To be set by the request once it has been answered.
+    """
 
-    def __init__(self, began: float) -> None:
-        self.began = began
+    __slots__ = ("served", "started_at")
+
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
         self.served = False
 
 
 class Gate:
-    """At most as many requests at a time as `inflight` allows; the rest wait in line, those
-    with the larger `ahead` first. What is in line longer than it can wait leaves it."""
+    """Lets at most as many requests through at a time as `inflight` allows.
+
+    The others queue, those of higher priority first, and leave when they have waited too long.
 
-    def __init__(self, inflight: Inflight, longest_s: float) -> None:
-        self.inflight, self.longest_s = inflight, longest_s
+    Args:
+        inflight: The limit of requests in flight.
+        max_wait_s: How long a request without a deadline waits.
+    """
+
+    def __init__(self, inflight: Inflight, max_wait_s: float) -> None:
+        self.inflight, self.max_wait_s = inflight, max_wait_s
+        # A heap of (negated priority, number of arrival, event that is set on admission).
         self.queue: list[tuple[float, int, curio.Event]] = []
-        self.number = 0
+        self.arrivals = 0
 
     @asynccontextmanager
-    async def passing(
-        self, ahead: float = 0.0, deadline: Deadline | None = None
-    ) -> AsyncIterator[Passage]:
-        """GateClosedError if no turn comes; `served` is to be set once an answer has come."""
+    async def slot(
+        self, priority: float = 0.0, deadline: Deadline | None = None
+    ) -> AsyncIterator[Slot]:
+        """Wait for a slot, and hold it for the time of the context.
+
+        Raises:
+            GateClosedError: No slot became free in time.
+        """
         if self.inflight.full:
-            await self._wait(ahead, deadline or Deadline())
+            await self._wait(priority, deadline or Deadline())
         else:
-            self.inflight.enter()
-        passage = Passage(time.monotonic())
+            self.inflight.acquire()
+        slot = Slot(time.monotonic())
         try:
-            yield passage
+            yield slot
         finally:
             now = time.monotonic()
-            self.inflight.leave(now, now - passage.began, passage.served)
+            self.inflight.release(now, now - slot.started_at, slot.served)
             await self._admit()
 
-    async def _wait(self, ahead: float, deadline: Deadline) -> None:
-        event = curio.Event()
-        self.number += 1
-        entry = (-ahead, self.number, event)
+    async def _wait(self, priority: float, deadline: Deadline) -> None:
+        """Wait in the queue until a slot has been acquired on this request's behalf."""
+        admitted = curio.Event()
+        self.arrivals += 1
+        entry = (-priority, self.arrivals, admitted)
         heapq.heappush(self.queue, entry)
-        limit = deadline.left(time.monotonic(), self.longest_s)
+        limit = deadline.left(time.monotonic(), self.max_wait_s)
         try:
-            await curio.timeout_after(limit, event.wait)
+            await curio.timeout_after(limit, admitted.wait)
         except BaseException as exc:
-            if event.is_set():
-                # Let in just as it left: its place goes to the next.
-                self.inflight.in_flight -= 1
+            if admitted.is_set():
+                # Admitted just as it left: its slot goes to the next.
+                self.inflight.cancel()
                 await self._admit()
             elif entry in self.queue:
                 self.queue.remove(entry)
@@ -104,7 +132,8 @@
             raise
 
     async def _admit(self) -> None:
+        """Admit requests from the queue while there are slots."""
         while self.queue and not self.inflight.full:
-            _, _, event = heapq.heappop(self.queue)
-            self.inflight.enter()
-            await event.set()
+            _, _, admitted = heapq.heappop(self.queue)
+            self.inflight.acquire()
+            await admitted.set()
--- a/clayport/limits/inflight.py
+++ b/clayport/limits/inflight.py
@@ -1,55 +1,74 @@
-"""How many requests to one server may be on their way at a time. Pure: no I/O, no clock."""
+"""The concurrency limit of requests to one server. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
-# What a bound falls to when requests go unanswered or are refused.
-CUT = 0.7
-# Answers that take so many times as long as the quickest of late have been waiting at the
-# server: more on their way would only wait longer.
-SLOW = 4.0
-# By how much the quickest answer is forgotten with each one that is slower: a server that
-# has become slower for good is not taken for one that is overloaded for ever.
-FORGET = 0.01
+# The share that a limit is reduced to when requests go unanswered or are refused.
+DECREASE_FACTOR = 0.7
+# Answers that take so many times as long as the fastest of late have been queueing at the
+# server: more requests in flight would only queue longer.
+SLOW_RATIO = 4.0
+# The share by which the fastest time moves towards each slower one: a server that has become
+# slower for good is not taken for one that is overloaded for ever.
+FASTEST_DRIFT = 0.01
+# A time before all others on the monotonic clock, in seconds.
+NEVER = -1e9
 
 
 class Inflight:
-    """An adaptive bound: up by one for each full round that is answered well, down to a
-    share when one is not (additive increase, multiplicative decrease, as TCP does), and
-    at most once for all that was on its way when that showed."""
+    """An adaptive concurrency limit: additive increase, multiplicative decrease, as TCP's.
 
-    def __init__(self, start: int, least: int, most: int) -> None:
-        self.bound = float(start)
-        self.least, self.most = least, most
+    It rises by one for each full round that is answered well, and falls to a share when a
+    request is not: at most once for all that were in flight when that showed.
+
+    Args:
+        initial: The limit to begin with.
+        minimum: The limit never falls below this.
+        maximum: The limit never rises above this.
+
+    Attributes:
+        limit: The present limit; its whole part counts.
+        in_flight: Requests that have been sent and are not over.
+        fastest_s: About the shortest time of late in which a request was answered.
+        reduced_at: When the limit was last reduced, in seconds on the monotonic clock.
+    """
+
+    def __init__(self, initial: int, minimum: int, maximum: int) -> None:
+        self.limit = float(initial)
+        self.minimum, self.maximum = minimum, maximum
         self.in_flight = 0
-        self.quickest_s = 0.0
-        self.cut_at = -1e9
+        self.fastest_s = 0.0
+        self.reduced_at = NEVER
 
     @property
     def full(self) -> bool:
         """Whether no further request may be sent now."""
-        return self.in_flight >= int(self.bound)
+        return self.in_flight >= int(self.limit)
 
-    def enter(self) -> None:
+    def acquire(self) -> None:
         """Count a request that is being sent."""
         self.in_flight += 1
 
-    def leave(self, now: float, took_s: float, served: bool) -> None:
-        """A request is over: answered after `took_s`, or refused or not answered."""
-        busy = self.in_flight * 2 >= self.bound
+    def cancel(self) -> None:
+        """Take back the count of a request that was not sent after all."""
+        self.in_flight -= 1
+
+    def release(self, now: float, took_s: float, served: bool) -> None:
+        """Note that a request is over: answered after `took_s`, or refused or not answered."""
+        busy = self.in_flight * 2 >= self.limit
         self.in_flight -= 1
         if served:
-            if not self.quickest_s or took_s < self.quickest_s:
-                self.quickest_s = took_s
+            if not self.fastest_s or took_s < self.fastest_s:
+                self.fastest_s = took_s
             else:
-                self.quickest_s += FORGET * (took_s - self.quickest_s)
-            if took_s <= SLOW * self.quickest_s:
+                self.fastest_s += FASTEST_DRIFT * (took_s - self.fastest_s)
+            if took_s <= SLOW_RATIO * self.fastest_s:
                 # An idle client learns nothing of what the server could take.
                 if busy:
-                    self.bound = min(self.most, self.bound + 1.0 / self.bound)
+                    self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
                 return
             if not busy:
                 return  # slow, and not because of us
-        if now - took_s >= self.cut_at:
-            # It set out after the last cut: that was not enough.
-            self.bound = max(self.least, self.bound * CUT)
-            self.cut_at = now
+        if now - took_s >= self.reduced_at:
+            # It was sent after the last reduction: that was not enough.
+            self.limit = max(self.minimum, self.limit * DECREASE_FACTOR)
+            self.reduced_at = now
--- a/clayport/records/lookups.py
+++ b/clayport/records/lookups.py
@@ -90,7 +90,7 @@
             try:
                 deadline = Deadline.within(time.monotonic(), 2 * self.timeout_s)
                 try:
-                    await self.store.commit(txn, deadline.part(time.monotonic(), 0.5))
+                    await self.store.commit(txn, deadline.fraction(time.monotonic(), 0.5))
                 except OutcomeUnknownError:
                     # A comparison changes nothing, so it may be repeated.
                     await self.store.commit(txn, deadline)
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -175,14 +175,14 @@
                 method, path, raw, self.timeout_s, self.client, doubtful, writes > 0
             )
         try:
-            async with self.gate.passing(ahead_s, deadline) as passage:
+            async with self.gate.slot(ahead_s, deadline) as slot:
                 left = deadline.left(time.monotonic(), self.timeout_s)
                 if left <= 0:
                     raise GateClosedError("its time is over")
                 status, payload = await self.send(
                     method, path, raw, left, self.client, doubtful, writes > 0
                 )
-                passage.served = True
+                slot.served = True
                 return status, payload
         except GateClosedError as exc:
             raise UnavailableError(str(exc), self.timeout_s) from None
@@ -241,7 +241,7 @@
                 await self._note_failure()
             raise UnavailableError(f"{status} {path}")
         self.last_ok = time.monotonic()
-        await self.circuit.seen(True)
+        await self.circuit.record(True)
         if self.history is not None and not doubtful and status in (200, 404, 409):
             self._check_history(self.history, payload, name, floor, wrote and status == 200)
         return status, payload
@@ -276,4 +276,4 @@
         self.last_bad = time.monotonic()
         if self.history is not None:
             self.history.unsure = True
-        await self.circuit.seen(False)
+        await self.circuit.record(False)
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -262,7 +262,7 @@
             return await self.call(
                 "GET",
                 path,
-                deadline=deadline and deadline.part(time.monotonic(), 0.5),
+                deadline=deadline and deadline.fraction(time.monotonic(), 0.5),
                 doubtful=doubtful,
             )
         except OutcomeUnknownError:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
     Inflight,
     Retries,
 )
-from clayport.limits.inflight import CUT
+from clayport.limits.inflight import DECREASE_FACTOR
 
 from .world import Clock, simulate
 
@@ -40,24 +40,24 @@
     deadline = Deadline(at)
     assert (deadline.left(now), deadline.allows(now, needs)) == (left, allowed)
     assert deadline.left(now, 1.0) == min(left, 1.0)
-    assert deadline.part(now, 0.5).left(now) == pytest.approx(left / 2)
-    assert Deadline().part(now, 0.5) == Deadline()  # whoever can wait for ever still can
+    assert deadline.fraction(now, 0.5).left(now) == pytest.approx(left / 2)
+    assert Deadline().fraction(now, 0.5) == Deadline()  # whoever can wait for ever still can
 
 
 def test_pauses_grow_within_their_bounds_and_begin_anew() -> None:
     attempt = retries(Budget(0.0, 1e9, 1.0, 0.0)).begin(0.0)
-    pauses = [attempt.pause(0.0) for _ in range(50)]
+    pauses = [attempt.next_pause(0.0) for _ in range(50)]
     assert all(p is not None and 0.25 <= p <= 4.0 for p in pauses)
     assert max(p or 0.0 for p in pauses[5:]) > 2.0
     attempt.served()
-    first = attempt.pause(0.0)
+    first = attempt.next_pause(0.0)
     assert first is not None and first <= 0.75
 
 
 def test_what_comes_too_late_is_not_tried_and_costs_no_budget() -> None:
     budget = Budget(0.0, 2.0, 1.0, 0.0)
     attempt = retries(budget).begin(0.0, Deadline.within(0.0, 0.2))
-    assert attempt.pause(0.0) is None and budget.level == 2.0
+    assert attempt.next_pause(0.0) is None and budget.level == 2.0
 
 
 @pytest.mark.parametrize(
@@ -71,10 +71,10 @@
     """A hundred jobs that each ask again in an outage ask together as often as a few."""
     budget = Budget(0.1, 2.0, 2.0, 0.0)
     for _ in range(firsts):
-        budget.first(0.0)
-    assert [budget.turn(0.0) for _ in range(asked)] == pytest.approx(waits)
+        budget.record_request(0.0)
+    assert [budget.reserve(0.0) for _ in range(asked)] == pytest.approx(waits)
     # A thousand routines in ten seconds: no more than the budget allows.
-    turns = [budget.turn(0.0) for _ in range(1000)]
+    turns = [budget.reserve(0.0) for _ in range(1000)]
     assert sum(1 for t in turns if t <= 10.0) <= 2 + 10 * 2
 
 
@@ -82,8 +82,8 @@
     budget = Budget(0.5, 10.0, 0.001, 0.0)
     budget.level = 0.0
     for _ in range(4):
-        budget.first(0.0)
-    assert [budget.turn(0.0) for _ in range(2)] == [0.0, 0.0] and budget.turn(0.0) > 100.0
+        budget.record_request(0.0)
+    assert [budget.reserve(0.0) for _ in range(2)] == [0.0, 0.0] and budget.reserve(0.0) > 100.0
 
 
 @pytest.mark.parametrize(
@@ -98,28 +98,28 @@
     inflight, now = Inflight(8, 2, 12), 0.0
     for took, served in answers:
         while not inflight.full:
-            inflight.enter()
+            inflight.acquire()
         now += took
-        inflight.leave(now, took, served)
-    assert int(inflight.bound) <= bound if answers[-1][0] > 0.5 else int(inflight.bound) == bound
-    assert inflight.bound >= 2
+        inflight.release(now, took, served)
+    assert int(inflight.limit) <= bound if answers[-1][0] > 0.5 else int(inflight.limit) == bound
+    assert inflight.limit >= 2
 
 
 def test_one_outage_cuts_the_bound_once_for_all_that_was_on_its_way() -> None:
     inflight = Inflight(10, 1, 100)
     for _ in range(10):
-        inflight.enter()
+        inflight.acquire()
     for _ in range(10):
-        inflight.leave(3.0, 3.0, False)
-    assert inflight.bound == pytest.approx(10 * CUT)
+        inflight.release(3.0, 3.0, False)
+    assert inflight.limit == pytest.approx(10 * DECREASE_FACTOR)
 
 
 def test_an_idle_client_learns_nothing() -> None:
     inflight = Inflight(10, 1, 100)
     for _ in range(500):
-        inflight.enter()
-        inflight.leave(1.0, 0.01, True)
-    assert inflight.bound == 10
+        inflight.acquire()
+        inflight.release(1.0, 0.01, True)
+    assert inflight.limit == 10
 
 
 @pytest.mark.parametrize("backlog, answer", [(0.0, 0), (3.5, 0), (3.6, 2), (10.0, 9), (500.0, 30)])
@@ -136,10 +136,10 @@
 
         async def one(name: str, ahead: float, takes: float) -> None:
             nonlocal most
-            async with gate.passing(ahead) as passage:
+            async with gate.slot(ahead) as slot:
                 most = max(most, gate.inflight.in_flight)
                 await curio.sleep(takes)
-                passage.served = True
+                slot.served = True
                 passed.append(name)
 
         tasks = [
@@ -167,13 +167,13 @@
         done = []
 
         async def hold() -> None:
-            async with gate.passing() as passage:
+            async with gate.slot() as slot:
                 await curio.sleep(5.0)
-                passage.served = True
+                slot.served = True
 
         async def hurried() -> None:
             with pytest.raises(GateClosedError):
-                async with gate.passing(0.0, Deadline.within(clock(), 1.0)):
+                async with gate.slot(0.0, Deadline.within(clock(), 1.0)):
                     raise AssertionError("let in too late")
             done.append("hurried")
 
@@ -205,15 +205,15 @@
             assert await circuit.back_off(attempt)
             woken.append(clock())
 
-        await circuit.seen(False)
+        await circuit.record(False)
         tasks = [await curio.spawn(one) for _ in range(20)]
         await curio.sleep(2.0)
         assert not woken
-        await circuit.seen(True)
+        await circuit.record(True)
         for task in tasks:
             await task.join()
         assert max(woken) - min(woken) < 0.1
-        await circuit.seen(True)  # still there: nothing to wake anybody for
-        assert not circuit.back.is_set()
+        await circuit.record(True)  # still there: nothing to wake anybody for
+        assert not circuit.recovered.is_set()
 
     simulate(monkeypatch, main)
