--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -422,7 +422,7 @@
 
 
 @pytest.mark.parametrize(
-    "level, ahead_s, wait",
+    "level, priority_s, wait",
     [
         (5.0, 0.0, 0.0),
         (-15.0, 0.0, 1.6),
@@ -432,11 +432,11 @@
     ],
 )
 def test_users_go_ahead_of_what_waits_for_the_state_service(
-    level: float, ahead_s: float, wait: float
+    level: float, priority_s: float, wait: float
 ) -> None:
     bucket = Bucket(10.0, 0.0)
     bucket.level = level
-    assert bucket.delay(1.0, 0.0, ahead_s) == pytest.approx(wait)
+    assert bucket.delay(1.0, 0.0, priority_s) == pytest.approx(wait)
 
 
 def test_what_comes_too_late_to_be_read_is_refused_at_once() -> None:
