--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -33,8 +33,9 @@
 from clayport.membership.transition import EpochTransition
 from clayport.peer_requests import PeerRequests
 from clayport.rebuild.support import RebuildSupport
+from clayport.records.lookups import Lookups
 from clayport.records.replica import RecordReplica
-from clayport.records.store import Lookups, StateStore
+from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -15,25 +15,25 @@
 from clayport.jobs.registry import JobRegistry
 from clayport.jobs.transactions import outcome_txn, split_txn, start_txn
 from clayport.jobs.verdicts import Verdict, for_uncommitted
+from clayport.machines.events import GONE
 from clayport.machines.fleet import Fleet
 from clayport.machines.routing import Routing
-from clayport.machines.table import GONE, MachineTable
+from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, SERVICE, Job, split_task
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.chunk import Chunk
-from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key, quota_key
-from clayport.records.replica import RecordReplica
-from clayport.records.store import (
-    CANCEL_S,
-    URGENT_S,
+from clayport.records.errors import (
     ConflictError,
     OutcomeUnknownError,
-    StateStore,
     TransactionTooLargeError,
-    Txn,
     UnavailableError,
 )
+from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key, quota_key
+from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
+from clayport.records.replica import RecordReplica
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
 from clayport.records.values import end_value, parse_end, parse_quota, truncate_end
 from clayport.routines import Routines
@@ -280,7 +280,7 @@
             ),
         )
         try:
-            rev = await self._settle(txn, self._fence(managed), CANCEL_S)
+            rev = await self._settle(txn, self._fence(managed), CANCEL_PRIORITY_S)
         except ConflictError:
             return
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
@@ -297,7 +297,7 @@
             raise EpochEndedError
         return self.membership.epoch.rev
 
-    async def _settle(self, txn: Txn, fence: int, ahead_s: float = 0.0) -> int:
+    async def _settle(self, txn: Txn, fence: int, priority_s: float = 0.0) -> int:
         """Commit until the outcome is certain; ConflictError, or UnavailableError if never sent.
 
         An unanswered transaction may still be applied: it is sent again until
@@ -310,7 +310,7 @@
             if self.membership.epoch.rev != fence:
                 raise EpochEndedError
             try:
-                return await self.store.commit(txn, ahead_s=ahead_s)
+                return await self.store.commit(txn, priority_s=priority_s)
             except OutcomeUnknownError:
                 unsure = True
             except TransactionTooLargeError:
@@ -360,7 +360,7 @@
         for key, (value, rev) in quota.items():
             txn.require(key, rev).put(key, value)
         try:
-            rev = await self._settle(txn, fence, URGENT_S if job.kind == SERVICE else 0.0)
+            rev = await self._settle(txn, fence, URGENT_PRIORITY_S if job.kind == SERVICE else 0.0)
         except ConflictError as exc:
             await self._stop(managed, release)
             await self._conflict(managed, exc, fence)
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -12,7 +12,7 @@
 
 from clayport.jobs.committed_tasks import Assignment, CommittedTasks
 from clayport.jobs.verdicts import Verdict, for_uncommitted
-from clayport.machines.table import GONE
+from clayport.machines.events import GONE
 from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
 from clayport.scheduling.placement import shape
@@ -173,7 +173,7 @@
             added = ASSIGNED_BYTES
             if index not in indexes:
                 chunk = self.chunks.get(index)
-                added += chunk.most_bytes(self.chunk_size) if chunk else 0
+                added += chunk.max_value_bytes(self.chunk_size) if chunk else 0
             if indexes and (
                 size + added > TXN_BYTES or (index not in indexes and len(indexes) == limit)
             ):
--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -12,7 +12,7 @@
 from clayport.model import SERVICE
 from clayport.records.chunk import TXN_BYTES, Chunk
 from clayport.records.keys import EPOCH_KEY, end_key, live_key
-from clayport.records.store import Txn
+from clayport.records.transaction import Txn
 from clayport.records.values import end_value
 
 if TYPE_CHECKING:
@@ -104,7 +104,7 @@
         index = number // managed.chunk_size
         if index not in chunks:
             old = managed.chunks.get(index)
-            added = old.most_bytes(managed.chunk_size) if old is not None else 0
+            added = old.max_value_bytes(managed.chunk_size) if old is not None else 0
             if chunks and (len(chunks) == limit or size + added > TXN_BYTES):
                 continue
             size += added
@@ -144,7 +144,7 @@
     for index, chunk in committed.chunks.items():
         if index in written:
             continue
-        size += chunk.most_bytes(committed.chunk_size)
+        size += chunk.max_value_bytes(committed.chunk_size)
         if chunks and (len(chunks) == limit or size > TXN_BYTES):
             return SplitTxn(txn, chunks, [])
         chunks[index] = _require_chunk(committed, txn, index)
--- a/clayport/jobs/verdicts.py
+++ b/clayport/jobs/verdicts.py
@@ -4,7 +4,7 @@
 
 from enum import IntEnum
 
-from clayport.machines.table import GONE
+from clayport.machines.events import GONE
 
 
 class Verdict(IntEnum):
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -37,7 +37,7 @@
 
     def state_lost(self, now: float) -> bool:
         """Whether the state service has not answered for longer than our key's lease."""
-        return not self.store.ok and now - self.store.last_ok > self.membership.lease_ttl_s
+        return not self.store.ok and now - self.store.last_served_at > self.membership.lease_ttl_s
 
     def healthy(self) -> bool:
         """Whether users should come here: in an outage that everybody has, yes."""
--- a/clayport/limits/__init__.py
+++ b/clayport/limits/__init__.py
@@ -9,17 +9,17 @@
 
 from clayport.limits.admission import AdmissionControl
 from clayport.limits.gate import Circuit, Gate, GateClosedError
-from clayport.limits.inflight import Inflight
-from clayport.limits.retry import Attempt, Budget, Deadline, Retries
+from clayport.limits.inflight import ConcurrencyLimit
+from clayport.limits.retry import Attempt, Deadline, RetryBudget, RetryPolicy
 
 __all__ = [
     "AdmissionControl",
     "Attempt",
-    "Budget",
     "Circuit",
+    "ConcurrencyLimit",
     "Deadline",
     "Gate",
     "GateClosedError",
-    "Inflight",
-    "Retries",
+    "RetryBudget",
+    "RetryPolicy",
 ]
--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -9,8 +9,8 @@
 
 import curio
 
-from clayport.limits.inflight import Inflight
-from clayport.limits.retry import Attempt, Deadline, Retries
+from clayport.limits.inflight import ConcurrencyLimit
+from clayport.limits.retry import Attempt, Deadline, RetryPolicy
 
 
 class GateClosedError(Exception):
@@ -30,7 +30,7 @@
         recovered: Is set when the server serves after a failure.
     """
 
-    def __init__(self, retries: Retries) -> None:
+    def __init__(self, retries: RetryPolicy) -> None:
         self.retries = retries
         self.failing = False
         self.recovered = curio.Event()
@@ -55,8 +55,6 @@
             await event.set()
         self.failing = not serving
 
-    seen = record  # the former name
-
 
 class Slot:
     """A request's place among those in flight.
@@ -83,7 +81,7 @@
         max_wait_s: How long a request without a deadline waits.
     """
 
-    def __init__(self, inflight: Inflight, max_wait_s: float) -> None:
+    def __init__(self, inflight: ConcurrencyLimit, max_wait_s: float) -> None:
         self.inflight, self.max_wait_s = inflight, max_wait_s
         # A heap of (negated priority, number of arrival, event that is set on admission).
         self.queue: list[tuple[float, int, curio.Event]] = []
--- a/clayport/limits/inflight.py
+++ b/clayport/limits/inflight.py
@@ -14,7 +14,7 @@
 NEVER = -1e9
 
 
-class Inflight:
+class ConcurrencyLimit:
     """An adaptive concurrency limit: additive increase, multiplicative decrease, as TCP's.
 
     It rises by one for each full round that is answered well, and falls to a share when a
--- a/clayport/limits/retry.py
+++ b/clayport/limits/retry.py
@@ -37,7 +37,7 @@
         return Deadline(now + self.left(now) * share) if self.at < math.inf else self
 
 
-class Budget:
+class RetryBudget:
     """A retry budget: how many retries all clients of one server may make together.
 
     Each first try earns a share of a retry and each second earns more, up to a bound: while
@@ -84,7 +84,7 @@
         self.level = min(self.maximum, self.level + 1.0)
 
 
-class Retries:
+class RetryPolicy:
     """The retry policy of one server.
 
     Args:
@@ -98,7 +98,7 @@
         self,
         base_pause_s: float,
         max_pause_s: float,
-        budget: Budget,
+        budget: RetryBudget,
         uniform: Callable[[float, float], float],
     ) -> None:
         self.base_pause_s, self.max_pause_s = base_pause_s, max(base_pause_s, max_pause_s)
@@ -121,7 +121,7 @@
 
     __slots__ = ("deadline", "last_pause_s", "retries")
 
-    def __init__(self, retries: Retries, deadline: Deadline) -> None:
+    def __init__(self, retries: RetryPolicy, deadline: Deadline) -> None:
         self.retries, self.deadline = retries, deadline
         self.last_pause_s = retries.base_pause_s / 2
 
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -16,9 +16,12 @@
 from clayport.jobs.verdicts import Verdict
 from clayport.leases.renewal import LeaseRenewal
 from clayport.leases.watermark import CancellationWatermark
+from clayport.machines.commands import MAX_COMMANDS
+from clayport.machines.events import GONE
 from clayport.machines.fencing import MachineFencing
+from clayport.machines.machine import Machine
 from clayport.machines.routing import Routing
-from clayport.machines.table import GONE, MAX_COMMANDS, Key, Machine, MachineTable
+from clayport.machines.table import Key, MachineTable
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -13,13 +13,12 @@
 
 from clayport.machines import assignments, commands, eviction, reports
 from clayport.machines.changes import ChangeLog
-from clayport.machines.commands import MAX_COMMANDS, Order
+from clayport.machines.commands import Order
 from clayport.machines.events import GONE, TaskEvent
 from clayport.machines.health import FaultRecord, log_unhealthy
 from clayport.machines.machine import (
     LIVE,
     RESERVED,
-    SENT,
     Machine,
     TaskKey,
     job_id,
@@ -29,8 +28,6 @@
 from clayport.model import Job, MachineType, WorkerHeartbeat, split_task
 from clayport.scheduling.placement import Room
 
-__all__ = ["GONE", "MAX_COMMANDS", "SENT", "Key", "Machine", "MachineTable"]
-
 log = logging.getLogger(__name__)
 
 Key = TaskKey  # the name by which other modules know it
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -17,9 +17,11 @@
 from clayport.model import Job
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.chunk import Chunk, chunk_size
+from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, is_anchor, parse_chunk_key
+from clayport.records.messages import Entry
 from clayport.records.replica import RecordReplica
-from clayport.records.store import Entry, OutcomeUnknownError, StateStore, UnavailableError
+from clayport.records.store import StateStore
 from clayport.records.values import parse_end
 from clayport.routines import Routines
 from clayport.scheduling.queueing import JobQueue
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -12,17 +12,17 @@
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
 from clayport.rebuild.support import RebuildSupport
-from clayport.records.keys import EPOCH_KEY, NODE_PREFIX, VERSION_PREFIX
-from clayport.records.replica import RecordReplica
-from clayport.records.store import (
-    LEASE_S,
+from clayport.records.errors import (
     ConflictError,
     NoLeaseError,
     OutcomeUnknownError,
-    StateStore,
-    Txn,
     UnavailableError,
 )
+from clayport.records.keys import EPOCH_KEY, NODE_PREFIX, VERSION_PREFIX
+from clayport.records.rate_limit import LEASE_PRIORITY_S
+from clayport.records.replica import RecordReplica
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
 from clayport.settings import Settings
@@ -86,7 +86,7 @@
             Txn()
             .require(key, self.membership.present_revs.get(self.membership.label, 0))
             .delete(key),
-            ahead_s=LEASE_S,
+            priority_s=LEASE_PRIORITY_S,
         )
         log.info("event=stepped-aside lease=%d", lease)
 
@@ -109,17 +109,17 @@
             if number < self.rebuild.format:
                 txn.require(key, rev).put(key, {"format": self.rebuild.format})
             try:
-                await self.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
+                await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
             except ConflictError as exc:
                 # Written by a process before this one: the mirror has not been read yet.
                 if node in exc.failed:
-                    entry = await self.store.get(node, doubtful=True)
+                    entry = await self.store.get(node, allow_in_doubt=True)
                     node_rev = entry.rev if entry is not None else 0
                 elif key not in exc.failed:
                     raise
                 if key in exc.failed:
-                    entry = await self.store.get(key, doubtful=True)
+                    entry = await self.store.get(key, allow_in_doubt=True)
                     if entry is None:
                         raise
                     self.record_replica.note_version(self.membership.label, entry.value, entry.rev)
@@ -138,7 +138,9 @@
                 continue
             txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
             try:
-                await self.store.commit(txn.put(EPOCH_KEY, proposal.value()), ahead_s=LEASE_S)
+                await self.store.commit(
+                    txn.put(EPOCH_KEY, proposal.value()), priority_s=LEASE_PRIORITY_S
+                )
             except ConflictError:
                 await curio.sleep(self.membership.lease_ttl_s / 20)
             except (UnavailableError, OutcomeUnknownError, NoLeaseError):
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -99,7 +99,7 @@
         self.count += 1
         self.membership.rescan = True
         # Not known to answer until it has; a lease may have ended meanwhile.
-        self.store.last_bad = now
+        self.store.last_failed_at = now
         for peer in self.peers.values():
             peer.heard += gap_s
         self.machines.discount_stall(gap_s)
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -17,12 +17,8 @@
 from clayport.rebuild.files import Header, Snapshot, SnapshotError
 from clayport.rebuild.history import is_anchor
 from clayport.rebuild.restore import RestoreRefusedError
-from clayport.records.store import (
-    ConflictError,
-    OutcomeUnknownError,
-    StateStore,
-    UnavailableError,
-)
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
+from clayport.records.store import StateStore
 from clayport.settings import ConfigError, Settings, endpoint, load
 
 
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -84,8 +84,8 @@
     async def _read_known_jobs(self) -> None:
         store = self.ports.store
         entries = [
-            *(await store.scan("c/live/", doubtful=True))[0],
-            *(await store.scan("end/", doubtful=True))[0],
+            *(await store.scan("c/live/", allow_in_doubt=True))[0],
+            *(await store.scan("end/", allow_in_doubt=True))[0],
         ]
         self.known_jobs |= {e.key.rpartition("/")[2] for e in entries}
 
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -8,8 +8,9 @@
 
 from clayport.rebuild.evidence import Evidence
 from clayport.rebuild.history import History
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
-from clayport.records.store import ConflictError, OutcomeUnknownError, Txn, UnavailableError
+from clayport.records.transaction import Txn
 from clayport.records.values import end_value
 
 if TYPE_CHECKING:
--- a/clayport/rebuild/plan.py
+++ b/clayport/rebuild/plan.py
@@ -13,7 +13,7 @@
 from clayport.model import RANKS, SERVICE
 from clayport.rebuild.chunk_merge import Records
 from clayport.records.chunk import TXN_BYTES
-from clayport.records.store import Txn
+from clayport.records.transaction import Txn
 
 # The size of a write and its condition in a request beside key and value, at most.
 ROW_BYTES = 64
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -29,16 +29,12 @@
 from clayport.rebuild.inventory import Inventory
 from clayport.rebuild.merge import merge
 from clayport.records.chunk import chunk_size
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import EPOCH_KEY
-from clayport.records.store import (
-    LEASE_S,
-    ConflictError,
-    Entry,
-    OutcomeUnknownError,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
+from clayport.records.messages import Entry
+from clayport.records.rate_limit import LEASE_PRIORITY_S
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
@@ -54,7 +50,7 @@
 
 async def read_anchors(store: StateStore, name: str) -> dict[str, int]:
     """Return the anchors of a history that are there, with their revisions."""
-    found = [await store.get(anchor_key(prefix, name), doubtful=True) for prefix in PREFIXES]
+    found = [await store.get(anchor_key(prefix, name), allow_in_doubt=True) for prefix in PREFIXES]
     return {e.key: e.rev for e in found if e is not None}
 
 
@@ -109,7 +105,7 @@
         if missing or not members:
             log.info("event=rebuild-asks machines=%d missing=%s", len(machines), ",".join(missing))
             listed, highest_token = await Inventory(ports, parts, machines).take()
-        records_now, _ = await ports.store.scan_all(PREFIXES, doubtful=True)
+        records_now, _ = await ports.store.scan_all(PREFIXES, allow_in_doubt=True)
         found = {key: row for key, row in records_now.items() if not is_anchor(key)}
         merged = merge(
             found,
@@ -182,7 +178,9 @@
         unsure = False
         while True:
             try:
-                return await ports.store.commit(txn, ahead_s=LEASE_S, doubtful=True)
+                return await ports.store.commit(
+                    txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True
+                )
             except ConflictError as exc:
                 log.info("event=rebuild-overtaken keys=%s", exc.failed[:3])
                 raise ConcurrentChangeError from None
@@ -260,7 +258,7 @@
         ports = self.ports
         end = time.monotonic() + ports.membership.lease_ttl_s
         while True:
-            entries, _ = await ports.store.scan("c/node/", doubtful=True)
+            entries, _ = await ports.store.scan("c/node/", allow_in_doubt=True)
             keys = {e.key[len("c/node/") :]: str(e.value["inc"]) for e in entries}
             found = {label: inc for label, inc in members.items() if keys.get(label) == inc}
             if len(found) == len(members) or time.monotonic() >= end:
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -14,8 +14,9 @@
 from clayport.rebuild.evidence import Evidence
 from clayport.rebuild.files import ChangeLog, Header, Row, SnapshotError
 from clayport.rebuild.history import PREFIXES, is_anchor
+from clayport.records.errors import CompactedError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import EPOCH_KEY
-from clayport.records.store import Change, CompactedError, OutcomeUnknownError, UnavailableError
+from clayport.records.messages import Change
 
 if TYPE_CHECKING:
     from clayport.rebuild.ports import RebuildParts
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -26,9 +26,11 @@
 )
 from clayport.rebuild.late_evidence import LateEvidence
 from clayport.rebuild.rebuilder import ConcurrentChangeError, Rebuilder, read_anchors
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.formats import understands_histories
 from clayport.records.keys import EPOCH_KEY
-from clayport.records.store import ConflictError, Entry, OutcomeUnknownError, Txn, UnavailableError
+from clayport.records.messages import Entry
+from clayport.records.transaction import Txn
 from clayport.transport import frames
 from clayport.transport.peers import PeerError
 
@@ -102,7 +104,7 @@
                     if now - peer.heard < ports.membership.lease_ttl_s and self._understands(label):
                         await group.spawn(self._exchange, label)
             highest_revision = h.highest_revision
-            _, rev = await ports.store.scan(HEAD_KEY, doubtful=True)
+            _, rev = await ports.store.scan(HEAD_KEY, allow_in_doubt=True)
             h.needs_check_in = False
             h.check_revision(rev, highest_revision)
         except OutcomeUnknownError as exc:
@@ -250,7 +252,7 @@
     async def _step(self) -> None:
         """Look at what holds, and join it, wait for who rebuilds it, or rebuild it."""
         ports, h = self.ports, self.history
-        entries, _ = await ports.store.scan("c/", doubtful=True)
+        entries, _ = await ports.store.scan("c/", allow_in_doubt=True)
         records = {e.key: e for e in entries}
         for entry in entries:
             # Who is there, and understands what: also for who has only just begun.
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -24,14 +24,10 @@
 from clayport.rebuild.merge import Merged, merge
 from clayport.rebuild.recorder import remembered
 from clayport.records.chunk import chunk_size
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import NODE_PREFIX
-from clayport.records.store import (
-    ConflictError,
-    OutcomeUnknownError,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.settings import Settings
 
 Records = dict[str, tuple[Any, int]]  # key: value, revision
--- a/clayport/records/chunk.py
+++ b/clayport/records/chunk.py
@@ -73,7 +73,7 @@
         chunk.last_attempt = int(value["n"])
         return chunk
 
-    def most_bytes(self, size: int) -> int:
+    def max_value_bytes(self, size: int) -> int:
         """Return an upper bound of the value's length in bytes, without building the value.
 
         `size` is how many tasks a chunk of the job holds: their number bounds the runs.
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -14,10 +14,18 @@
 import curio
 import msgspec
 
-from clayport.limits import Budget, Circuit, Deadline, Gate, GateClosedError, Inflight, Retries
+from clayport.limits import (
+    Circuit,
+    ConcurrencyLimit,
+    Deadline,
+    Gate,
+    GateClosedError,
+    RetryBudget,
+    RetryPolicy,
+)
 from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.messages import StoreRevision, decode
-from clayport.records.rate_limit import LEASE_PRIORITY_S, Bucket
+from clayport.records.rate_limit import LEASE_PRIORITY_S, TokenBucket
 from clayport.transport import http
 
 if TYPE_CHECKING:
@@ -46,7 +54,7 @@
 def _gate(rate: float, timeout_s: float) -> Gate:
     """Return the gate that bounds the requests in flight of a client with this rate."""
     return Gate(
-        Inflight(
+        ConcurrencyLimit(
             max(MIN_IN_FLIGHT, int(INITIAL_IN_FLIGHT_S * rate)),
             MIN_IN_FLIGHT,
             max(2 * MIN_IN_FLIGHT, int(rate)),
@@ -64,10 +72,10 @@
     """
     retry_rate = max(1.0, RETRY_RATE_SHARE * rate)
     return Circuit(
-        Retries(
+        RetryPolicy(
             FIRST_PAUSE_SHARE * timeout_s,
             timeout_s,
-            Budget(RETRIES_PER_REQUEST, retry_rate, retry_rate, now),
+            RetryBudget(RETRIES_PER_REQUEST, retry_rate, retry_rate, now),
             uniform,
         )
     )
@@ -76,7 +84,7 @@
 class PacedClient:
     """Sends requests to the state service, paced to this controller's share.
 
-    Requests with `doubtful` are made even while the records are in doubt, outside of any
+    Requests with `allow_in_doubt` are made even while the records are in doubt, outside of any
     history of the records.
 
     Args:
@@ -91,8 +99,8 @@
     Attributes:
         requests: The rate limit of requests.
         changes: The rate limit of writes.
-        last_ok: When the service last served a request, in seconds on the monotonic clock.
-        last_bad: When it last failed to.
+        last_served_at: When the service last served a request, in seconds on the monotonic clock.
+        last_failed_at: When it last failed to.
         history: The history that commits rest on, where records may be rebuilt.
         check_in: Asks the peers what they have seen of that history.
     """
@@ -114,10 +122,10 @@
         self.controllers = controllers
         now = time.monotonic()
         self.rates = rps, write_rps
-        self.requests = Bucket(rps * RATE_SHARE / controllers, now)
-        self.changes = Bucket(write_rps * RATE_SHARE / controllers, now)
-        self.last_ok = now - NEVER_ANSWERED_S
-        self.last_bad = now
+        self.requests = TokenBucket(rps * RATE_SHARE / controllers, now)
+        self.changes = TokenBucket(write_rps * RATE_SHARE / controllers, now)
+        self.last_served_at = now - NEVER_ANSWERED_S
+        self.last_failed_at = now
         rate = self.requests.rate
         self.gate = _gate(rate, timeout_s)
         self.circuit = _circuit(rate, timeout_s, now, uniform)
@@ -130,17 +138,15 @@
         """Conditions that a commit may have beside its own, for the anchors of the history."""
         return 0 if self.history is None else self.history.ANCHORS
 
-    beside = anchor_conditions  # the former name
-
-    def backlog(self, ahead_s: float = 0.0) -> float:
+    def backlog(self, priority_s: float = 0.0) -> float:
         """Return the seconds that a write of this priority would have to wait for its turn."""
         now = time.monotonic()
-        return max(self.requests.backlog(now, ahead_s), self.changes.backlog(now, ahead_s))
+        return max(self.requests.backlog(now, priority_s), self.changes.backlog(now, priority_s))
 
     @property
     def ok(self) -> bool:
         """Whether the service served the latest request that it answered or failed to."""
-        return self.last_ok >= self.last_bad
+        return self.last_served_at >= self.last_failed_at
 
     def set_rates(self, rps: float, write_rps: float) -> None:
         """Take over changed limits of the service; each controller keeps to its share."""
@@ -158,45 +164,45 @@
         body: Any = None,
         writes: int = 0,
         deadline: Deadline | None = None,
-        ahead_s: float = 0.0,
-        doubtful: bool = False,
+        priority_s: float = 0.0,
+        allow_in_doubt: bool = False,
     ) -> tuple[int, bytes]:
         """Wait for the request's turn, and send it; return status and payload."""
         deadline = deadline or Deadline()
-        if self.history is not None and self.history.doubt and not doubtful:
+        if self.history is not None and self.history.suspicion and not allow_in_doubt:
             raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
-        wait = self._book_turn(writes, deadline, ahead_s)
+        wait = self._book_turn(writes, deadline, priority_s)
         if wait > 0:
             await curio.sleep(wait)
         raw = None if body is None else msgspec.json.encode(body)
-        if ahead_s >= LEASE_PRIORITY_S:
+        if priority_s >= LEASE_PRIORITY_S:
             # A lease and the epoch wait for nobody.
             return await self.send(
-                method, path, raw, self.timeout_s, self.client, doubtful, writes > 0
+                method, path, raw, self.timeout_s, self.client, allow_in_doubt, writes > 0
             )
         try:
-            async with self.gate.slot(ahead_s, deadline) as slot:
+            async with self.gate.slot(priority_s, deadline) as slot:
                 left = deadline.left(time.monotonic(), self.timeout_s)
                 if left <= 0:
                     raise GateClosedError("its time is over")
                 status, payload = await self.send(
-                    method, path, raw, left, self.client, doubtful, writes > 0
+                    method, path, raw, left, self.client, allow_in_doubt, writes > 0
                 )
                 slot.served = True
                 return status, payload
         except GateClosedError as exc:
             raise UnavailableError(str(exc), self.timeout_s) from None
 
-    def _book_turn(self, writes: int, deadline: Deadline, ahead_s: float) -> float:
+    def _book_turn(self, writes: int, deadline: Deadline, priority_s: float) -> float:
         """Take a request, and its writes, from the rate limits; return the seconds to wait.
 
         Raises:
             UnavailableError: The turn would come after the deadline; nothing was taken.
         """
         now = time.monotonic()
-        wait = self.requests.delay(1, now, ahead_s)
+        wait = self.requests.delay(1, now, priority_s)
         if writes:
-            wait = max(wait, self.changes.delay(writes, now, ahead_s))
+            wait = max(wait, self.changes.delay(writes, now, priority_s))
         if wait > 0 and not deadline.allows(now, wait):
             # A user asks who will have left by then: refused now, so that the queue of
             # those who ask again and again doesn't grow without end.
@@ -212,7 +218,7 @@
         raw: bytes | None,
         timeout_s: float,
         client: http.Client,
-        doubtful: bool = False,
+        allow_in_doubt: bool = False,
         wrote: bool = False,
     ) -> tuple[int, bytes]:
         """Exchange one request and answer, and note what it says of the service.
@@ -222,12 +228,12 @@
             OutcomeUnknownError: There was no answer, or one from another history.
         """
         name, floor = "", 0
-        if self.history is not None and not doubtful:
-            if self.history.unsure and self.check_in is not None:
+        if self.history is not None and not allow_in_doubt:
+            if self.history.needs_check_in and self.check_in is not None:
                 await self.check_in()
-            if self.history.doubt:
+            if self.history.suspicion:
                 raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
-            name, floor = self.history.name, self.history.floor
+            name, floor = self.history.name, self.history.highest_revision
         try:
             status, payload = await client.request(method, path, raw, timeout_s)
         except http.NotSentError as exc:
@@ -240,9 +246,9 @@
             if status == 503:
                 await self._note_failure()
             raise UnavailableError(f"{status} {path}")
-        self.last_ok = time.monotonic()
+        self.last_served_at = time.monotonic()
         await self.circuit.record(True)
-        if self.history is not None and not doubtful and status in (200, 404, 409):
+        if self.history is not None and not allow_in_doubt and status in (200, 404, 409):
             self._check_history(self.history, payload, name, floor, wrote and status == 200)
         return status, payload
 
@@ -266,14 +272,14 @@
         rev = decode(payload, StoreRevision).rev
         if (
             history.name != name
-            or (rev and not history.answered(rev, floor, wrote))
-            or history.doubt
+            or (rev and not history.check_revision(rev, floor, wrote))
+            or history.suspicion
         ):
             raise OutcomeUnknownError(RECORDS_IN_DOUBT)
 
     async def _note_failure(self) -> None:
         """The service did not serve: the history may have a gap when it comes back."""
-        self.last_bad = time.monotonic()
+        self.last_failed_at = time.monotonic()
         if self.history is not None:
-            self.history.unsure = True
+            self.history.needs_check_in = True
         await self.circuit.record(False)
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -22,6 +22,12 @@
 from clayport.model import Job
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.chunk import Chunk
+from clayport.records.errors import (
+    CompactedError,
+    ConflictError,
+    OutcomeUnknownError,
+    UnavailableError,
+)
 from clayport.records.formats import FORMAT, PROMISES_FORMAT
 from clayport.records.keys import (
     CLASS_PREFIX,
@@ -33,16 +39,10 @@
     end_key,
     live_key,
 )
-from clayport.records.store import (
-    Change,
-    CompactedError,
-    ConflictError,
-    Lookups,
-    OutcomeUnknownError,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
+from clayport.records.lookups import Lookups
+from clayport.records.messages import Change
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
 from clayport.records.values import parse_end
 from clayport.routines import Routines
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -18,11 +18,9 @@
     ConflictError,
     NoLeaseError,
     OutcomeUnknownError,
-    StateStoreError,
     TransactionTooLargeError,
     UnavailableError,
 )
-from clayport.records.lookups import Lookups
 from clayport.records.messages import (
     Change,
     Entry,
@@ -33,7 +31,9 @@
     decode,
 )
 from clayport.records.paced_client import RECORDS_IN_DOUBT, PacedClient
-from clayport.records.rate_limit import CANCEL_PRIORITY_S, LEASE_PRIORITY_S, URGENT_S, Bucket
+from clayport.records.rate_limit import (
+    LEASE_PRIORITY_S,
+)
 from clayport.records.transaction import (
     CommitAnswer,
     CommitConflict,
@@ -42,27 +42,6 @@
 )
 
 # Other modules may import these from here as well as from the modules that define them.
-__all__ = [
-    "CANCEL_S",
-    "LEASE_S",
-    "URGENT_S",
-    "Bucket",
-    "Change",
-    "CompactedError",
-    "ConflictError",
-    "Entry",
-    "Lookups",
-    "NoLeaseError",
-    "OutcomeUnknownError",
-    "StateStore",
-    "StateStoreError",
-    "TransactionTooLargeError",
-    "Txn",
-    "UnavailableError",
-]
-
-# The former names of two priorities, for importers that still use them.
-CANCEL_S, LEASE_S = CANCEL_PRIORITY_S, LEASE_PRIORITY_S
 
 # Keys that one page of a scan holds at most.
 PAGE_KEYS = 1000
@@ -71,12 +50,12 @@
 class StateStore(PacedClient):
     """The state service's operations.
 
-    With `doubtful`, an operation is carried out even while the records are in doubt, outside
+    With `allow_in_doubt`, an operation is carried out even while the records are in doubt, outside
     of any history of the records.
     """
 
     async def get(
-        self, key: str, deadline: Deadline | None = None, doubtful: bool = False
+        self, key: str, deadline: Deadline | None = None, allow_in_doubt: bool = False
     ) -> Entry | None:
         """Return the entry of a key, None if there is no such key.
 
@@ -84,14 +63,14 @@
             UnavailableError: The request was refused.
             OutcomeUnknownError: There was no usable answer.
         """
-        status, payload = await self._read(f"/keys/{key}", deadline, doubtful)
+        status, payload = await self._read(f"/keys/{key}", deadline, allow_in_doubt)
         if status == 404:
             return None
         if status != 200:
             raise UnavailableError(f"{status} for {key}")
         return decode(payload, Entry)
 
-    async def scan(self, prefix: str, doubtful: bool = False) -> tuple[list[Entry], int]:
+    async def scan(self, prefix: str, allow_in_doubt: bool = False) -> tuple[list[Entry], int]:
         """Return all keys with the prefix, and the revision of the first page.
 
         Raises:
@@ -102,7 +81,7 @@
         first, since = 0, ""
         while True:
             path = f"/keys?prefix={prefix}&most={PAGE_KEYS}" + (f"&since={since}" if since else "")
-            status, payload = await self._read(path, doubtful=doubtful)
+            status, payload = await self._read(path, allow_in_doubt=allow_in_doubt)
             if status != 200:
                 raise UnavailableError(f"{status} for {prefix}")
             page = decode(payload, Page)
@@ -115,14 +94,14 @@
     async def scan_all(
         self,
         prefixes: Iterable[str],
-        doubtful: bool = False,
+        allow_in_doubt: bool = False,
         read: Callable[[str, int], None] | None = None,
     ) -> tuple[dict[str, tuple[Any, int]], int]:
         """Return all keys with any of the prefixes, and up to which revision they are whole.
 
         Args:
             prefixes: The prefixes to scan, one after the other.
-            doubtful: Whether to read even while the records are in doubt.
+            allow_in_doubt: Whether to read even while the records are in doubt.
             read: Is told each prefix and how many keys it has.
 
         Returns:
@@ -135,7 +114,7 @@
         found: dict[str, tuple[Any, int]] = {}
         revs = []
         for prefix in prefixes:
-            entries, rev = await self.scan(prefix, doubtful)
+            entries, rev = await self.scan(prefix, allow_in_doubt)
             revs.append(rev)
             found.update({e.key: (e.value, e.rev) for e in entries})
             if read is not None:
@@ -146,8 +125,8 @@
         self,
         txn: Txn,
         deadline: Deadline | None = None,
-        ahead_s: float = 0.0,
-        doubtful: bool = False,
+        priority_s: float = 0.0,
+        allow_in_doubt: bool = False,
     ) -> int:
         """Apply a transaction; return its revision.
 
@@ -156,9 +135,9 @@
         Args:
             txn: The transaction.
             deadline: By when the outcome is of use.
-            ahead_s: Its priority, for what users and replicas wait for: the outcomes of a
+            priority_s: Its priority, for what users and replicas wait for: the outcomes of a
                 job of thousands of short tasks once delayed submissions.
-            doubtful: Whether to commit even while the records are in doubt.
+            allow_in_doubt: Whether to commit even while the records are in doubt.
 
         Raises:
             ConflictError: A condition did not hold; nothing was changed.
@@ -169,7 +148,7 @@
         """
         conditions = (
             txn.when
-            if doubtful or self.history is None
+            if allow_in_doubt or self.history is None
             else {**txn.when, **self.history.conditions(txn.when)}
         )
         status, payload = await self.call(
@@ -178,14 +157,18 @@
             commit_request(txn, conditions),
             writes=len(txn.writes),
             deadline=deadline,
-            ahead_s=ahead_s,
-            doubtful=doubtful,
+            priority_s=priority_s,
+            allow_in_doubt=allow_in_doubt,
         )
         if status == 200:
             return decode(payload, CommitAnswer).rev
         if status == 409:
             failed = decode(payload, CommitConflict).failed
-            if self.history is not None and not doubtful and self.history.failed(failed):
+            if (
+                self.history is not None
+                and not allow_in_doubt
+                and self.history.check_failed_keys(failed)
+            ):
                 raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
             raise ConflictError(failed)
         if b"no such lease" in payload:
@@ -205,8 +188,8 @@
             "POST",
             "/leases",
             LeaseRequest(int(ttl_s * 1000)),
-            ahead_s=LEASE_PRIORITY_S,
-            doubtful=True,
+            priority_s=LEASE_PRIORITY_S,
+            allow_in_doubt=True,
         )
         if status != 200:
             raise UnavailableError(f"{status} for a lease")
@@ -221,7 +204,7 @@
         """
         # Never behind users' reads: a controller that many asked once lost its lease.
         status, _ = await self.call(
-            "POST", f"/leases/{lease}/touch", {}, ahead_s=LEASE_PRIORITY_S, doubtful=True
+            "POST", f"/leases/{lease}/touch", {}, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True
         )
         return status == 200
 
@@ -255,7 +238,7 @@
         return answer.events, answer.rev
 
     async def _read(
-        self, path: str, deadline: Deadline | None = None, doubtful: bool = False
+        self, path: str, deadline: Deadline | None = None, allow_in_doubt: bool = False
     ) -> tuple[int, bytes]:
         """A read may be repeated: an unanswered one is tried once more."""
         try:
@@ -263,7 +246,7 @@
                 "GET",
                 path,
                 deadline=deadline and deadline.fraction(time.monotonic(), 0.5),
-                doubtful=doubtful,
+                allow_in_doubt=allow_in_doubt,
             )
         except OutcomeUnknownError:
-            return await self.call("GET", path, deadline=deadline, doubtful=doubtful)
+            return await self.call("GET", path, deadline=deadline, allow_in_doubt=allow_in_doubt)
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -10,9 +10,9 @@
 import curio
 import msgspec
 
-from clayport.limits import Budget, Circuit, Retries
+from clayport.limits import Circuit, RetryBudget, RetryPolicy
 from clayport.model import CloudMachine, MachineType
-from clayport.records.store import Bucket
+from clayport.records.rate_limit import TokenBucket
 from clayport.transport import http
 
 # The part of the given rate of requests that is used.
@@ -70,14 +70,14 @@
     ) -> None:
         self.client = http.Client(host, port, keep=2)
         now = time.monotonic()
-        self.bucket = Bucket(rps * RATE_SHARE, now)
+        self.bucket = TokenBucket(rps * RATE_SHARE, now)
         self.timeout_s = timeout_s
         max_retries = max(1.0, MAX_RETRY_SHARE * self.bucket.rate)
         self.circuit = Circuit(
-            Retries(
+            RetryPolicy(
                 MIN_PAUSE_SHARE * timeout_s,
                 MAX_PAUSE_SHARE * timeout_s,
-                Budget(RETRIES_PER_REQUEST, max_retries, max_retries, now),
+                RetryBudget(RETRIES_PER_REQUEST, max_retries, max_retries, now),
                 uniform,
             )
         )
@@ -98,10 +98,10 @@
         try:
             status, payload = await self.client.request(method, path, raw, self.timeout_s)
         except http.NoAnswerError as exc:
-            await self.circuit.seen(False)
+            await self.circuit.record(False)
             raise CloudError(str(exc)) from None
         # What is refused for lack of capacity has been served.
-        await self.circuit.seen(status != 429 and (status != 503 or NO_CAPACITY in payload))
+        await self.circuit.record(status != 429 and (status != 503 or NO_CAPACITY in payload))
         return status, payload
 
     @staticmethod
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -20,8 +20,9 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
+from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.keys import is_anchor
-from clayport.records.store import OutcomeUnknownError, StateStore, UnavailableError
+from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.records.values import parse_quota
 from clayport.routines import Routines
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -11,7 +11,7 @@
 import curio
 from curio import socket
 
-from clayport.limits import Budget, Circuit, Retries
+from clayport.limits import Circuit, RetryBudget, RetryPolicy
 from clayport.transport import TransportError, frames
 from clayport.transport.listen import listener
 
@@ -106,10 +106,12 @@
         self.epoch = 0
         self.room_rev = 0
         self.circuit = Circuit(
-            Retries(
+            RetryPolicy(
                 timeout_s / 4,
                 timeout_s,
-                Budget(RETRIES_PER_REQUEST, MAX_RETRIES, MAX_RETRIES / timeout_s, time.monotonic()),
+                RetryBudget(
+                    RETRIES_PER_REQUEST, MAX_RETRIES, MAX_RETRIES / timeout_s, time.monotonic()
+                ),
                 uniform,
             )
         )
@@ -141,14 +143,14 @@
             # A connection that swallows requests (held packets) is given up, so
             # that the next request tries a fresh one.
             await self._disconnect()
-            await self.circuit.seen(False)
+            await self.circuit.record(False)
             raise PeerError(f"{self.label}: {type(exc).__name__} {exc}") from None
         finally:
             self._pending.pop(number, None)
         if request.answer is None:
             raise PeerError(f"{self.label}: connection lost")
         self.heard = time.monotonic()
-        await self.circuit.seen(True)
+        await self.circuit.record(True)
         return request.answer
 
     def _encode(self, kind: int, number: int, values: Fields) -> bytes:
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -21,18 +21,13 @@
 from clayport.membership.state import MembershipState
 from clayport.model import SERVICE, Description, Job, valid_id
 from clayport.rebuild.support import RebuildSupport
+from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
+from clayport.records.lookups import Lookups
+from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
 from clayport.records.replica import RecordReplica
-from clayport.records.store import (
-    CANCEL_S,
-    URGENT_S,
-    ConflictError,
-    Lookups,
-    OutcomeUnknownError,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
 from clayport.records.values import end_value, live_value, parse_end, truncate_end
 from clayport.routines import Routines
@@ -258,7 +253,7 @@
             known = await self._known(job.id, deadline)
             if known is not None:
                 return 200, await self._answer(job.id, known, deadline)
-        self._admit(URGENT_S)
+        self._admit(URGENT_PRIORITY_S)
         if job.prereqs:
             wrong = await self._unsuitable(job.prereqs, deadline)
             if wrong:
@@ -271,7 +266,7 @@
         attempt = self.store.begin(deadline)
         while True:
             try:
-                rev = await self.store.commit(txn, deadline, URGENT_S)
+                rev = await self.store.commit(txn, deadline, URGENT_PRIORITY_S)
                 break
             except ConflictError:
                 known = await self._known(job.id, deadline)
@@ -305,11 +300,11 @@
             return status, {"error": cause}
         return 200, await self._answer(job.id, known, deadline)
 
-    def _admit(self, ahead_s: float) -> None:
+    def _admit(self, priority_s: float) -> None:
         """UnavailableError, with when to come back, if what waits for the state service, or for the
         processor, can't be worked off in time."""
         after_s = max(
-            self.admission.retry_after_s(self.store.backlog(ahead_s)),
+            self.admission.retry_after_s(self.store.backlog(priority_s)),
             self.processor_admission.retry_after_s(TURNS * self.stalls.timer_delay_s),
         )
         if after_s:
@@ -327,7 +322,7 @@
             elif known is not None and known[0].kind == SERVICE:
                 return f"{name} is a service"
         # Of many at once, which records there are: a comparison names those that exist.
-        most = max(1, self.upgrade.limits.txn_ops * 2 - self.store.beside)
+        most = max(1, self.upgrade.limits.txn_ops * 2 - self.store.anchor_conditions)
         for first in range(0, len(unknown), most):
             part = unknown[first : first + most]
             txn = Txn()
@@ -378,7 +373,7 @@
                 ),
             )
             try:
-                rev = await self.store.commit(txn, deadline, CANCEL_S)
+                rev = await self.store.commit(txn, deadline, CANCEL_PRIORITY_S)
             except ConflictError:
                 continue
             except OutcomeUnknownError:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -21,16 +21,11 @@
 from clayport.membership.isolation import should_leave
 from clayport.model import Job, MachineType
 from clayport.records.chunk import Chunk, chunk_size
-from clayport.records.store import (
-    LEASE_S,
-    URGENT_S,
-    Bucket,
-    ConflictError,
-    Lookups,
-    StateStore,
-    Txn,
-    UnavailableError,
-)
+from clayport.records.errors import ConflictError, UnavailableError
+from clayport.records.lookups import Lookups
+from clayport.records.rate_limit import LEASE_PRIORITY_S, URGENT_PRIORITY_S, TokenBucket
+from clayport.records.store import StateStore
+from clayport.records.transaction import Txn
 from clayport.scaling.provisioning import (
     BootingMachine,
     BootTimes,
@@ -401,7 +396,7 @@
     sent: list[set[str]] = []
 
     class Store:
-        requests = Bucket(1000.0, 0.0)
+        requests = TokenBucket(1000.0, 0.0)
         anchor_conditions = 0
 
         async def commit(self, txn: Txn, timeout_s: float | None = None) -> int:
@@ -435,15 +430,15 @@
     [
         (5.0, 0.0, 0.0),
         (-15.0, 0.0, 1.6),
-        (-4.0, URGENT_S, 0.0),
-        (-15.0, URGENT_S, 1.1),
-        (-40.0, LEASE_S, 0.0),
+        (-4.0, URGENT_PRIORITY_S, 0.0),
+        (-15.0, URGENT_PRIORITY_S, 1.1),
+        (-40.0, LEASE_PRIORITY_S, 0.0),
     ],
 )
 def test_users_go_ahead_of_what_waits_for_the_state_service(
     level: float, priority_s: float, wait: float
 ) -> None:
-    bucket = Bucket(10.0, 0.0)
+    bucket = TokenBucket(10.0, 0.0)
     bucket.level = level
     assert bucket.delay(1.0, 0.0, priority_s) == pytest.approx(wait)
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -12,7 +12,7 @@
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.jobs.verdicts import Verdict
-from clayport.machines.table import GONE
+from clayport.machines.events import GONE
 from clayport.model import MAX_TASKS, Job
 from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.keys import chunk_key, end_key, live_key
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,21 +10,21 @@
 
 from clayport.limits import (
     AdmissionControl,
-    Budget,
     Circuit,
+    ConcurrencyLimit,
     Deadline,
     Gate,
     GateClosedError,
-    Inflight,
-    Retries,
+    RetryBudget,
+    RetryPolicy,
 )
 from clayport.limits.inflight import DECREASE_FACTOR
 
 from .world import Clock, simulate
 
 
-def retries(budget: Budget, seed: int = 1) -> Retries:
-    return Retries(0.5, 4.0, budget, random.Random(seed).uniform)
+def retries(budget: RetryBudget, seed: int = 1) -> RetryPolicy:
+    return RetryPolicy(0.5, 4.0, budget, random.Random(seed).uniform)
 
 
 @pytest.mark.parametrize(
@@ -45,7 +45,7 @@
 
 
 def test_pauses_grow_within_their_bounds_and_begin_anew() -> None:
-    attempt = retries(Budget(0.0, 1e9, 1.0, 0.0)).begin(0.0)
+    attempt = retries(RetryBudget(0.0, 1e9, 1.0, 0.0)).begin(0.0)
     pauses = [attempt.next_pause(0.0) for _ in range(50)]
     assert all(p is not None and 0.25 <= p <= 4.0 for p in pauses)
     assert max(p or 0.0 for p in pauses[5:]) > 2.0
@@ -55,7 +55,7 @@
 
 
 def test_what_comes_too_late_is_not_tried_and_costs_no_budget() -> None:
-    budget = Budget(0.0, 2.0, 1.0, 0.0)
+    budget = RetryBudget(0.0, 2.0, 1.0, 0.0)
     attempt = retries(budget).begin(0.0, Deadline.within(0.0, 0.2))
     assert attempt.next_pause(0.0) is None and budget.level == 2.0
 
@@ -69,7 +69,7 @@
 )
 def test_the_budget_paces_all_who_ask_again(firsts: int, asked: int, waits: list[float]) -> None:
     """A hundred jobs that each ask again in an outage ask together as often as a few."""
-    budget = Budget(0.1, 2.0, 2.0, 0.0)
+    budget = RetryBudget(0.1, 2.0, 2.0, 0.0)
     for _ in range(firsts):
         budget.record_request(0.0)
     assert [budget.reserve(0.0) for _ in range(asked)] == pytest.approx(waits)
@@ -79,7 +79,7 @@
 
 
 def test_first_tries_earn_retries() -> None:
-    budget = Budget(0.5, 10.0, 0.001, 0.0)
+    budget = RetryBudget(0.5, 10.0, 0.001, 0.0)
     budget.level = 0.0
     for _ in range(4):
         budget.record_request(0.0)
@@ -95,7 +95,7 @@
     ],
 )
 def test_the_bound_follows_how_requests_fare(answers: list[tuple[float, bool]], bound: int) -> None:
-    inflight, now = Inflight(8, 2, 12), 0.0
+    inflight, now = ConcurrencyLimit(8, 2, 12), 0.0
     for took, served in answers:
         while not inflight.full:
             inflight.acquire()
@@ -106,7 +106,7 @@
 
 
 def test_one_outage_cuts_the_bound_once_for_all_that_was_on_its_way() -> None:
-    inflight = Inflight(10, 1, 100)
+    inflight = ConcurrencyLimit(10, 1, 100)
     for _ in range(10):
         inflight.acquire()
     for _ in range(10):
@@ -115,7 +115,7 @@
 
 
 def test_an_idle_client_learns_nothing() -> None:
-    inflight = Inflight(10, 1, 100)
+    inflight = ConcurrencyLimit(10, 1, 100)
     for _ in range(500):
         inflight.acquire()
         inflight.release(1.0, 0.01, True)
@@ -132,7 +132,7 @@
     most = 0
 
     async def main(clock: Clock) -> None:
-        gate = Gate(Inflight(2, 1, 2), 60.0)
+        gate = Gate(ConcurrencyLimit(2, 1, 2), 60.0)
 
         async def one(name: str, ahead: float, takes: float) -> None:
             nonlocal most
@@ -163,7 +163,7 @@
     """Cancelled or out of time just as its turn came: the place must go to the next."""
 
     async def main(clock: Clock) -> None:
-        gate = Gate(Inflight(1, 1, 1), 60.0)
+        gate = Gate(ConcurrencyLimit(1, 1, 1), 60.0)
         done = []
 
         async def hold() -> None:
@@ -196,7 +196,7 @@
 
     async def main(clock: Clock) -> None:
         circuit = Circuit(
-            Retries(8.0, 60.0, Budget(0.0, 1.0, 0.01, clock()), random.Random(1).uniform)
+            RetryPolicy(8.0, 60.0, RetryBudget(0.0, 1.0, 0.01, clock()), random.Random(1).uniform)
         )
         woken: list[float] = []
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -376,7 +376,7 @@
     peer = c.peers["c1"]
     peer.heard, peer.epoch, peer.state_ok = now, 4, True
     assert ask() == 200  # we have the state service: our watch will tell
-    c.store.last_bad, c.store.last_ok = now + 1, now - 100
+    c.store.last_failed_at, c.store.last_served_at = now + 1, now - 100
     assert ask() == 421
     # That nobody is heard to have it says nothing: the leases are kept as long as it is known
     # what users were told of cancellations, up to a moment that leaves them time to run out.
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -8,7 +8,7 @@
 import curio
 
 from clayport.controller import Controller
-from clayport.machines.table import GONE
+from clayport.machines.events import GONE
 from clayport.settings import parse
 from clayport.transport import frames, http, peers
 
