--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -11,7 +11,7 @@
 
 from clayport.model import ARRAY, SERVICE, Job, MachineType, fits
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Policy, Room, Spread, capacity, holds, place
+from clayport.scheduling.placement import Policy, Room, Spread, can_hold, capacity, place
 
 Kind = tuple[str, str, bool]  # type, zone, spot
 
@@ -183,7 +183,9 @@
     taken = set(without)
     return all(
         need.tasks <= 0
-        or holds(need.job, need.tasks, index, Spread(need.job, need.zones), policy, patient, taken)
+        or can_hold(
+            need.job, need.tasks, index, Spread(need.job, need.zones), policy, patient, taken
+        )
         for need in demand
     )
 
@@ -395,7 +397,7 @@
 ) -> list[tuple[float, int, str, MachineType, bool]]:
     """What could be rented for a job: price, how many of its tasks one machine holds, zone,
     type and whether it is a spot machine."""
-    dear = policy.dear_types(job)
+    dear = policy.expensive_types(job)
     found: list[tuple[float, int, str, MachineType, bool]] = []
     for kind in types:
         if not fits(job, kind) or (kind.name in dear and time_left < ready_s(job, kind)):
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -1,11 +1,11 @@
 """Rooms in an index by what decides where work goes. Pure: no I/O, no clock.
 
-A decision must not cost the more the more machines there are (Fig. 6 of the paper), so
-nothing here walks or sorts the fleet. Machines of one type, zone and kind make a pool. A
-pool keeps its open rooms on shelves, one for all of them and one for each image that is
-asked for, in the order in which `placement` prefers them. A change only notes which
-machine it was about; a shelf catches up with what has changed since it was last looked
-at, so an image that nobody asks for costs nothing.
+A decision must not cost more on a larger fleet, so nothing here walks or sorts the fleet.
+Machines of one type and zone, spot or not, make a pool. A pool keeps its open rooms sorted in
+the order in which `placement` prefers them: all of them, and for each image that is asked for
+those that have it cached. A change only notes which machine it was about; a sorted view
+catches up with what has changed when it is used, so an image that nobody asks for costs
+nothing.
 """
 
 from __future__ import annotations
@@ -14,88 +14,97 @@
 from collections.abc import Container, Iterable, Iterator
 from contextlib import contextmanager
 from heapq import merge
-from typing import TYPE_CHECKING
 from zlib import crc32
 
 from sortedcontainers import SortedList
 
-if TYPE_CHECKING:
-    from clayport.model import Job
-    from clayport.scheduling.placement import Room
+from clayport.model import Job
+from clayport.scheduling.requirements import EPSILON, allows
+from clayport.scheduling.room import Level, Room, SortKey
 
-EPSILON = 1e-6
-# Shelves of images kept for a pool: more than a class has images in use at a time, and a
-# bound on what a fleet's worth of images may take.
-SHELVES_MOST = 64
-# Answers "fits nowhere" that are remembered.
-MEMO_MOST = 4096
-# Machines that are gone and still listed as changes, beside as many as there are.
-FORGET_LEAST = 64
+# Sorted views by image that a pool keeps: more than a class has images in use at a time, and
+# a bound on the memory that the images of a large fleet take.
+MAX_SORTED_VIEWS = 64
+# Questions whose answers are cached.
+MAX_CACHED_QUESTIONS = 4096
+# Removed machines that a pool still lists as changes, beyond as many as it has machines.
+MAX_REMOVED_MACHINES = 64
 
-Level = tuple[bool, float]  # whether GPUs are free, minus the CPUs that replicas hold
-Entry = tuple[float, float, str]  # CPUs and GPUs left, salted hash, machine
-Row = tuple[Level, Entry]
 
+class SortedRooms:
+    """A pool's open rooms in order of preference.
 
-def allows(job: Job, pool: Room | Pool) -> bool:
-    """The job's own conditions: type, zone and kind, which a pool's machines share."""
-    return (
-        (job.types is None or pool.type in job.types)
-        and (job.spot or not pool.spot)
-        and (job.zone is None or job.zone == pool.zone)
-    )
-
-
-class Shelf:
-    """A pool's open rooms in order of preference: those with an image, or all (`""`)."""
+    Attributes:
+        image: The image that the rooms have cached ("": all open rooms).
+        seen: The pool's revision up to which changes are entered.
+        levels: The rooms by level, each level sorted by what is free.
+        keys: The place of each machine.
+    """
 
-    __slots__ = ("image", "seen", "levels", "where")
+    __slots__ = ("image", "keys", "levels", "seen")
 
     def __init__(self, image: str) -> None:
         self.image = image
         self.seen = 0
         self.levels: dict[Level, SortedList] = {}
-        self.where: dict[str, Row] = {}
+        self.keys: dict[str, SortKey] = {}
 
-    def put(self, room: Room) -> None:
+    def update(self, room: Room) -> None:
         """Enter the room as it is now, in place of what was known of it."""
-        row = room.row
-        if row is None:
-            row = room.row = (
+        key = room.sort_key
+        if key is None:
+            key = room.sort_key = (
                 (room.gpus > EPSILON, -room.lasting),
-                (round(room.cpus + room.gpus, 6), room.herd, room.machine),
+                (round(room.cpus + room.gpus, 6), room.tie_breaker, room.machine),
             )
-        known = self.where.get(room.machine)
+        known = self.keys.get(room.machine)
         if known is not None:
-            if known == row:
+            if known == key:
                 return
-            self.drop(room.machine)
-        rows = self.levels.get(row[0])
-        if rows is None:
-            rows = self.levels[row[0]] = SortedList()
-        rows.add(row[1])
-        self.where[room.machine] = row
-
-    def drop(self, machine: str) -> None:
-        known = self.where.pop(machine, None)
+            self.discard(room.machine)
+        level, entry = key
+        entries = self.levels.get(level)
+        if entries is None:
+            entries = self.levels[level] = SortedList()
+        entries.add(entry)
+        self.keys[room.machine] = key
+
+    def discard(self, machine: str) -> None:
+        """Take the machine out, if it is there."""
+        known = self.keys.pop(machine, None)
         if known is not None:
-            rows = self.levels[known[0]]
-            rows.remove(known[1])
-            if not rows:
-                del self.levels[known[0]]
+            level, entry = known
+            entries = self.levels[level]
+            entries.remove(entry)
+            if not entries:
+                del self.levels[level]
+
+
+# One machine's part of its pool's totals: whether it is open, CPUs that are free, that
+# replicas hold, and that work without an objective holds.
+Counts = tuple[bool, float, float, float]
+NO_COUNTS: Counts = (False, 0.0, 0.0, 0.0)
+NO_RANKS: frozenset[int] = frozenset()
 
 
-class Totals:
-    """What a pool has, kept up by changes: the open machines, the CPUs that replicas hold
-    on these, and of all machines the CPUs that are free or held by work without any aim."""
+class PoolTotals:
+    """Sums over a pool's machines, updated by their changes.
 
-    __slots__ = ("machines", "free", "lasting", "filled")
+    Attributes:
+        machines: How many are open.
+        free: The free CPUs of all machines.
+        lasting: The CPUs that replicas hold on open machines.
+        filled: The CPUs that work without an objective holds on all machines.
+    """
+
+    __slots__ = ("filled", "free", "lasting", "machines")
 
     def __init__(self) -> None:
         self.machines = 0
         self.free = self.lasting = self.filled = 0.0
 
-    def add(self, row: tuple[bool, float, float, float], sign: int) -> None:
+    def add(self, row: Counts, sign: int) -> None:
+        """Add one machine's part (`sign` is 1) or take it away (-1)."""
         self.machines += sign * row[0]
         self.free += sign * row[1]
         self.lasting += sign * row[2]
@@ -103,19 +112,29 @@
 
 
 class Pool:
-    """The machines of one type, zone and kind."""
+    """The machines of one type and zone, spot or not.
+
+    Attributes:
+        rooms: Its rooms by machine.
+        rev: The index's revision at the pool's last change.
+        changes: The revision of each machine's last change, the latest last.
+        sorted_by_image: The sorted views in use ("": all rooms), the last used last.
+        by_standing: The machines that hold work of a rank, as it counts for preemption.
+        counted: What each machine adds to the totals, and the ranks of its work.
+        counted_rev: The revision up to which changes are counted.
+        totals: The sums, as of `counted_rev`.
+    """
 
     def __init__(self, type: str, zone: str, spot: bool) -> None:
         self.type, self.zone, self.spot = type, zone, spot
         self.rooms: dict[str, Room] = {}
         self.rev = 0
-        self.changes: OrderedDict[str, int] = OrderedDict()  # machine: revision, latest last
-        self.shelves: OrderedDict[str, Shelf] = OrderedDict()
-        # Machines that hold work of a standing, which may have to make way.
-        self.holders: dict[int, dict[str, None]] = {}
-        self.counted: dict[str, tuple[tuple[bool, float, float, float], frozenset[int]]] = {}
+        self.changes: OrderedDict[str, int] = OrderedDict()
+        self.sorted_by_image: OrderedDict[str, SortedRooms] = OrderedDict()
+        self.by_standing: dict[int, dict[str, None]] = {}
+        self.counted: dict[str, tuple[Counts, frozenset[int]]] = {}
         self.counted_rev = 0
-        self.totals = Totals()
+        self.totals = PoolTotals()
 
     def changed(self, since: int) -> Iterator[str]:
         """Machines that changed after the revision, the latest first."""
@@ -124,51 +143,64 @@
                 return
             yield machine
 
-    def shelf(self, image: str = "") -> Shelf:
-        """The shelf, as the rooms are now."""
-        found = self.shelves.get(image)
+    def sorted_rooms(self, image: str = "") -> SortedRooms:
+        """The rooms that have the image cached (all for ""), sorted, as they are now."""
+        found = self.sorted_by_image.get(image)
         if found is not None and found.seen == self.rev:
             return found
         if found is None:
-            found = self.shelves[image] = Shelf(image)
-            if len(self.shelves) > SHELVES_MOST:
-                self.shelves.popitem(last=False)
-        self.shelves.move_to_end(image)
+            found = self.sorted_by_image[image] = SortedRooms(image)
+            if len(self.sorted_by_image) > MAX_SORTED_VIEWS:
+                self.sorted_by_image.popitem(last=False)
+        self.sorted_by_image.move_to_end(image)
         for machine in self.changed(found.seen):
             room = self.rooms.get(machine)
             if room is not None and room.open and (not image or image in room.images):
-                found.put(room)
+                found.update(room)
             else:
-                found.drop(machine)
+                found.discard(machine)
         found.seen = self.rev
         return found
 
-    def count(self) -> Totals:
-        """The totals, and who holds work of which standing, as the rooms are now."""
+    def count(self) -> PoolTotals:
+        """Update the totals and `by_standing` to the rooms as they are now; return the totals."""
         for machine in self.changed(self.counted_rev):
             room = self.rooms.get(machine)
-            row, ranks = (False, 0.0, 0.0, 0.0), frozenset[int]()
+            counts, ranks = NO_COUNTS, NO_RANKS
             if room is not None:
                 ranks = frozenset(rank for (rank, _), use in room.used.items() if any(use))
-                row = (room.open, room.cpus, room.lasting if room.open else 0.0, room.filled)
-            known, had = self.counted.pop(machine, ((False, 0.0, 0.0, 0.0), frozenset[int]()))
-            self.totals.add(known, -1)
-            self.totals.add(row, 1)
-            for rank in had - ranks:
-                self.holders[rank].pop(machine, None)
-            for rank in ranks - had:
-                self.holders.setdefault(rank, {})[machine] = None
+                counts = (room.open, room.cpus, room.lasting if room.open else 0.0, room.filled)
+            known_counts, known_ranks = self.counted.pop(machine, (NO_COUNTS, NO_RANKS))
+            self.totals.add(known_counts, -1)
+            self.totals.add(counts, 1)
+            for rank in known_ranks - ranks:
+                self.by_standing[rank].pop(machine, None)
+            for rank in ranks - known_ranks:
+                self.by_standing.setdefault(rank, {})[machine] = None
             if room is not None:
-                self.counted[machine] = (row, ranks)
+                self.counted[machine] = (counts, ranks)
         self.counted_rev = self.rev
         return self.totals
 
 
-class Index:
-    """All rooms, for whichever question is asked of them.
+# Whether the pool is expensive for a job, whether it is a spot pool to be avoided, the pool.
+RankedPool = tuple[bool, bool, Pool]
+
 
-    `salt` differs by controller, so that equal machines are taken in another order by each
-    of them and equal cached states don't herd onto one machine.
+class Index:
+    """All rooms, by what placement and preemption ask of them.
+
+    Attributes:
+        salt: Differs by controller, so that each takes equal machines in another order:
+            else all that have the same cached state would choose the same machine.
+        rooms: The rooms by machine.
+        pools: The pools by type, zone and whether they are of spot machines.
+        rev: Counts the changes of all rooms.
+        held: The jobs for which preemption has made room, and on how many machines.
+        unplaceable: Questions without an answer, and the revision up to which that is known.
+        policy: The policy under which they have none.
+        before_trial: While a trial runs, the rooms that it changed, each with a copy from
+            before (None: it wasn't there).
     """
 
     def __init__(self, salt: str = "", rooms: Iterable[Room] = ()) -> None:
@@ -177,29 +209,27 @@
         self.pools: dict[tuple[str, str, bool], Pool] = {}
         self._allowed: dict[tuple[object, ...], list[Pool]] = {}
         self.rev = 0
-        self.held: Counter[str] = Counter()  # jobs that room is kept for
-        # Questions that had no answer, and the revision up to which that is known.
-        self.nowhere: dict[tuple[object, ...], int] = {}
-        self.policy: object = None  # under which that was found
-        # Before a trial's changes: the room and a copy of what it was; None: it was not there.
-        self.saved: dict[str, tuple[Room, Room] | None] | None = None
+        self.held: Counter[str] = Counter()
+        self.unplaceable: dict[tuple[object, ...], int] = {}
+        self.policy: object = None
+        self.before_trial: dict[str, tuple[Room, Room] | None] | None = None
         for room in rooms:
             self.add(room)
 
     # -- changes ---------------------------------------------------------
 
     def add(self, room: Room) -> None:
-        """A machine's room, new or as it is known now."""
+        """Enter a machine's room, new or as it is known now."""
         self.remove(room.machine)
         key = (room.type, room.zone, room.spot)
         pool = self.pools.get(key)
         if pool is None:
             pool = self.pools[key] = Pool(*key)
             self._allowed.clear()
-        elif len(pool.changes) > 2 * len(pool.rooms) + FORGET_LEAST:
+        elif len(pool.changes) > 2 * len(pool.rooms) + MAX_REMOVED_MACHINES:
             self._forget(pool)
-        room.herd = crc32(f"{self.salt}{room.machine}".encode()) / 2**32
-        room.lot = crc32(room.machine.encode()) / 2**32
+        room.tie_breaker = crc32(f"{self.salt}{room.machine}".encode()) / 2**32
+        room.name_hash = crc32(room.machine.encode()) / 2**32
         room.index = self
         self.rooms[room.machine] = pool.rooms[room.machine] = room
         if room.hold:
@@ -207,6 +237,7 @@
         self.touch(room)
 
     def remove(self, machine: str) -> None:
+        """Take a machine's room out, if it is there."""
         room = self.rooms.get(machine)
         if room is None:
             return
@@ -220,32 +251,43 @@
                 del self.held[room.hold]
 
     def touch(self, room: Room) -> None:
-        """The room is about to change, or has just been put in."""
-        if self.saved is not None and room.machine not in self.saved:
-            self.saved[room.machine] = room, room.copy()
+        """Note that the room is about to change, or has just been entered."""
+        if self.before_trial is not None and room.machine not in self.before_trial:
+            self.before_trial[room.machine] = room, room.copy()
         self.rev += 1
         pool = self.pools[room.type, room.zone, room.spot]
-        room.row = None
+        room.sort_key = None
         pool.rev = pool.changes[room.machine] = self.rev
         pool.changes.move_to_end(room.machine)
 
     def _forget(self, pool: Pool) -> None:
-        """Machines that are long gone leave the list of changes once every shelf, and the
-        totals, have caught up with them. Only between changes: what is caught up with
-        before a change is carried out would be missed."""
-        for shelf in list(pool.shelves):
-            pool.shelf(shelf)
+        """Drop removed machines from the list of changes, once all views have caught up.
+
+        Only between changes: a view that catches up after a change is noted and before it
+        is carried out would miss it.
+        """
+        for image in list(pool.sorted_by_image):
+            pool.sorted_rooms(image)
         pool.count()
-        for machine in [n for n in pool.changes if n not in pool.rooms]:
+        for machine in [name for name in pool.changes if name not in pool.rooms]:
             del pool.changes[machine]
 
     @contextmanager
     def trial(self, without: Iterable[str] = (), extra: Iterable[Room] = ()) -> Iterator[None]:
-        """What would be: rooms charged, taken out or put in meanwhile are as they were
-        afterwards. One at a time, and nothing else may run in between."""
-        if self.saved is not None:
+        """Try changes out: when the context ends, all rooms are as they were before it.
+
+        Nothing else may use the index meanwhile.
+
+        Args:
+            without: Machines to take out first.
+            extra: Rooms to enter first, of machines that aren't there.
+
+        Raises:
+            RuntimeError: A trial is under way already.
+        """
+        if self.before_trial is not None:
             raise RuntimeError("a trial is under way")
-        before = self.saved = {}
+        before = self.before_trial = {}
         try:
             for machine in list(without):
                 self.remove(machine)
@@ -255,17 +297,20 @@
                     self.add(room)
             yield
         finally:
-            self.saved = None
+            self.before_trial = None
             for machine, known in before.items():
-                if known is not None and self.rooms.get(machine) is known[0]:
-                    self.touch(known[0])
-                    known[0].restore(known[1])
+                if known is None:
+                    self.remove(machine)
                     continue
-                self.remove(machine)
-                if known is not None:
-                    # The same object: others hold on to it.
-                    known[0].restore(known[1])
-                    self.add(known[0])
+                # The same object is restored, since others refer to it.
+                room, copy = known
+                if self.rooms.get(machine) is room:
+                    self.touch(room)
+                    room.restore(copy)
+                else:
+                    self.remove(machine)
+                    room.restore(copy)
+                    self.add(room)
 
     # -- questions -------------------------------------------------------
 
@@ -274,25 +319,25 @@
         key = (job.types and tuple(job.types), job.zone, job.spot)
         found = self._allowed.get(key)
         if found is None:
-            if len(self._allowed) >= MEMO_MOST:
+            if len(self._allowed) >= MAX_CACHED_QUESTIONS:
                 self._allowed.clear()
-            found = self._allowed[key] = [p for p in self.pools.values() if allows(job, p)]
+            found = self._allowed[key] = [pool for pool in self.pools.values() if allows(job, pool)]
         return found
 
-    def cleared(self, policy: object) -> dict[tuple[object, ...], int]:
-        """Which questions have no answer under the policy, up to which revision."""
-        if policy is not self.policy or len(self.nowhere) > MEMO_MOST:
+    def unplaceable_under(self, policy: object) -> dict[tuple[object, ...], int]:
+        """The questions without an answer under the policy, with the revision that it is as of."""
+        if policy is not self.policy or len(self.unplaceable) > MAX_CACHED_QUESTIONS:
             self.policy = policy
-            self.nowhere.clear()
-        return self.nowhere
+            self.unplaceable.clear()
+        return self.unplaceable
 
     def news(self, job: Job, since: int) -> Iterator[Room]:
-        """Rooms that the job may use and that have changed since."""
+        """Rooms of pools that the job's conditions allow, if changed since the revision."""
         return self.changed(self.allowed(job), since)
 
     @staticmethod
     def changed(pools: Iterable[Pool], since: int) -> Iterator[Room]:
-        """Rooms of the pools that have changed since."""
+        """Rooms of the pools that have changed since the revision."""
         for pool in pools:
             if pool.rev > since:
                 for machine in pool.changed(since):
@@ -301,63 +346,67 @@
                         yield room
 
     def in_order(
-        self, job: Job, pools: Iterable[tuple[bool, bool, Pool]], uncached: frozenset[str] | None
+        self, job: Job, pools: Iterable[RankedPool], uncached: frozenset[str] | None
     ) -> Iterator[Room]:
         """Rooms with the CPUs and GPUs for one task, the preferred first.
 
-        `pools` says of each whether it is dear, and whether it is a spot pool to be kept
-        off; `uncached` are the types that will do without the image (None: all). The order
-        is the one of `placement.place`; charging rooms meanwhile doesn't disturb it.
+        The order is the one of `placement.place`. Rooms may be charged meanwhile.
+
+        Args:
+            job: The job that wants room.
+            pools: The pools to look at, with what ranks them.
+            uncached: The types whose machines will do without the image; None: all.
         """
-        bands: dict[tuple[bool, bool], list[Pool]] = {}
-        for dear, risky, pool in pools:
-            bands.setdefault((dear, risky), []).append(pool)
-        for dear in (False, True):
-            for gpus in (True,) if job.gpus > 0 else (False, True):
-                for risky in (False, True):
-                    band = bands.get((dear, risky))
-                    if band:
-                        yield from self._band(job, gpus, band, uncached)
-
-    def _band(
-        self, job: Job, gpus: bool, band: list[Pool], uncached: frozenset[str] | None
+        ranked: dict[tuple[bool, bool], list[Pool]] = {}
+        for expensive, avoid, pool in pools:
+            ranked.setdefault((expensive, avoid), []).append(pool)
+        for expensive in (False, True):
+            for free_gpus in (True,) if job.gpus > 0 else (False, True):
+                for avoid in (False, True):
+                    equal = ranked.get((expensive, avoid))
+                    if equal:
+                        yield from self._in_order_of_image(job, free_gpus, equal, uncached)
+
+    def _in_order_of_image(
+        self, job: Job, free_gpus: bool, pools: list[Pool], uncached: frozenset[str] | None
     ) -> Iterator[Room]:
+        """Rooms of equally ranked pools: with the image cached first, and spot before others."""
         for cached in (True, False):
             for spot in (True, False):
-                shelves = [
-                    p.shelf(job.image if cached else "")
-                    for p in band
-                    if p.spot == spot and (cached or uncached is None or p.type in uncached)
+                views = [
+                    pool.sorted_rooms(job.image if cached else "")
+                    for pool in pools
+                    if pool.spot == spot and (cached or uncached is None or pool.type in uncached)
                 ]
-                if shelves:
-                    yield from self._merged(job, gpus, shelves, not cached)
+                if views:
+                    yield from self._merged(job, free_gpus, views, not cached)
 
     def _merged(
-        self, job: Job, gpus: bool, shelves: list[Shelf], skip_cached: bool
+        self, job: Job, free_gpus: bool, views: list[SortedRooms], skip_cached: bool
     ) -> Iterator[Room]:
-        """Rooms of several shelves: those with most replicas, then the fullest first."""
+        """Rooms of several sorted views: those with most replicas, then the fullest first."""
         need = (job.cpus + job.gpus - 3 * EPSILON,)
         levels: dict[float, list[SortedList]] = {}
-        for shelf in shelves:
-            for (has, lasting), rows in shelf.levels.items():
-                if has == gpus and rows[-1] >= need:
-                    levels.setdefault(lasting, []).append(rows)
+        for view in views:
+            for (has_free_gpus, minus_replicas), entries in view.levels.items():
+                if has_free_gpus == free_gpus and entries[-1] >= need:
+                    levels.setdefault(minus_replicas, []).append(entries)
         rooms = self.rooms
-        for lasting in sorted(levels):
-            runs = [rows.irange(need) for rows in levels[lasting]]
+        for minus_replicas in sorted(levels):
+            runs = [entries.irange(need) for entries in levels[minus_replicas]]
             for _, _, machine in runs[0] if len(runs) == 1 else merge(*runs):
                 room = rooms.get(machine)
                 if room is not None and not (skip_cached and job.image in room.images):
                     yield room
 
-    def lower(
+    def with_lower_rank(
         self, pools: Iterable[Pool], rank: int, without: Container[str] = ()
     ) -> Iterator[Room]:
-        """Rooms that hold work of a standing below the rank."""
+        """Rooms with work of a lower rank, as it counts for preemption."""
         for pool in pools:
             pool.count()
             seen: set[str] = set()
-            for standing, machines in pool.holders.items():
+            for standing, machines in pool.by_standing.items():
                 if standing < rank:
                     seen.update(machines)
             for machine in sorted(seen):
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -14,7 +14,7 @@
 def preference(job: Job, room: Room, salt: str, dear: bool, fragile: bool) -> Key:
     """Lower is better; the last is the salt, by which equal rooms differ."""
     left = round(room.cpus + room.gpus, 6)
-    herd = crc32(f"{salt}{room.machine}".encode()) / 2**32
+    tie_breaker = crc32(f"{salt}{room.machine}".encode()) / 2**32
     return (
         float(dear),
         float(job.gpus == 0 and room.gpus > 0),
@@ -23,7 +23,7 @@
         0.0 if room.spot else 1.0,
         -room.lasting,
         left,
-        herd,
+        tie_breaker,
     )
 
 
@@ -67,7 +67,7 @@
             len(chosen) < wanted
             and room.fits(job)
             and spread.allows(room.zone)
-            and not policy.kept(job, room)
+            and not policy.rejects(job, room)
         ):
             room.take(job)
             spread.add(room.zone)
@@ -96,16 +96,16 @@
             or room.hold not in ("", job.id)
             or not room.allows(job)
             or not spread.allows(room.zone)
-            or policy.kept(job, room)
+            or policy.rejects(job, room)
         ):
             continue
-        cost = room.after_preemption(job)
+        cost = room.preemption_cost(job)
         if cost is not None and (most is None or cost[0] <= most):
             offers.append((cost[0], fragile and room.spot, cost[1], room.machine, room))
     found: list[tuple[Room, int]] = []
     for rank, _, _, _, room in sorted(offers, key=lambda o: o[:4]):
         count = 0
-        for _ in range(min(wanted, room.preemptable(job, rank))):
+        for _ in range(min(wanted, room.capacity_after_preemption(job, rank))):
             if not spread.allows(room.zone):
                 break
             spread.add(room.zone)
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from clayport.model import Job, MachineType
-from clayport.scheduling.index import FORGET_LEAST, Index
+from clayport.scheduling.index import MAX_REMOVED_MACHINES, Index
 from clayport.scheduling.placement import Policy, Room, Spread, place, preempt
 
 from . import plain
@@ -185,7 +185,7 @@
     """Cloud machines come and go by the thousand; a change that fell into the tidying up was
     once missed, and machines that were gone were offered for preemption."""
     index, low, high = Index(), JOBS[1], JOBS[10]
-    for number in range(20 * FORGET_LEAST):
+    for number in range(20 * MAX_REMOVED_MACHINES):
         room = Room(f"i-{number}", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
         room.take(low, 4)
         index.add(room)
@@ -199,7 +199,9 @@
         }
         assert found == set(index.rooms)
     (pool,) = index.pools.values()
-    assert len(pool.changes) <= 4 * FORGET_LEAST and len(pool.shelf().where) == len(index.rooms)
+    assert len(pool.changes) <= 4 * MAX_REMOVED_MACHINES and len(pool.sorted_rooms().keys) == len(
+        index.rooms
+    )
 
 
 def test_nowhere_is_known_until_something_changes() -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -119,8 +119,8 @@
 
 
 def test_work_without_gpus_leaves_room_for_who_needs_them() -> None:
-    guest = make(2, cards=2.0, vcpus=14.0, loaners=False)
-    policy = Policy([guest], KINDS)
+    gpu_job = make(2, cards=2.0, vcpus=14.0, loaners=False)
+    policy = Policy([gpu_job], KINDS)
     normal, low = make(pieces=8), make(3, pieces=8, rank="best_effort")
     assert len(place(normal, 8, Index("", [room(kind=ACCEL)]), Spread(normal, ()), policy)) == 1
     # Lower ranks may fill it, since they make way; spot machines the guest can't use.
