--- a/clayport/scheduling/queueing/__init__.py
+++ b/clayport/scheduling/queueing/__init__.py
@@ -1,4 +1,4 @@
-"""Who is next: the line of waiting jobs, and the share that each class and team is sure of.
+"""The queue of waiting jobs, and the fair share of each class and team.
 
 Pure: no I/O, no clock. `queue` keeps the jobs that wait in order, at a cost that follows what
 happens to them and not how many they are; `shares` says which class or team has had so
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -1,10 +1,10 @@
 """The jobs that wait at a home, in the order in which they are to be looked at.
 
-A pass of the placer must not cost the more the more jobs wait: on a flooded fleet thousands
-do, and hardly any of them finds room. So nothing here walks all of them. What happens to a job
-is noted (`JobQueue.touch`), and the line catches up with it before the next look. Jobs that can
-use the same room are a group; in it each class and team has a lane, whose jobs stand in
-three bands (can be in time; has missed its start; will be late). The order in a band is
+A pass of the placer must not cost more with more waiting jobs: on a flooded fleet thousands
+wait, and hardly any of them finds room. So nothing here walks all of them. A change of a job is
+noted (`JobQueue.touch`), and the queue catches up with it before the next pass. Jobs that can
+use the same room are a group; in it each class and team has a subqueue, whose jobs are in
+bands (can be in time; has missed its start; will be late; backfill). The order in a band is
 by instants, which don't change as time passes; the bands change at instants that are known.
 """
 
@@ -24,14 +24,27 @@
 if TYPE_CHECKING:
     from clayport.jobs.managed_job import ManagedJob
 
-# Bands of a lane, the first to be looked at first; a late job's is LATE and a step more for
-# each further limit that it can't keep.
-IN_TIME, STARTS_LATE, LATE, STEP, FILLS = 0.0, 0.5, 1.0, 0.01, 2.0
+# The bands of a subqueue, the least first; a late job's is LATE and a LATE_STEP more for each
+# further limit that it can't keep.
+IN_TIME, STARTS_LATE, LATE, LATE_STEP, BACKFILL = 0.0, 0.5, 1.0, 0.01, 2.0
+
 Key = tuple[float, int, str]  # the instant by which it has to start, its record's revision, id
+Position = tuple[float, Key, float]  # the band, the place in it, until when it is in that band
 
 
 class QueueEntry(NamedTuple):
-    """Where a job stands in the line."""
+    """Where a job is in the queue.
+
+    Attributes:
+        managed: The job.
+        group_key: The key of its group.
+        group: The group.
+        subqueue: The subqueue of its class and team in the group.
+        band: Its band there.
+        key: Its place in the band.
+        until: When it changes the band.
+        pending: How many of its tasks wait.
+    """
 
     managed: ManagedJob
     group_key: tuple[Any, ...]
@@ -44,7 +57,11 @@
 
 
 class SubQueue:
-    """Jobs of a group that belong to one class and team."""
+    """Jobs of a group that belong to one class and team.
+
+    Attributes:
+        bands: The keys of the jobs in each band, sorted.
+    """
 
     __slots__ = ("bands", "job_class", "team")
 
@@ -53,32 +70,56 @@
         self.bands: dict[float, SortedList] = {}
 
     def __iter__(self) -> Iterator[str]:
-        """The ids of its jobs in order; those that leave meanwhile disturb nothing."""
+        """The ids of its jobs in order; jobs may leave meanwhile."""
         for band in sorted(self.bands):
-            rows = self.bands.get(band)
+            keys = self.bands.get(band)
             at = 0
-            while rows is not None and at < len(rows):
-                row = rows[at]
-                yield row[2]
-                if at < len(rows) and rows[at] is row:
+            while keys is not None and at < len(keys):
+                key = keys[at]
+                yield key[2]
+                if at < len(keys) and keys[at] is key:
                     at += 1
 
 
 class Group:
-    """Jobs that can use the same room: what one found none for, none does."""
+    """Jobs that can use the same room: where one of them finds none, none does.
+
+    Attributes:
+        subqueues: The jobs by class and team.
+        nap: Why the group need not be looked at now; kept by the placer.
+        fresh: Whether a job has come, or waits for more, since the last look.
+        example: One of the jobs.
+        size: How many jobs there are.
+    """
 
     __slots__ = ("example", "fresh", "nap", "size", "subqueues")
 
     def __init__(self, example: ManagedJob) -> None:
         self.subqueues: dict[tuple[str, str], SubQueue] = {}
-        self.nap: Any = None  # why it need not be looked at, as the placer keeps it
-        self.fresh = True  # somebody has come, or waits for more, since the last look
+        self.nap: Any = None
+        self.fresh = True
         self.example = example
         self.size = 0
 
 
 class JobQueue:
-    """Everything that waits here."""
+    """All waiting jobs of a home.
+
+    Args:
+        managed_jobs: Returns the home's jobs by id.
+        finish_limits: By class, the times in seconds within which jobs should be done.
+        wait_limits: By class, the time in seconds within which jobs should start.
+        shares: The accounts, which are told of each change.
+        deadline_times: By class, the multiples of a job's own deadline that are aimed at.
+
+    Attributes:
+        groups: The groups that have waiting jobs, by key.
+        entries: The waiting jobs by id.
+        in_flight: Jobs being placed, and how many of their tasks waited beside. One that
+            comes back with as many went well, and is nothing new for its group.
+        dirty: Jobs that have changed since the queue last caught up.
+        due: When jobs change their bands, or wait again after an error.
+    """
 
     def __init__(
         self,
@@ -90,33 +131,30 @@
     ) -> None:
         self.managed_jobs = managed_jobs
         self.finish_limits, self.wait_limits = finish_limits, wait_limits
-        # Of jobs with a deadline of their own, which multiples of it are aimed at.
         self.deadline_times = deadline_times or {}
         self.shares = shares
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """A new epoch: other homes, and all of them are told anew."""
+        """Forget everything, at the beginning of an epoch: live jobs are touched anew."""
         self.groups: dict[tuple[Any, ...], Group] = {}
         self.entries: dict[str, QueueEntry] = {}
-        # Being placed, and how many of its tasks wait beside: it comes back with as many
-        # where all has gone well, and then nothing is new for its group.
         self.in_flight: dict[str, tuple[ManagedJob, int]] = {}
         self.dirty: dict[str, None] = {}
-        self.due: list[tuple[float, str]] = []  # when a job changes its band, or waits again
+        self.due: list[tuple[float, str]] = []
         self.shares.clear(now)
 
     def touch(self, name: str) -> None:
-        """Something has happened to the job."""
+        """Note that the job has changed."""
         self.dirty[name] = None
 
     def sweep(self) -> None:
-        """Look at all of them anew: a safety net, to be used rarely."""
+        """Note all jobs as changed: a safety net, to be used rarely."""
         self.dirty.update(dict.fromkeys(self.entries))
         self.dirty.update(dict.fromkeys(self.managed_jobs()))
 
     def catch_up(self, now: float) -> None:
-        """Be in order for `now`."""
+        """Bring the queue up to date."""
         while self.due and self.due[0][0] <= now:
             self.dirty[heappop(self.due)[1]] = None
         if self.dirty:
@@ -126,10 +164,11 @@
                 self._place(name, managed_jobs.get(name), now)
 
     def _place(self, name: str, managed: ManagedJob | None, now: float) -> None:
+        """Put a job that has changed where it belongs now, or take it out."""
         known = self.entries.get(name)
         if managed is None or managed.ended or managed.blocked:
             self.in_flight.pop(name, None)
-            self._drop(name, known)
+            self._remove(name, known)
             self.shares.forget(name)
             return
         pending = managed.pending
@@ -141,13 +180,13 @@
                 name, managed.job, managed.assigned + len(managed.placing), pending, managed.since
             )
         if pending <= 0 or managed.starts or managed.placing:
-            self._drop(name, known)
+            self._remove(name, known)
             return
         if now < managed.not_before:
-            self._drop(name, known)
+            self._remove(name, known)
             heappush(self.due, (managed.not_before, name))
             return
-        band, key, until = self.standing(managed, now)
+        position = self.standing(managed, now)
         group_key = managed.group
         group = self.groups.get(group_key)
         if (
@@ -155,64 +194,79 @@
             and group is not None
             and known.group is group
             and known.managed is managed
-            and (known.band, known.key) == (band, key)
+            and (known.band, known.key) == position[:2]
         ):
             if pending > known.pending:
                 group.fresh = True
             if pending != known.pending:
                 self.entries[name] = known._replace(pending=pending)
             return
-        back = (known is not None and known.group is group and pending <= known.pending) or (
+        returned = (known is not None and known.group is group and pending <= known.pending) or (
             known is None and flown is not None and flown[0] is managed and pending <= flown[1]
         )
-        self._drop(name, known, group)
+        self._remove(name, known, group)
+        if group is not None and not returned:
+            group.fresh = True
+        self._enter(name, managed, group_key, group, position, pending)
+        until = position[2]
+        if until < math.inf and (known is None or known.until != until):
+            heappush(self.due, (until, name))
+
+    def _enter(
+        self,
+        name: str,
+        managed: ManagedJob,
+        group_key: tuple[Any, ...],
+        group: Group | None,
+        position: Position,
+        pending: int,
+    ) -> None:
+        """Enter a job that has no entry into its group (None: a new one)."""
+        job = managed.job
         if group is None:
             group = self.groups[group_key] = Group(managed)
-        elif not back:
-            group.fresh = True
-        which = (managed.job.job_class, managed.job.team)
-        subqueue = group.subqueues.get(which)
+        band, key, until = position
+        subqueue_key = (job.job_class, job.team)
+        subqueue = group.subqueues.get(subqueue_key)
         if subqueue is None:
-            subqueue = group.subqueues[which] = SubQueue(*which)
-        rows = subqueue.bands.get(band)
-        if rows is None:
-            rows = subqueue.bands[band] = SortedList()
-        rows.add(key)
+            subqueue = group.subqueues[subqueue_key] = SubQueue(*subqueue_key)
+        keys = subqueue.bands.get(band)
+        if keys is None:
+            keys = subqueue.bands[band] = SortedList()
+        keys.add(key)
         group.size += 1
         self.entries[name] = QueueEntry(
             managed, group_key, group, subqueue, band, key, until, pending
         )
-        if until < math.inf and (known is None or known.until != until):
-            heappush(self.due, (until, name))
 
-    def _drop(self, name: str, mark: QueueEntry | None, staying: Group | None = None) -> None:
-        """Take it out of its place; not with its group, where it only gets another there."""
-        if mark is None:
+    def _remove(self, name: str, entry: QueueEntry | None, staying: Group | None = None) -> None:
+        """Take an entry out, and its group if that is empty then and isn't `staying`."""
+        if entry is None:
             return
         del self.entries[name]
-        rows = mark.subqueue.bands[mark.band]
-        rows.remove(mark.key)
-        if not rows:
-            del mark.subqueue.bands[mark.band]
-            if not mark.subqueue.bands:
-                del mark.group.subqueues[mark.subqueue.job_class, mark.subqueue.team]
-        mark.group.size -= 1
-        if mark.group.size == 0 and mark.group is not staying:
-            del self.groups[mark.group_key]
-
-    def _size_s(self, managed: ManagedJob, most_s: float) -> float:
-        """How long what its class runs here takes for what the job still waits for.
-
-        A job is no use before its last task is done: where there is too much, a few wide ones
-        made many narrow ones late. So a wide one stands as if it had so much more time.
+        keys = entry.subqueue.bands[entry.band]
+        keys.remove(entry.key)
+        if not keys:
+            del entry.subqueue.bands[entry.band]
+            if not entry.subqueue.bands:
+                del entry.group.subqueues[entry.subqueue.job_class, entry.subqueue.team]
+        entry.group.size -= 1
+        if entry.group.size == 0 and entry.group is not staying:
+            del self.groups[entry.group_key]
+
+    def _run_s(self, managed: ManagedJob, max_s: float) -> float:
+        """How long the CPUs that its class has here take for the job's waiting tasks.
+
+        A job is of no use before its last task is done: on a flooded fleet a few large jobs
+        made many small ones late. So a large one is put back by this time, `max_s` at most.
         """
         job = managed.job
         account = self.shares.accounts.get(names_of(job)[0])
         running = max(job.cpus, account.running if account is not None else 0.0, 1e-3)
-        return min(max(0.0, most_s), managed.pending * job.cpus * job.estimate_s / running)
+        return min(max(0.0, max_s), managed.pending * job.cpus * job.estimate_s / running)
 
-    def standing(self, managed: ManagedJob, now: float) -> tuple[float, Key, float]:
-        """The job's band, its place in it, and until when it stays in that band.
+    def standing(self, managed: ManagedJob, now: float) -> Position:
+        """The job's position: its band, its place in it, and until when it stays in that band.
 
         What can still be in time comes before what can't, so that not all is late when
         there is too much; then what has the least time left, its size considered. Work that
@@ -223,7 +277,7 @@
         job = managed.job
         if job.backfill:
             # Nobody waits for it, and what runs at its rank can't make way for others.
-            return FILLS, (-math.inf, managed.live_rev, job.id), math.inf
+            return BACKFILL, (-math.inf, managed.live_rev, job.id), math.inf
         # Estimates are often wrong by half: taken as right, each job of a queue that is too long
         # was served just when it could no longer be in time. A deadline of its own is derived
         # from the estimate, and is as wrong as that.
@@ -236,7 +290,7 @@
             start_by = managed.since + limit - estimate_s
             if now <= start_by:
                 break
-            band = LATE if band == IN_TIME else band + STEP
+            band = LATE if band == IN_TIME else band + LATE_STEP
         until = start_by if now <= start_by else math.inf
         wait = self.wait_limits.get(job.job_class)
         if wait is not None and job.kind != SERVICE and band == IN_TIME:
@@ -246,6 +300,6 @@
                 band = STARTS_LATE
         if start_by == math.inf:
             return IN_TIME, (-math.inf, managed.live_rev, job.id), math.inf
-        start_by += self._size_s(managed, start_by - managed.since)
+        start_by += self._run_s(managed, start_by - managed.since)
         # The instant itself is still in time: what is due then is looked at just after it.
         return band, (start_by, managed.live_rev, job.id), math.nextafter(until, math.inf)
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -1,11 +1,11 @@
-"""The share of room that a waiting class, or team, is sure of.
+"""Fair shares: the part of the room that a class or team that waits too long is sure of.
 
 Rank says who goes first. Alone it starves whoever is last while something above is flooded.
 So each class (and each team) with work that has waited too long is owed a share of what
 all of them run, growing with how long it has waited: up to one part of as many as there
-are of them and one more, and never more than lets `ENOUGH` of what comes of its work be run;
-the rest stays with the order of ranks. Whoever holds less than it is owed goes before the
-others, and isn't stopped for them; nobody is stopped for it.
+are of them and one more, and never more than lets `MAX_SHARE_OF_NEED` of what arrives of its
+work be run; the rest stays with the order of ranks. Whoever holds less than it is owed goes
+before the others, and isn't stopped for them; nobody is stopped for it.
 
 The accounts are those of one home. Jobs are spread over homes by a hash of their ids, so
 each home has a fair sample, and needs nobody's word.
@@ -22,33 +22,42 @@
 
 from clayport.model import Job
 
-# A class begins to be owed a share when its oldest job has waited for this share of what
-# it can bear, and is owed all of it at the other.
-BEGIN, WHOLE = 0.3, 0.7
+# A class begins to be owed a share when its oldest job has waited for this part of what it
+# tolerates, and is owed all of it at the other.
+SHARE_BEGINS, SHARE_WHOLE = 0.3, 0.7
 # Work is protected up to so many times its share: else what it has just been given would be
 # stopped for others the moment that it has it.
-MARGIN = 1.25
-# The part of what comes of a class's work that its share has to run at most: somewhat more
+PROTECTION_MARGIN = 1.25
+# The part of what arrives of a class's work that its share has to run at most: somewhat more
 # than the half below which a class counts as not served.
-ENOUGH = 0.7
-# Over how many times what it can bear a class's work is counted, to say how much comes.
-SPAN = 2.0
+MAX_SHARE_OF_NEED = 0.7
+# Arrivals are counted over so many times the wait that a class tolerates.
+ARRIVAL_SPAN = 2.0
 
 Name = tuple[str, bool, str]  # "class" or "team", whether GPUs are used, which
 
 
 def names(gpus: bool, job_class: str, team: str) -> tuple[Name, Name]:
-    """The accounts that all jobs of a class and team count for."""
+    """The keys of the accounts that all jobs of a class and team count for."""
     return ("class", gpus, job_class), ("team", gpus, team)
 
 
 def names_of(job: Job) -> tuple[Name, Name]:
-    """The accounts that a job counts for."""
+    """The keys of the accounts that a job counts for."""
     return names(job.gpus > 0, job.job_class, job.team)
 
 
-class Row(NamedTuple):
-    """What one job counts for."""
+class JobUsage(NamedTuple):
+    """What one job adds to its accounts.
+
+    Attributes:
+        names: The keys of the accounts.
+        running: CPUs of its tasks that run.
+        waiting: CPUs of its tasks that wait.
+        backlog: CPU seconds of its tasks that wait.
+        age_key: Since when it waits, and its id; None: nothing of it waits.
+        standing: Its rank, as it counts for preemption.
+    """
 
     names: tuple[Name, Name]
     running: float
@@ -59,50 +68,93 @@
 
 
 class Account:
-    """What a class, or a team, runs here and waits for, in CPUs."""
-
-    __slots__ = ("ages", "backlog", "came", "comes", "jobs", "running", "standing", "waiting")
+    """What a class, or a team, runs here and waits for.
+
+    Attributes:
+        running: CPUs of tasks that run.
+        waiting: CPUs of tasks that wait.
+        backlog: CPU seconds of tasks that wait.
+        arrivals: The work that has arrived within the span: when, and its CPU seconds.
+        arrived: The CPU seconds of all of it.
+        ages: Of each waiting job since when it waits, and its id, sorted.
+        jobs: How many live jobs it has.
+        standing: The rank of its jobs, as it counts for preemption.
+    """
+
+    __slots__ = (
+        "ages",
+        "arrivals",
+        "arrived",
+        "backlog",
+        "jobs",
+        "running",
+        "standing",
+        "waiting",
+    )
 
     def __init__(self) -> None:
         self.running = self.waiting = 0.0
-        self.backlog = 0.0  # what waits, in CPU seconds
-        self.comes = 0.0  # CPU seconds that have come within the span
-        self.came: deque[tuple[float, float]] = deque()
-        self.ages: SortedList = SortedList()  # of waiting jobs: since when, id
+        self.backlog = 0.0
+        self.arrived = 0.0
+        self.arrivals: deque[tuple[float, float]] = deque()
+        self.ages: SortedList = SortedList()
         self.jobs = 0
-        self.standing = 0  # the rank of its jobs, as it counts for who may be stopped
+        self.standing = 0
 
 
 class Owed(NamedTuple):
-    """A name that is owed a share: how many CPUs it is, and how many are still missing."""
+    """The share of a class or team that waits too long.
+
+    Attributes:
+        floor: The share in CPUs.
+        missing: The CPUs of it that it doesn't run yet and has work for.
+        total: The CPUs that all classes (or teams) of its kind run.
+        standing: The rank of its jobs, as it counts for preemption.
+    """
 
     floor: float
     missing: float
     total: float
-    standing: int  # the rank of its jobs, as it counts for who may be stopped
+    standing: int
 
 
 class Shares:
-    """Accounts of everything but services."""
+    """The accounts of all classes and teams, for all jobs but services.
+
+    Args:
+        tolerated_wait_s: How long jobs of a class can wait, by class.
+        default_wait_s: The same for classes without an objective, and for teams.
+        without: Accounts that have no share: of teams with a guarantee, which is claimed in
+            another way.
+    """
 
     def __init__(
-        self, bears: Mapping[str, float], bears_else: float, without: Collection[Name] = ()
+        self,
+        tolerated_wait_s: Mapping[str, float],
+        default_wait_s: float,
+        without: Collection[Name] = (),
     ) -> None:
-        # How long jobs of a class can wait; where nothing is aimed at, the other.
-        self.bears, self.bears_else = bears, bears_else
-        # Who has no share: teams with a guarantee, which is claimed otherwise.
+        self.tolerated_wait_s, self.default_wait_s = tolerated_wait_s, default_wait_s
         self.without = frozenset(without)
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """Begin anew: of what came before only that is known which is still live."""
+        """Forget everything, at the beginning of an epoch: live jobs are noted anew."""
         self.began = now
-        self.rows: dict[str, Row] = {}
+        self.usage: dict[str, JobUsage] = {}
         self.accounts: dict[Name, Account] = {}
 
     def note(self, name: str, job: Job, running: int, pending: int, since: float) -> None:
-        """What a job runs and waits for now."""
-        row = Row(
+        """Note what a job runs and waits for now.
+
+        Args:
+            name: Its id.
+            job: The job.
+            running: How many of its tasks run.
+            pending: How many of its tasks wait.
+            since: When it was submitted, in this process's time.
+        """
+        usage = JobUsage(
             names_of(job),
             running * job.cpus,
             pending * job.cpus,
@@ -110,76 +162,86 @@
             (since, name) if pending > 0 else None,
             job.standing,
         )
-        known = self.rows.get(name)
-        if known == row:
+        known = self.usage.get(name)
+        if known == usage:
             return
         if known is not None:
-            self._take(known)
-        self.rows[name] = row
-        for which in row.names:
+            self._subtract(known)
+        self.usage[name] = usage
+        for which in usage.names:
             account = self.accounts.get(which)
             if account is None:
                 account = self.accounts[which] = Account()
-            account.running += row.running
-            account.waiting += row.waiting
-            account.backlog += row.backlog
+            account.running += usage.running
+            account.waiting += usage.waiting
+            account.backlog += usage.backlog
             account.jobs += 1
-            account.standing = row.standing
-            if row.age_key is not None:
-                account.ages.add(row.age_key)
+            account.standing = usage.standing
+            if usage.age_key is not None:
+                account.ages.add(usage.age_key)
             if known is None:
                 work = job.tasks * job.cpus * max(1.0, job.estimate_s)
-                account.came.append((since, work))
-                account.comes += work
+                account.arrivals.append((since, work))
+                account.arrived += work
 
     def forget(self, name: str) -> None:
         """Remove a job, by its id, from the accounts of its class and team."""
-        row = self.rows.pop(name, None)
-        if row is not None:
-            self._take(row)
+        usage = self.usage.pop(name, None)
+        if usage is not None:
+            self._subtract(usage)
 
-    def _take(self, row: Row) -> None:
-        for which in row.names:
+    def _subtract(self, usage: JobUsage) -> None:
+        for which in usage.names:
             account = self.accounts[which]
-            account.running -= row.running
-            account.waiting -= row.waiting
-            account.backlog -= row.backlog
+            account.running -= usage.running
+            account.waiting -= usage.waiting
+            account.backlog -= usage.backlog
             account.jobs -= 1
-            if row.age_key is not None:
-                account.ages.remove(row.age_key)
-            if account.jobs == 0 and not account.came:
+            if usage.age_key is not None:
+                account.ages.remove(usage.age_key)
+            if account.jobs == 0 and not account.arrivals:
                 del self.accounts[which]
 
-    def _bears(self, which: Name) -> float:
-        return self.bears.get(which[2], self.bears_else) if which[0] == "class" else self.bears_else
+    def _tolerated_wait_s(self, which: Name) -> float:
+        if which[0] == "class":
+            return self.tolerated_wait_s.get(which[2], self.default_wait_s)
+        return self.default_wait_s
 
-    def neglect(self, which: Name, now: float) -> float:
-        """0 to 1: how far the oldest of its jobs has used up what it can bear to wait."""
+    def starvation(self, which: Name, now: float) -> float:
+        """How near the oldest waiting job is to the wait that is tolerated, 0 to 1."""
         account = self.accounts[which]
         if not account.ages:
             return 0.0
         since: float
         name: str
         since, name = account.ages[0]
-        row = self.rows[name]
-        used = (now - since) / max(self._bears(row.names[0]), 1e-3)
-        return min(1.0, max(0.0, (used - BEGIN) / (WHOLE - BEGIN)))
+        usage = self.usage[name]
+        waited = (now - since) / max(self._tolerated_wait_s(usage.names[0]), 1e-3)
+        return min(1.0, max(0.0, (waited - SHARE_BEGINS) / (SHARE_WHOLE - SHARE_BEGINS)))
 
     def needs(self, which: Name, now: float) -> float:
-        """The CPUs that would run all that comes of it, as seen of late, and what waits
-        within the time that it can bear."""
+        """The CPUs that would run all its work.
+
+        That is what arrives, as counted over the span, or what waits, within the wait that is
+        tolerated, whichever needs more.
+        """
         account = self.accounts[which]
-        span = SPAN * self._bears(which)
-        while account.came and now - account.came[0][0] > span:
-            account.comes -= account.came.popleft()[1]
-        if not account.came:
-            account.comes = 0.0
-        since = min(span, max(now - self.began, span * BEGIN))
-        return max(account.comes / since, account.backlog / max(self._bears(which), 1e-3))
+        span = ARRIVAL_SPAN * self._tolerated_wait_s(which)
+        while account.arrivals and now - account.arrivals[0][0] > span:
+            account.arrived -= account.arrivals.popleft()[1]
+        if not account.arrivals:
+            account.arrived = 0.0
+        since = min(span, max(now - self.began, span * SHARE_BEGINS))
+        return max(
+            account.arrived / since, account.backlog / max(self._tolerated_wait_s(which), 1e-3)
+        )
 
     def owed(self, now: float) -> dict[Name, Owed]:
-        """Who is owed a share, and what of it is missing (0: nothing, but not to be taken
-        away either)."""
+        """Who is owed a share now.
+
+        Accounts whose share isn't missing anything are listed too: what they run isn't to be
+        taken away.
+        """
         totals: dict[tuple[str, bool], tuple[float, int]] = {}
         for (kind, gpus, _), account in self.accounts.items():
             if account.jobs:
@@ -189,12 +251,14 @@
         for which, account in list(self.accounts.items()):
             total, count = totals.get((which[0], which[1]), (0.0, 0))
             needs = self.needs(which, now)
-            if account.jobs == 0 and not account.came:
+            if account.jobs == 0 and not account.arrivals:
                 del self.accounts[which]
             if count < 2 or not account.ages or which in self.without:
                 continue
-            floor = self.neglect(which, now) * min(total / (count + 1), ENOUGH * needs)
-            if floor > 0 and account.running < MARGIN * floor:
+            floor = self.starvation(which, now) * min(
+                total / (count + 1), MAX_SHARE_OF_NEED * needs
+            )
+            if floor > 0 and account.running < PROTECTION_MARGIN * floor:
                 found[which] = Owed(
                     floor,
                     max(0.0, min(floor - account.running, account.waiting)),
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -14,7 +14,7 @@
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import Kept, Policy, Room, Spread, place
 from clayport.scheduling.queueing import JobQueue, Shares
-from clayport.scheduling.queueing.queue import IN_TIME, LATE, STARTS_LATE, STEP
+from clayport.scheduling.queueing.queue import IN_TIME, LATE, LATE_STEP, STARTS_LATE
 
 from .test_dispatch import Home
 from .world import job as wire_job
@@ -61,12 +61,12 @@
         ({}, 0.0, False, IN_TIME),
         ({}, 78.0, False, IN_TIME),
         ({}, 78.1, False, LATE),
-        ({}, 138.1, False, LATE + STEP),
+        ({}, 138.1, False, LATE + LATE_STEP),
         ({"due_s": 30.0}, 22.0, False, IN_TIME),
         ({"due_s": 30.0}, 22.1, False, LATE),
         ({"due_s": 30.0}, 900.0, False, LATE),
         ({"due_s": 30.0, "jobclass": "due"}, 52.0, False, LATE),
-        ({"due_s": 30.0, "jobclass": "due"}, 52.1, False, LATE + STEP),
+        ({"due_s": 30.0, "jobclass": "due"}, 52.1, False, LATE + LATE_STEP),
         ({"jobclass": "web"}, 19.9, False, IN_TIME),
         ({"jobclass": "web"}, 20.1, False, STARTS_LATE),
         ({"jobclass": "web"}, 5.0, True, IN_TIME),
@@ -291,7 +291,7 @@
     for number in range(50):
         shares.forget(f"j{number}")
     shares.owed(1e6)  # long after: what came of them no longer counts
-    assert shares.accounts == {} and shares.rows == {}
+    assert shares.accounts == {} and shares.usage == {}
 
 
 @pytest.mark.parametrize(
@@ -314,7 +314,7 @@
     """A fleet that runs nothing but a flood of a higher rank, and more of it waits."""
     home = Home(monkeypatch)
     home.c.finish_limits["low"] = 60.0
-    home.c.placer.queue.shares.bears = {"low": 30.0}
+    home.c.placer.queue.shares.tolerated_wait_s = {"low": 30.0}
     home.c.aimed.add("low")
     flood = home.wait(made(1, pieces=400, due_s=1000.0, guess_s=50.0))
     flood.load({})
@@ -364,7 +364,7 @@
     low.since -= 25.0
     home.look()
     assert not home.c.owner.machines["m0"].kills
-    home.c.placer.queue.shares.bears = {"low": 1e9}  # nobody is owed anything
+    home.c.placer.queue.shares.tolerated_wait_s = {"low": 1e9}  # nobody is owed anything
     home.now += home.c.ttl_s
     home.look()
     assert home.c.owner.machines["m0"].kills
