--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -18,7 +18,7 @@
 from sortedcontainers import SortedList
 
 from clayport.model import ARRAY, SERVICE
-from clayport.scaling.provisioning import LINE
+from clayport.scaling.demand import LINE
 from clayport.scheduling.queueing.shares import Shares, names_of
 
 if TYPE_CHECKING:
