--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -1,4 +1,7 @@
-"""Which machines to rent for what waits. Pure: no I/O, no clock."""
+"""Which machines to rent for what waits. Pure: no I/O, no clock.
+
+Names imported under their own names are for modules that still import them from here.
+"""
 
 from __future__ import annotations
 
@@ -6,53 +9,27 @@
 from typing import NamedTuple
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.arrivals import Arrivals, spare_room
-from clayport.scaling.boot_times import (
-    GIVE_UP,
-    LATE,
-    BootingMachine,
-    BootTimes,
-    Kind,
-    ready_s,
-)
-from clayport.scaling.demand import (
-    LINE,
-    Demand,
-    ample,
-    remaining,
-    short,
-    slack,
-    urgent_demand,
-)
+from clayport.scaling.arrivals import Arrivals as Arrivals
+from clayport.scaling.arrivals import spare_room as spare_room
+from clayport.scaling.boot_times import GIVE_UP as GIVE_UP
+from clayport.scaling.boot_times import LATE as LATE
+from clayport.scaling.boot_times import BootingMachine as BootingMachine
+from clayport.scaling.boot_times import BootTimes as BootTimes
+from clayport.scaling.boot_times import Kind as Kind
+from clayport.scaling.boot_times import ready_s as ready_s
+from clayport.scaling.demand import LINE as LINE
+from clayport.scaling.demand import Demand as Demand
+from clayport.scaling.demand import ample as ample
+from clayport.scaling.demand import remaining as remaining
+from clayport.scaling.demand import short as short
+from clayport.scaling.demand import slack as slack
+from clayport.scaling.demand import urgent_demand as urgent_demand
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import place
 from clayport.scheduling.policy import Policy
 from clayport.scheduling.room import Room, capacity
 from clayport.scheduling.spread import Spread
 
-# Names that other modules still import from here are listed with this module's own.
-__all__ = [
-    "GIVE_UP",
-    "LATE",
-    "LINE",
-    "RENT_MOST",
-    "Arrivals",
-    "BootTimes",
-    "BootingMachine",
-    "Demand",
-    "Kind",
-    "ample",
-    "empty_room",
-    "plan_rentals",
-    "price_of",
-    "ready_s",
-    "remaining",
-    "short",
-    "slack",
-    "spare_room",
-    "urgent_demand",
-]
-
 # The share of the busy CPUs by which work may be expected to grow.
 EXPECTED_GROWTH = 0.1
 # Machines that the cloud rents with one request, at most.
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -1,4 +1,7 @@
-"""Placing tasks by the cached state of free room. Pure: no I/O, no clock."""
+"""Placing tasks by the cached state of free room. Pure: no I/O, no clock.
+
+Names imported under their own names are for modules that still import them from here.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +10,14 @@
 from clayport.model import GANG, Job
 from clayport.scheduling.candidates import is_cacheable, usable_pools
 from clayport.scheduling.index import Index, RankedPool
-from clayport.scheduling.policy import OPEN, Kept, Policy
-from clayport.scheduling.preemption import preempt
-from clayport.scheduling.requirements import shape
-from clayport.scheduling.room import Room, capacity
-from clayport.scheduling.spread import Spread
-
-# Names that other modules still import from here are listed with this module's own.
-__all__ = [
-    "OPEN",
-    "Kept",
-    "Policy",
-    "Room",
-    "Spread",
-    "can_hold",
-    "capacity",
-    "place",
-    "preempt",
-    "shape",
-    "takes",
-]
+from clayport.scheduling.policy import OPEN as OPEN
+from clayport.scheduling.policy import Kept as Kept
+from clayport.scheduling.policy import Policy as Policy
+from clayport.scheduling.preemption import preempt as preempt
+from clayport.scheduling.requirements import shape as shape
+from clayport.scheduling.room import Room as Room
+from clayport.scheduling.room import capacity as capacity
+from clayport.scheduling.spread import Spread as Spread
 
 
 def place(
--- a/clayport/scheduling/queueing/__init__.py
+++ b/clayport/scheduling/queueing/__init__.py
@@ -5,7 +5,7 @@
 little that its turn comes before others of higher rank.
 """
 
-from clayport.scheduling.queueing.queue import Group, JobQueue, SubQueue
-from clayport.scheduling.queueing.shares import Shares
-
-__all__ = ["Group", "JobQueue", "Shares", "SubQueue"]
+from clayport.scheduling.queueing.queue import Group as Group
+from clayport.scheduling.queueing.queue import JobQueue as JobQueue
+from clayport.scheduling.queueing.queue import SubQueue as SubQueue
+from clayport.scheduling.queueing.shares import Shares as Shares
