--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -61,7 +61,7 @@
         if known is not None:
             if known == key:
                 return
-            self.discard(room.machine)
+            self.remove(room.machine)
         level, entry = key
         entries = self.levels.get(level)
         if entries is None:
@@ -69,15 +69,13 @@
         entries.add(entry)
         self.keys[room.machine] = key
 
-    def discard(self, machine: str) -> None:
-        """Take the machine out, if it is there."""
-        known = self.keys.pop(machine, None)
-        if known is not None:
-            level, entry = known
-            entries = self.levels[level]
-            entries.remove(entry)
-            if not entries:
-                del self.levels[level]
+    def remove(self, machine: str) -> None:
+        """Take out a machine that is there."""
+        level, entry = self.keys.pop(machine)
+        entries = self.levels[level]
+        entries.remove(entry)
+        if not entries:
+            del self.levels[level]
 
 
 # One machine's part of its pool's totals: whether it is open, CPUs that are free, that
@@ -153,12 +151,13 @@
             if len(self.sorted_by_image) > MAX_SORTED_VIEWS:
                 self.sorted_by_image.popitem(last=False)
         self.sorted_by_image.move_to_end(image)
+        rooms, known = self.rooms, found.keys
         for machine in self.changed(found.seen):
-            room = self.rooms.get(machine)
+            room = rooms.get(machine)
             if room is not None and room.open and (not image or image in room.images):
                 found.update(room)
-            else:
-                found.discard(machine)
+            elif machine in known:
+                found.remove(machine)
         found.seen = self.rev
         return found
 
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -193,24 +193,23 @@
 def _fill(
     job: Job, wanted: int, room: Room, spread: Spread, policy: Policy, kept: Kept | None
 ) -> int:
-    """Charge one room for as many tasks as it may take, and return how many these are."""
+    """Charge a room that a task fits for as many as it may take; return how many these are."""
     gpu_job = policy.protected_job(job, room)
     large = kept.against(job, room) if kept is not None else None
     # Where each task may change whether the next one is allowed, they go one by one.
     one_by_one = job.one_zone or job.spread or gpu_job is not None or large is not None
     placed = 0
     while (
-        placed < wanted
-        and room.fits(job)
-        and spread.allows(room.zone)
+        spread.allows(room.zone)
         and (gpu_job is None or room.fits_both_after_preemption(job, gpu_job))
         and (large is None or room.fits_both(job, large))
     ):
         count = 1 if one_by_one else min(wanted - placed, capacity(job, room))
         room.take(job, count)
-        for _ in range(count):
-            spread.add(room.zone)
+        spread.add(room.zone, count)
         placed += count
+        if placed == wanted or not room.fits(job):
+            break
     return placed
 
 
--- a/clayport/scheduling/spread.py
+++ b/clayport/scheduling/spread.py
@@ -31,12 +31,12 @@
         other.unknown, other.counts = self.unknown, dict(self.counts)
         return other
 
-    def add(self, zone: str | None) -> None:
-        """Count one more task in the zone (None: it isn't known)."""
+    def add(self, zone: str | None, count: int = 1) -> None:
+        """Count so many more tasks in the zone (None: it isn't known)."""
         if zone is None:
-            self.unknown += 1
+            self.unknown += count
         else:
-            self.counts[zone] = self.counts.get(zone, 0) + 1
+            self.counts[zone] = self.counts.get(zone, 0) + count
 
     def allows(self, zone: str) -> bool:
         """Whether one more task may be put into the zone."""
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, age, patient",
+    "fields, age, can_wait",
     [
         ({"jobclass": "unnamed"}, 0.0, True),  # nobody has set it an aim
         ({"jobclass": "unnamed"}, 900.0, True),
@@ -127,12 +127,12 @@
     ],
 )
 def test_who_can_wait_for_a_machine_that_is_not_dear(
-    monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, patient: bool
+    monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, can_wait: bool
 ) -> None:
     """Work without an aim was taken for late, and rented machines at 18 times the price."""
     home = Home(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert home.c.patient(home.c.with_objectives(job), age) == patient
+    assert home.c.patient(home.c.with_objectives(job), age) == can_wait
 
 
 def test_lower_ranks_give_way_before_a_dear_machine_is_filled(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -148,18 +148,18 @@
     assert {r.zone for r in place(job, 2, Index("", rooms), Spread(job, ()))} == {"north"}
 
 
-@pytest.mark.parametrize("fragile, first", [(False, "cheap"), (True, "plain")])
-def test_what_would_be_late_if_lost_keeps_off_spot_machines(fragile: bool, first: str) -> None:
+@pytest.mark.parametrize("avoid_spot, first", [(False, "cheap"), (True, "plain")])
+def test_what_would_be_late_if_lost_keeps_off_spot_machines(avoid_spot: bool, first: str) -> None:
     job = make(pieces=5)
     rooms = [room("cheap", spot=True, images=("img-1",)), room("plain")]
     chosen = [
-        r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, fragile)
+        r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, avoid_spot)
     ]
     assert len(chosen) == 5 and chosen[0] == first  # preferred, not required
     rooms = [room("cheap", spot=True), room("plain")]
     for each in rooms:
         each.take(make(2, rank="best_effort"), 4)
-    found = preempt(job, 1, Index("", rooms), Spread(job, ()), Policy([], KINDS), None, fragile)
+    found = preempt(job, 1, Index("", rooms), Spread(job, ()), Policy([], KINDS), None, avoid_spot)
     assert [r.machine for r, _ in found] == [first]
 
 
