--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -119,8 +119,8 @@
 
 
 def test_work_without_gpus_leaves_room_for_who_needs_them() -> None:
-    guest = make(2, cards=2.0, vcpus=14.0, loaners=False)
-    policy = Policy([guest], KINDS)
+    gpu_job = make(2, cards=2.0, vcpus=14.0, loaners=False)
+    policy = Policy([gpu_job], KINDS)
     normal, low = make(pieces=8), make(3, pieces=8, rank="best_effort")
     assert len(place(normal, 8, Index("", [room(kind=ACCEL)]), Spread(normal, ()), policy)) == 1
     # Lower ranks may fill it, since they make way; spot machines the guest can't use.
@@ -148,18 +148,18 @@
     assert {r.zone for r in place(job, 2, Index("", rooms), Spread(job, ()))} == {"north"}
 
 
-@pytest.mark.parametrize("fragile, first", [(False, "cheap"), (True, "plain")])
-def test_what_would_be_late_if_lost_keeps_off_spot_machines(fragile: bool, first: str) -> None:
+@pytest.mark.parametrize("avoid_spot, first", [(False, "cheap"), (True, "plain")])
+def test_what_would_be_late_if_lost_keeps_off_spot_machines(avoid_spot: bool, first: str) -> None:
     job = make(pieces=5)
     rooms = [room("cheap", spot=True, images=("img-1",)), room("plain")]
     chosen = [
-        r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, fragile)
+        r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, avoid_spot)
     ]
     assert len(chosen) == 5 and chosen[0] == first  # preferred, not required
     rooms = [room("cheap", spot=True), room("plain")]
     for each in rooms:
         each.take(make(2, rank="best_effort"), 4)
-    found = preempt(job, 1, Index("", rooms), Spread(job, ()), Policy([], KINDS), None, fragile)
+    found = preempt(job, 1, Index("", rooms), Spread(job, ()), Policy([], KINDS), None, avoid_spot)
     assert [r.machine for r, _ in found] == [first]
 
 
