--- a/clayport/scaling/boot_times.py
+++ b/clayport/scaling/boot_times.py
@@ -13,7 +13,7 @@
 
 # A machine that takes this many times its type's boot time is given up, and
 # one that takes this many times is no longer counted on.
-GIVE_UP, LATE = 4.0, 1.6
+GIVE_UP_FACTOR, LATE = 4.0, 1.6
 # Boots of a type that are remembered, and how many are needed to correct its boot time.
 MAX_BOOTS, MIN_BOOTS = 8, 3
 
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -39,12 +39,12 @@
     zones: tuple[str, ...] = ()
 
 
-def short(
+def unmet_demand(
     index: Index,
     demand: Iterable[Demand],
     policy: Policy,
-    patient: bool = False,
-    lodger: bool = False,
+    can_wait: bool = False,
+    avoid_idle_on_demand: bool = False,
 ) -> list[Demand]:
     """The demand that doesn't fit into the rooms, which are charged for what does.
 
@@ -67,8 +67,8 @@
             index,
             Spread(need.job, need.zones),
             policy,
-            patient,
-            lodger=lodger,
+            can_wait,
+            avoid_idle_on_demand=avoid_idle_on_demand,
             uncached=NO_TYPES,
         )
         if len(chosen) < need.tasks:
@@ -77,29 +77,29 @@
     return left
 
 
-def ample(
+def surely_fits(
     index: Index,
     demand: Iterable[Demand],
     policy: Policy,
     without: Iterable[str] = (),
-    patient: bool = False,
+    can_wait: bool = False,
 ) -> bool:
     """Whether all of the demand surely fits, without some of the machines.
 
-    On a fleet that shrinks it nearly always does, and trying it out (`short` in a trial)
+    On a fleet that shrinks it nearly always does, and trying it out (`unmet_demand` in a trial)
     for one machine after the other was most of what the renting controller computed.
     """
     counted = set(without)
     return all(
         need.tasks <= 0
         or can_hold(
-            need.job, need.tasks, index, Spread(need.job, need.zones), policy, patient, counted
+            need.job, need.tasks, index, Spread(need.job, need.zones), policy, can_wait, counted
         )
         for need in demand
     )
 
 
-def slack(
+def slack_s(
     job: Job,
     age_s: float,
     limits: dict[str, float],
@@ -119,7 +119,7 @@
     return -math.inf if limit is None else margin * limit - age_s - line_factor * job.estimate_s
 
 
-def remaining(job: Job, age_s: float, limits: dict[str, float]) -> float:
+def time_left_s(job: Job, age_s: float, limits: dict[str, float]) -> float:
     """Seconds that the job's tasks may still wait, if its estimate is right."""
     limit = job.deadline_s if job.deadline_s is not None else limits.get(job.job_class)
     return math.inf if limit is None else limit - age_s - job.estimate_s
@@ -191,7 +191,7 @@
         queue_s = line_factor * ahead / fleet_cpus if fleet_cpus > 0 else math.inf
         ahead += need.tasks * job.cpus * max(1.0, job.estimate_s)
         waves = plan_waves(need, limits, boot_s)
-        late = queue_s > slack(job, need.age_s, limits, line_factor, margin)
+        late = queue_s > slack_s(job, need.age_s, limits, line_factor, margin)
         if waves is None:
             if late:
                 found.append(need)
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -11,7 +11,7 @@
 from clayport.model import Job, MachineType, fits
 from clayport.scaling.arrivals import Arrivals as Arrivals
 from clayport.scaling.arrivals import spare_room as spare_room
-from clayport.scaling.boot_times import GIVE_UP as GIVE_UP
+from clayport.scaling.boot_times import GIVE_UP_FACTOR as GIVE_UP_FACTOR
 from clayport.scaling.boot_times import LATE as LATE
 from clayport.scaling.boot_times import BootingMachine as BootingMachine
 from clayport.scaling.boot_times import BootTimes as BootTimes
@@ -19,10 +19,10 @@
 from clayport.scaling.boot_times import ready_s as ready_s
 from clayport.scaling.demand import LINE as LINE
 from clayport.scaling.demand import Demand as Demand
-from clayport.scaling.demand import ample as ample
-from clayport.scaling.demand import remaining as remaining
-from clayport.scaling.demand import short as short
-from clayport.scaling.demand import slack as slack
+from clayport.scaling.demand import slack_s as slack_s
+from clayport.scaling.demand import surely_fits as surely_fits
+from clayport.scaling.demand import time_left_s as time_left_s
+from clayport.scaling.demand import unmet_demand as unmet_demand
 from clayport.scaling.demand import urgent_demand as urgent_demand
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import place
@@ -33,7 +33,7 @@
 # The share of the busy CPUs by which work may be expected to grow.
 EXPECTED_GROWTH = 0.1
 # Machines that the cloud rents with one request, at most.
-RENT_MOST = 50
+MAX_RENTED_AT_ONCE = 50
 
 
 def empty_room(kind: MachineType, name: str, zone: str, spot: bool) -> Room:
@@ -120,7 +120,7 @@
                 break
             _, most, zone, kind, spot = best
             which = (kind.name, zone, spot)
-            if counts.get(which, 0) >= RENT_MOST:
+            if counts.get(which, 0) >= MAX_RENTED_AT_ONCE:
                 # As many as are rented at once: the rest is planned in the next round, so
                 # that a flood costs no more than that.
                 break
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -20,20 +20,20 @@
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud, CloudError, NoCapacityError
 from clayport.scaling.provisioning import (
-    GIVE_UP,
+    GIVE_UP_FACTOR,
     LATE,
-    RENT_MOST,
+    MAX_RENTED_AT_ONCE,
     Arrivals,
     BootingMachine,
     BootTimes,
     Demand,
     Kind,
-    ample,
     empty_room,
     plan_rentals,
-    remaining,
-    short,
     spare_room,
+    surely_fits,
+    time_left_s,
+    unmet_demand,
     urgent_demand,
 )
 from clayport.scheduling.cached_state import CachedState
@@ -211,22 +211,22 @@
         """Machines to rent, from what would not fit into what is there or on its way."""
         boots = {t.name: t.boot_s for t in self.catalogue.types}
         booting = self._booting(types, now)
-        there = busy = lasting = 0.0
+        there = busy = replica_cpus = 0.0
         for pool in index.pools.values():
             kind = types.get(pool.type)
             totals = pool.count()
             if kind is not None:
                 there += totals.machines * kind.cpus
-                lasting += totals.lasting
+                replica_cpus += totals.replica_cpus
                 busy += len(pool.rooms) * kind.cpus - totals.free
-        cpus = there - lasting + sum(r.cpus for r in booting)
+        cpus = there - replica_cpus + sum(r.cpus for r in booting)
         boot_s = min(t.boot_s for t in observed)
         needs = urgent_demand(demand, self.objectives.finish_limits, cpus, boot_s=boot_s)
         moving = self._on_dear(index, policy)
         if (
             not needs
-            and ample(index, spare, policy, patient=True)
-            and ample(index, moving, policy, patient=True)
+            and surely_fits(index, spare, policy, can_wait=True)
+            and surely_fits(index, moving, policy, can_wait=True)
         ):
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
         kept: list[Demand] = []
@@ -234,11 +234,11 @@
             with index.trial(extra=booting):
                 # Room for replicas on dear machines has to be where it is cheap: else it
                 # would keep dear machines rented.
-                kept = short(index, moving, policy, True)
+                kept = unmet_demand(index, moving, policy, True)
         with index.trial(extra=booting):
-            missing = short(index, needs, policy)
+            missing = unmet_demand(index, needs, policy)
             # And so has room that is only kept.
-            kept = short(index, spare, policy, True) + kept
+            kept = unmet_demand(index, spare, policy, True) + kept
         if not missing and not kept:
             return self._fill(waiting, needs, spare, busy, booting, index, policy)
         late = {
@@ -248,7 +248,7 @@
         left = {
             n.job.id: -math.inf
             if n.job.without_objective or n.job.id not in late
-            else remaining(n.job, n.age_s, self.objectives.finish_limits)
+            else time_left_s(n.job, n.age_s, self.objectives.finish_limits)
             for n in demand
         }
         wanted = plan_rentals(observed, missing, set(self.refused), busy, policy, left, boots)
@@ -282,8 +282,8 @@
         if not any(n.job.backfill for n in waiting):
             return []
         with index.trial(extra=booting):
-            short(index, needs, policy)
-            short(index, spare, policy, True)
+            unmet_demand(index, needs, policy)
+            unmet_demand(index, spare, policy, True)
             return self._filling(waiting, busy, index, policy)
 
     def _filling(
@@ -306,12 +306,17 @@
                     continue
                 tasks = int(min(tasks, left[rank] / max(need.job.cpus, 0.1)))
                 left[rank] -= tasks * need.job.cpus
-            refused, lodger = set(self.refused), False
+            refused, avoid_idle_on_demand = set(self.refused), False
             if beside and need.age_s < placer.long_s:
                 if need.job.spot:
                     refused |= ordinary
-                lodger = True
-            missing = short(index, [need._replace(tasks=tasks)], policy, lodger=lodger)
+                avoid_idle_on_demand = True
+            missing = unmet_demand(
+                index,
+                [need._replace(tasks=tasks)],
+                policy,
+                avoid_idle_on_demand=avoid_idle_on_demand,
+            )
             wanted += plan_rentals(
                 self.catalogue.types, missing, refused, busy, policy, {need.job.id: -math.inf}
             )
@@ -323,9 +328,9 @@
         found = []
         for job in policy.services:
             cpus = sum(
-                r.lasting
+                r.replica_cpus
                 for p in index.pools.values()
-                if policy.dear(job, p)
+                if policy.expensive(job, p)
                 for r in p.rooms.values()
             )
             if cpus > 0:
@@ -403,7 +408,7 @@
         late = [
             b.name
             for b in self.boots.values()
-            if b.kind[0] in types and now - b.since > GIVE_UP * types[b.kind[0]].boot_s
+            if b.kind[0] in types and now - b.since > GIVE_UP_FACTOR * types[b.kind[0]].boot_s
         ]
         if late:
             log.info("event=never-up machines=%s", late)
@@ -428,11 +433,11 @@
             self.sequence += 1
             name = f"r-{self.membership.epoch.number}-{self.membership.label}-{self.sequence}"
             try:
-                got = await self.cloud.rent(name, *kind, min(count, RENT_MOST))
+                got = await self.cloud.rent(name, *kind, min(count, MAX_RENTED_AT_ONCE))
             except NoCapacityError:
                 got = []
             log.info("event=rented kind=%s wanted=%d got=%d", kind, count, len(got))
-            if len(got) < min(count, RENT_MOST):
+            if len(got) < min(count, MAX_RENTED_AT_ONCE):
                 self.refused[kind] = now + types[kind[0]].boot_s / 2
                 self.routines.signal("demand")
             for machine in got:
@@ -454,7 +459,7 @@
         # Cheap room that replicas on dear machines can still move to is kept.
         keep = sum(n.job.cpus * n.tasks for n in self._on_dear(index, policy))
         self.held = {n: until for n, until in self.held.items() if now < until}
-        hurried = [n for n in demand if not self.objectives.patient(n.job, n.age_s)]
+        hurried = [n for n in demand if not self.objectives.can_wait(n.job, n.age_s)]
         idle = [
             r
             for r in index.rooms.values()
@@ -475,7 +480,7 @@
         )
         for room in few:
             # A dear machine is not kept for what may come, or for what can wait.
-            cheap = not any(policy.dear(job, room) for job in policy.services)
+            cheap = not any(policy.expensive(job, room) for job in policy.services)
             if keep > 0 and room.open and cheap:
                 keep -= room.cpus
                 continue
@@ -502,10 +507,10 @@
     @staticmethod
     def _lost(index: Index, without: Sequence[str], needs: list[Demand], policy: Policy) -> int:
         """How many tasks of what is needed don't fit without the machines."""
-        if ample(index, needs, policy, without):
+        if surely_fits(index, needs, policy, without):
             return 0
         with index.trial(without):
-            return sum(n.tasks for n in short(index, needs, policy))
+            return sum(n.tasks for n in unmet_demand(index, needs, policy))
 
     @classmethod
     def _worse(
@@ -539,30 +544,31 @@
             kind = types.get(room.type)
             if kind is None or not room.open or room.tasks == 0:
                 continue
-            guests = room.type in policy.guests
-            if guests and room.gpus < kind.gpus:
+            gpu_jobs = room.type in policy.gpu_jobs
+            if gpu_jobs and room.gpus < kind.gpus:
                 continue  # its GPUs are in use
-            lasting = room.lasting
+            replica_cpus = room.replica_cpus
             if (
-                lasting <= 0
+                replica_cpus <= 0
                 or now - self.emptied.get(room.machine, -1e9)
                 < 2 * self.settings.cluster.workers.lease_s
             ):
                 continue  # empties by itself, or has just been tried
-            dear = any(policy.dear(job, room) for job in policy.services)
+            expensive = any(policy.expensive(job, room) for job in policy.services)
             # The dear ones first, then those with the fewest replicas to move.
-            offers.append((not (dear or guests), lasting, room.machine))
+            offers.append((not (expensive or gpu_jobs), replica_cpus, room.machine))
         # A look at all others for each: only the best few are looked at in a round.
-        total_lasting = sum(r.lasting for r in rooms.values())
-        for _, lasting, name in sorted(offers)[:TRIES]:
+        total_lasting = sum(r.replica_cpus for r in rooms.values())
+        for _, replica_cpus, name in sorted(offers)[:TRIES]:
             room, kind = rooms[name], types[rooms[name].type]
-            dear = any(policy.dear(job, room) for job in policy.services)
+            expensive = any(policy.expensive(job, room) for job in policy.services)
             waiting = [
                 n
                 for n in demand
-                if fits(n.job, kind) and not (dear and self.objectives.patient(n.job, n.age_s))
+                if fits(n.job, kind)
+                and not (expensive and self.objectives.can_wait(n.job, n.age_s))
             ]
-            if waiting and not dear:
+            if waiting and not expensive:
                 continue
             rest = [
                 r
@@ -570,7 +576,7 @@
                 if r.open and r.machine != room.machine and not (r.spot and not room.spot)
             ]
             free = sum(r.cpus for r in rest)
-            if dear:
+            if expensive:
                 # Its replicas are worth more than the progress of the lowest rank, which
                 # makes way for what waits as well. (Something always waits, and kept nine
                 # dear machines with replicas rented all day.)
@@ -583,8 +589,8 @@
                 free -= sum(n.tasks * n.job.cpus for n in waiting)
             # Enough stays free that the next job doesn't buy it back.
             if (
-                free < (2 * kind.cpus if dear else max(2 * kind.cpus, SLACK * total))
-                or not dear
+                free < (2 * kind.cpus if expensive else max(2 * kind.cpus, SLACK * total))
+                or not expensive
                 and self._worse(
                     self.cached_state.index(),
                     (name, *(r.machine for r in rooms.values() if r.spot and not room.spot)),
@@ -596,7 +602,7 @@
             self.emptied[name] = now
             if await self.routing.ask_owner(frames.EVACUATE, name, True):
                 # Each replica that moves is missed for about as long as a report takes.
-                share = lasting / max(lasting, total_lasting)
+                share = replica_cpus / max(replica_cpus, total_lasting)
                 self.emptying_at = (
                     now + max(2.0, share / MOVING) * self.settings.cluster.workers.report_s
                 )
--- a/clayport/scheduling/candidates.py
+++ b/clayport/scheduling/candidates.py
@@ -11,7 +11,7 @@
 
 
 def usable_pools(
-    job: Job, index: Index, spread: Spread, policy: Policy, patient: bool
+    job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool
 ) -> list[Pool]:
     """The pools that may hold a task of the job, by what is the same for all of a pool.
 
@@ -22,14 +22,14 @@
         policy: What keeps work off machines.
         patient: Whether the job keeps off expensive machines.
     """
-    able = policy.able(job)
+    fitting_types = policy.fitting_types(job)
     zones_matter = job.one_zone or job.spread
     return [
         pool
         for pool in index.allowed(job)
-        if (able is None or pool.type in able)
+        if (fitting_types is None or pool.type in fitting_types)
         and (not zones_matter or spread.allows(pool.zone))
-        and not (patient and policy.dear(job, pool))
+        and not (can_wait and policy.expensive(job, pool))
     ]
 
 
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -54,7 +54,7 @@
         key = room.sort_key
         if key is None:
             key = room.sort_key = (
-                (room.gpus > EPSILON, -room.lasting),
+                (room.gpus > EPSILON, -room.replica_cpus),
                 (round(room.cpus + room.gpus, 6), room.tie_breaker, room.machine),
             )
         known = self.keys.get(room.machine)
@@ -95,18 +95,18 @@
         filled: The CPUs that work without an objective holds on all machines.
     """
 
-    __slots__ = ("filled", "free", "lasting", "machines")
+    __slots__ = ("backfill_cpus", "free", "machines", "replica_cpus")
 
     def __init__(self) -> None:
         self.machines = 0
-        self.free = self.lasting = self.filled = 0.0
+        self.free = self.replica_cpus = self.backfill_cpus = 0.0
 
     def add(self, row: Counts, sign: int) -> None:
         """Add one machine's part (`sign` is 1) or take it away (-1)."""
         self.machines += sign * row[0]
         self.free += sign * row[1]
-        self.lasting += sign * row[2]
-        self.filled += sign * row[3]
+        self.replica_cpus += sign * row[2]
+        self.backfill_cpus += sign * row[3]
 
 
 class Pool:
@@ -168,7 +168,12 @@
             counts, ranks = NO_COUNTS, NO_RANKS
             if room is not None:
                 ranks = frozenset(rank for (rank, _), use in room.used.items() if any(use))
-                counts = (room.open, room.cpus, room.lasting if room.open else 0.0, room.filled)
+                counts = (
+                    room.open,
+                    room.cpus,
+                    room.replica_cpus if room.open else 0.0,
+                    room.backfill_cpus,
+                )
             known_counts, known_ranks = self.counted.pop(machine, (NO_COUNTS, NO_RANKS))
             self.totals.add(known_counts, -1)
             self.totals.add(counts, 1)
@@ -330,7 +335,7 @@
             self.unplaceable.clear()
         return self.unplaceable
 
-    def news(self, job: Job, since: int) -> Iterator[Room]:
+    def changed_rooms(self, job: Job, since: int) -> Iterator[Room]:
         """Rooms of pools that the job's conditions allow, if changed since the revision."""
         return self.changed(self.allowed(job), since)
 
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -10,8 +10,8 @@
 from clayport.model import GANG, Job
 from clayport.scheduling.candidates import is_cacheable, usable_pools
 from clayport.scheduling.index import Index, RankedPool
-from clayport.scheduling.policy import OPEN as OPEN
-from clayport.scheduling.policy import Kept as Kept
+from clayport.scheduling.policy import NO_POLICY as NO_POLICY
+from clayport.scheduling.policy import LargeTaskReserve as LargeTaskReserve
 from clayport.scheduling.policy import Policy as Policy
 from clayport.scheduling.preemption import preempt as preempt
 from clayport.scheduling.requirements import shape as shape
@@ -26,12 +26,12 @@
     index: Index,
     spread: Spread,
     policy: Policy | None = None,
-    patient: bool = False,
-    fragile: bool = False,
+    can_wait: bool = False,
+    avoid_spot: bool = False,
     without: Container[str] = (),
-    lodger: bool = False,
+    avoid_idle_on_demand: bool = False,
     uncached: frozenset[str] | None = None,
-    kept: Kept | None = None,
+    reserve: LargeTaskReserve | None = None,
 ) -> list[Room]:
     """Choose machines for tasks of a job, and charge the rooms and the spread for them.
 
@@ -58,7 +58,7 @@
     Returns:
         One entry for each task that found room, `wanted` at most.
     """
-    policy = policy or OPEN
+    policy = policy or NO_POLICY
     if wanted <= 0:
         return []
     # A question without an answer has none until a room that changes fits.
@@ -68,20 +68,21 @@
         job.one_zone,
         job.spread,
         wanted if job.kind == GANG else 0,
-        patient,
-        lodger,
+        can_wait,
+        avoid_idle_on_demand,
         uncached and (uncached, job.image),
-        kept and (kept.share, kept.job.id),
+        reserve and (reserve.share, reserve.job.id),
     )
     unplaceable = index.unplaceable_under(policy)
     since = unplaceable.get(question) if cacheable else None
     if since is not None and not any(
-        takes(job, room, policy, kept) and not (lodger and not room.spot and room.idle)
-        for room in index.news(job, since)
+        accepts(job, room, policy, reserve)
+        and not (avoid_idle_on_demand and not room.spot and room.idle)
+        for room in index.changed_rooms(job, since)
     ):
         unplaceable[question] = index.rev
         return []
-    pools = _ranked_pools(job, index, spread, policy, patient, fragile)
+    pools = _ranked_pools(job, index, spread, policy, can_wait, avoid_spot)
     if job.one_zone and not spread.counts and not spread.unknown:
         pools = _pools_of_best_zone(job, wanted, index, pools, without)
     chosen: list[Room] = []
@@ -89,10 +90,10 @@
         if (
             room.machine in without
             or not room.fits(job)
-            or (lodger and not room.spot and room.idle)
+            or (avoid_idle_on_demand and not room.spot and room.idle)
         ):
             continue
-        chosen += [room] * _fill(job, wanted - len(chosen), room, spread, policy, kept)
+        chosen += [room] * _fill(job, wanted - len(chosen), room, spread, policy, reserve)
         if len(chosen) == wanted:
             break
     if job.kind == GANG and len(chosen) < wanted:
@@ -103,7 +104,7 @@
     return chosen
 
 
-def takes(job: Job, room: Room, policy: Policy, kept: Kept | None) -> bool:
+def accepts(job: Job, room: Room, policy: Policy, reserve: LargeTaskReserve | None) -> bool:
     """Whether the room, as it is, may take a task of the job.
 
     The job that its GPUs are for, and the one that room is kept for, must still fit.
@@ -113,7 +114,7 @@
     gpu_job = policy.protected_job(job, room)
     if gpu_job is not None and not room.fits_both_after_preemption(job, gpu_job):
         return False
-    large = kept.against(job, room) if kept is not None else None
+    large = reserve.against(job, room) if reserve is not None else None
     return large is None or room.fits_both(job, large)
 
 
@@ -123,7 +124,7 @@
     index: Index,
     spread: Spread,
     policy: Policy,
-    patient: bool,
+    can_wait: bool,
     without: set[str],
 ) -> bool:
     """Whether the rooms surely hold so many tasks of the job.
@@ -134,9 +135,9 @@
     """
     if job.kind == GANG or job.one_zone:
         return False
-    pools = _ranked_pools(job, index, spread, policy, patient, False)
+    pools = _ranked_pools(job, index, spread, policy, can_wait, False)
     for room in index.in_order(job, pools, None):
-        if room.machine in without or not takes(job, room, policy, None):
+        if room.machine in without or not accepts(job, room, policy, None):
             continue
         gpu_job = policy.protected_job(job, room)
         without.add(room.machine)
@@ -151,12 +152,12 @@
 
 
 def _ranked_pools(
-    job: Job, index: Index, spread: Spread, policy: Policy, patient: bool, fragile: bool
+    job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool, avoid_spot: bool
 ) -> list[RankedPool]:
     """The pools that the job may use, with what ranks them among each other."""
     return [
-        (policy.dear(job, pool), fragile and pool.spot, pool)
-        for pool in usable_pools(job, index, spread, policy, patient)
+        (policy.expensive(job, pool), avoid_spot and pool.spot, pool)
+        for pool in usable_pools(job, index, spread, policy, can_wait)
     ]
 
 
@@ -191,11 +192,16 @@
 
 
 def _fill(
-    job: Job, wanted: int, room: Room, spread: Spread, policy: Policy, kept: Kept | None
+    job: Job,
+    wanted: int,
+    room: Room,
+    spread: Spread,
+    policy: Policy,
+    reserve: LargeTaskReserve | None,
 ) -> int:
     """Charge a room that a task fits for as many as it may take; return how many these are."""
     gpu_job = policy.protected_job(job, room)
-    large = kept.against(job, room) if kept is not None else None
+    large = reserve.against(job, room) if reserve is not None else None
     # Where each task may change whether the next one is allowed, they go one by one.
     one_by_one = job.one_zone or job.spread or gpu_job is not None or large is not None
     placed = 0
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -32,18 +32,18 @@
 from clayport.scheduling.index import Index
 from clayport.scheduling.objectives import Objectives
 from clayport.scheduling.placement import (
-    Kept,
+    LargeTaskReserve,
     Policy,
     Room,
     Spread,
+    accepts,
     capacity,
     place,
     preempt,
     shape,
-    takes,
 )
-from clayport.scheduling.queueing import Group, JobQueue, Shares
-from clayport.scheduling.queueing.shares import Name, Owed, names, names_of
+from clayport.scheduling.queueing import FairShares, Group, JobQueue
+from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
@@ -60,7 +60,7 @@
 # Demand told to peers: enough jobs to fill any fleet, and a bounded frame.
 MAX_DEMAND_ROWS = 500
 # Leases that work without any aim can wait before it is owed a share of room.
-BEARS = 40.0
+DEFAULT_WAIT_LEASES = 40.0
 # Of the machines, how many times the share that is still owed to somebody who found no room
 # is kept free of smaller work, in steps of one in so many.
 STARVING_SHARE, STARVING_SHARE_STEPS = 1.0, 8
@@ -85,13 +85,13 @@
         now: float,
         index: Index,
         policy: Policy,
-        owed: dict[Name, Owed],
-        kept: Kept | None,
-        given: dict[Name, float],
+        owed: dict[AccountKey, FairShare],
+        reserve: LargeTaskReserve | None,
+        given: dict[AccountKey, float],
     ) -> None:
         self.now, self.index, self.policy = now, index, policy
         # Who is owed a share of room, and what they have been given of late.
-        self.owed, self.kept = owed, kept
+        self.owed, self.reserve = owed, reserve
         self.given = given
         # What work without any aim, by its rank, may take beside work that can't make it stop:
         # only looked up once such work waits.
@@ -102,7 +102,7 @@
         self.work = 0  # jobs looked at and tasks placed
 
 
-class Nap(NamedTuple):
+class Postponement(NamedTuple):
     """Why a group of waiting jobs need not be looked at: it found no room at the index's
     revision `rev`, under the policy and with those machines kept for others. Before `least`
     what has come free since is left to be more."""
@@ -111,7 +111,7 @@
     least: float
     until: float
     policy: Policy
-    kept: Kept | None
+    reserve: LargeTaskReserve | None
 
 
 def job_queue(
@@ -129,7 +129,7 @@
         lease_s: A worker's lease, in seconds.
     """
     wait, finish = objectives.wait_limits, objectives.finish_limits
-    bears = {
+    tolerated_wait_s = {
         name: min(wait.get(name, math.inf), finish.get(name, math.inf) / 2)
         for name in {*wait, *finish}
     }
@@ -143,7 +143,7 @@
         managed,
         objectives.finish_all,
         wait,
-        Shares(bears, BEARS * lease_s, guaranteed),
+        FairShares(tolerated_wait_s, DEFAULT_WAIT_LEASES * lease_s, guaranteed),
         objectives.deadline_times,
     )
 
@@ -199,11 +199,11 @@
         self.known: Policy | None = None
         self.known_types: object = None
         self.known_until = -1e9
-        self.kept: Kept | None = None
-        self.missed: dict[Name, Job] = {}  # who is owed a share: a job that found no room
+        self.reserve: LargeTaskReserve | None = None
+        self.missed: dict[AccountKey, Job] = {}  # who is owed a share: a job that found no room
         self.swept_at = self.owed_until = -math.inf
-        self.owed: dict[Name, Owed] = {}
-        self.given: dict[Name, float] = {}  # CPUs begun for them since they were looked up
+        self.owed: dict[AccountKey, FairShare] = {}
+        self.given: dict[AccountKey, float] = {}  # CPUs begun for them since they were looked up
         # A job of each kind (with GPUs, without) and rank that work without any aim could
         # hinder, as last looked for.
         self.disturbers: dict[tuple[bool, int], str] = {}
@@ -221,7 +221,7 @@
         self.demands.clear()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
-        self.kept = None
+        self.reserve = None
         self.missed = {}
         self.looked_until = -math.inf
 
@@ -316,7 +316,7 @@
             self.cached_state.index(),
             self.policy(),
             self._owed_now(now),
-            self.kept,
+            self.reserve,
             self.given,
         )
         awake: list[Group] = []
@@ -340,21 +340,21 @@
                     if full.example.job.kind == ARRAY
                     else 0.0
                 )
-                full.nap = Nap(
+                full.postponement = Postponement(
                     rev,
                     now + gather_s,
                     now + self.membership.lease_ttl_s / 6,
                     look.policy,
-                    look.kept,
+                    look.reserve,
                 )
-                full.fresh = False
+                full.has_new_demand = False
         self._keep(look)
         if look.starved and not self.cached_state.starved:
             self.routines.signal("starved")
             self.routines.signal("demand")
         self.cached_state.starved = look.starved
 
-    def _owed_now(self, now: float) -> dict[Name, Owed]:
+    def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
         """Who is owed a share, looked up anew a few times between two reports."""
         if now >= self.owed_until:
             self.owed_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
@@ -366,29 +366,29 @@
         """Whether jobs of a group that found no room would find none now either: none has
         come or waits for more, nothing that has changed fits one of their tasks, and it is
         not yet time to see what else may be stopped, or who has become impatient."""
-        nap, job = group.nap, group.example.job
+        postponement, job = group.postponement, group.example.job
         if (
-            nap is None
-            or group.fresh
-            or look.now >= nap.until
-            or nap.policy is not look.policy
-            or nap.kept is not look.kept
+            postponement is None
+            or group.has_new_demand
+            or look.now >= postponement.until
+            or postponement.policy is not look.policy
+            or postponement.reserve is not look.reserve
         ):
-            group.nap = None
+            group.postponement = None
             return False
-        if gather and look.now < nap.least:
+        if gather and look.now < postponement.least:
             look.starved = look.starved or not job.backfill
             return True
-        kept = (
+        reserve = (
             None
             if job.kind == SERVICE
             or any(self._lacks(names(job.gpus > 0, *which), look) > 0 for which in group.subqueues)
-            else look.kept
+            else look.reserve
         )
-        for room in look.index.news(job, nap.rev):
+        for room in look.index.changed_rooms(job, postponement.rev):
             mark = self.queue.entries.get(room.hold) if room.hold else None
-            if mark is not None and mark.group is group or takes(job, room, look.policy, kept):
-                group.nap = None
+            if mark is not None and mark.group is group or accepts(job, room, look.policy, reserve):
+                group.postponement = None
                 return False
         look.starved = look.starved or not job.backfill
         return True
@@ -431,22 +431,22 @@
             for which, job in self.missed.items()
             if which in look.owed and look.owed[which].missing > 0
         }
-        kept: Kept | None = None
+        reserve: LargeTaskReserve | None = None
         for which, found in self.missed.items():
             owed = look.owed[which]
             if found.gpus == 0 and owed.total > 0:
                 share = min(1.0, STARVING_SHARE * owed.missing / owed.total)
                 steps = math.ceil(share * STARVING_SHARE_STEPS) / STARVING_SHARE_STEPS
-                if kept is None or steps > kept.share:
-                    kept = Kept(found, steps, look.policy.able(found))
+                if reserve is None or steps > reserve.share:
+                    reserve = LargeTaskReserve(found, steps, look.policy.fitting_types(found))
         # Whoever sleeps is woken when it changes: it stays as it is while it says the same.
         if (
-            kept is None
-            or self.kept is None
-            or kept.share != self.kept.share
-            or shape(kept.job) != shape(self.kept.job)
+            reserve is None
+            or self.reserve is None
+            or reserve.share != self.reserve.share
+            or shape(reserve.job) != shape(self.reserve.job)
         ):
-            self.kept = kept
+            self.reserve = reserve
 
     def _serve(self, managed: ManagedJob, look: Look) -> None:
         """Find room for one job, or have it made; what is found is to be started."""
@@ -466,12 +466,12 @@
             look.fill[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
             look.starved = look.starved or not job.backfill
-            for which in names_of(job):
+            for which in account_keys(job):
                 self.missed.setdefault(which, job)
             if job.id not in look.index.held and not managed.errors and not managed.lost_machines:
                 look.full.setdefault(managed.group, look.index.rev)
         else:
-            for which in names_of(job):
+            for which in account_keys(job):
                 self.missed.pop(which, None)
         look.work += len(chosen)
         if chosen:
@@ -488,7 +488,7 @@
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
-        lacks = self._lacks(names_of(job), look)
+        lacks = self._lacks(account_keys(job), look)
         if job.kind == ARRAY and lacks > 0 and job.cpus > 0:
             # It goes first for what is owed, and no further: the rest would be stopped again
             # for whoever it went before.
@@ -508,26 +508,29 @@
         )
         age = now - managed.waiting_since
         # Not on ordinary machines that it alone would keep rented.
-        lodger = job.backfill and age < self.long_s and self.hinders(job)
-        patient, fragile = self.objectives.patient(job, age), self.objectives.fragile(job, age)
+        avoid_idle_on_demand = job.backfill and age < self.long_s and self.hinders(job)
+        can_wait, avoid_spot = (
+            self.objectives.can_wait(job, age),
+            self.objectives.avoid_spot(job, age),
+        )
         spread = self.spread(managed)
         limit = self.objectives.wait_limits.get(job.job_class)
-        most = self._spared(job, self._stops(job, age, patient), look)
+        most = self._spared(job, self._stops(job, age, can_wait), look)
         find = partial(
             place,
             index=index,
             spread=spread,
             policy=policy,
-            fragile=fragile,
+            avoid_spot=avoid_spot,
             without=without,
-            lodger=lodger,
-            kept=None if job.kind == SERVICE or self._is_owed(job, look) else look.kept,
+            avoid_idle_on_demand=avoid_idle_on_demand,
+            reserve=None if job.kind == SERVICE or self._is_owed(job, look) else look.reserve,
         )
         make = partial(self._make_room, managed, spread=spread, look=look, without=without)
         chosen: list[Room] = []
         if managed.at_fault:
             # No room is made, and no guarantee claimed, for what will hardly use it.
-            chosen = find(job, wanted, patient=True)
+            chosen = find(job, wanted, can_wait=True)
             wanted = len(chosen)
         elif limit is not None and age < limit and job.kind != GANG:
             # Started in time only where the image is, or comes soon enough:
@@ -543,12 +546,12 @@
                     managed.preempted = True
                     wanted = len(chosen)
         if len(chosen) < wanted:
-            chosen += find(job, wanted - len(chosen), patient=patient or job.kind != GANG)
-        if len(chosen) < wanted and not patient and job.kind != GANG:
+            chosen += find(job, wanted - len(chosen), can_wait=can_wait or job.kind != GANG)
+        if len(chosen) < wanted and not can_wait and job.kind != GANG:
             # Dear machines only for what work of lower rank on others can't make
             # way for: they would be kept rented for what could run cheaply.
             if most >= 0 and now >= managed.next_preempt_at:
-                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, patient=True)
+                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, can_wait=True)
             coming = sum(n for n, until in managed.preempted_room.values() if now < until)
             chosen += find(job, max(0, wanted - len(chosen) - coming))
         if len(chosen) < wanted and now >= managed.next_preempt_at:
@@ -563,13 +566,13 @@
             and now >= max(managed.next_preempt_at, managed.next_claim_at)
             and self._guaranteed(job)
         ):
-            able = policy.able(job)
+            fitting_types = policy.fitting_types(job)
             machines = self._claimable(
                 job,
                 [
                     r
                     for p in index.allowed(job)
-                    if able is None or p.type in able
+                    if fitting_types is None or p.type in fitting_types
                     for r in p.rooms.values()
                     if r.machine not in without
                 ],
@@ -589,7 +592,7 @@
                 left, until = managed.preempted_room[room.machine]
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
         numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
-        for which in names_of(managed.job):
+        for which in account_keys(managed.job):
             look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
         for room in chosen[len(numbers) :]:
             room.take(managed.job, -1)  # the next transaction's
@@ -613,10 +616,10 @@
 
     def _is_owed(self, job: Job, look: Look) -> bool:
         """Whether its class or its team lacks some of what it is owed."""
-        return job.kind != SERVICE and self._lacks(names_of(job), look) > 0
+        return job.kind != SERVICE and self._lacks(account_keys(job), look) > 0
 
     @staticmethod
-    def _lacks(names: Iterable[Name], look: Look) -> float:
+    def _lacks(names: Iterable[AccountKey], look: Look) -> float:
         """The CPUs that the names still lack of what they are owed."""
         return max(
             (
@@ -635,13 +638,13 @@
         day while a third of the fleet was free. What is of the lowest rank makes way, and counts
         only against its own.)
         """
-        cpus = filled = 0.0
+        cpus = backfill_cpus = 0.0
         for pool in index.pools.values():
             kind = self.machines.types.get(pool.type)
             totals = pool.count()
             cpus += totals.machines * kind.cpus if kind is not None else 0.0
-            filled += totals.filled
-        return FILL * cpus - (filled if rank == RANKS["best_effort"] else 0.0)
+            backfill_cpus += totals.backfill_cpus
+        return FILL * cpus - (backfill_cpus if rank == RANKS["best_effort"] else 0.0)
 
     def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
         """Whether there is work with an aim, up to this rank, that a job without any could
@@ -728,7 +731,7 @@
         look: Look,
         grace_s: float,
         most: int,
-        patient: bool = False,
+        can_wait: bool = False,
         without: Collection[str] = (),
         uncached: frozenset[str] | None = None,
     ) -> bool:
@@ -751,8 +754,8 @@
             spread.copy(),
             look.policy,
             most,
-            self.objectives.fragile(job, now - managed.waiting_since),
-            patient,
+            self.objectives.avoid_spot(job, now - managed.waiting_since),
+            can_wait,
             {*without, *managed.preempted_room} if managed.preempted_room else without,
             uncached,
         )
@@ -770,7 +773,7 @@
             self.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
         return bool(found) or coming > 0
 
-    def _stops(self, job: Job, age_s: float, patient: bool) -> int:
+    def _stops(self, job: Job, age_s: float, can_wait: bool) -> int:
         """The highest rank that may be stopped for the job; -1: none.
 
         What has its rank from a job that needs it stops what its own would, and the lowest
@@ -780,7 +783,7 @@
         """
         own = self.jobs.dependencies.own_rank(job)
         limit = self.objectives.wait_limits.get(job.job_class)
-        if own < job.rank and patient and (limit is None or age_s < limit / 2):
+        if own < job.rank and can_wait and (limit is None or age_s < limit / 2):
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
 
@@ -913,12 +916,12 @@
             or (managed.assignment(number) or (0, ""))[1] != machine
             or time.monotonic() - managed.last_migration_at
             < self.settings.cluster.workers.lease_s
-            * (3.0 if drain and not self.policy().dear(managed.job, room) else 0.3)
+            * (3.0 if drain and not self.policy().expensive(managed.job, room) else 0.3)
         ):
             return False
         zones = [self.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
         policy, index = self.policy(), self.cached_state.index()
-        dear = policy.dear(managed.job, room)
+        expensive = policy.expensive(managed.job, room)
         soon = self._soon(managed.job, self.settings.cluster.workers.report_s)
         with index.trial():
             found = bool(
@@ -935,7 +938,7 @@
             )
         if not found and (
             drain
-            and not dear
+            and not expensive
             or not preempt(
                 managed.job,
                 1,
--- a/clayport/scheduling/policy.py
+++ b/clayport/scheduling/policy.py
@@ -31,7 +31,7 @@
     def __init__(self, jobs: Iterable[Job], types: Iterable[MachineType]) -> None:
         self.types = list(types)
         jobs = list(jobs)
-        self.guests = largest_gpu_jobs(jobs, self.types)
+        self.gpu_jobs = largest_gpu_jobs(jobs, self.types)
         shapes = {(j.cpus, j.memory_gb): j for j in jobs if j.kind == SERVICE}
         self.services = [shapes[k] for k in sorted(shapes, reverse=True)]
         self._expensive_types: dict[tuple[Any, ...], set[str]] = {}
@@ -52,8 +52,8 @@
         return (
             self.types == other.types
             and [shape(j) for j in self.services] == [shape(j) for j in other.services]
-            and {t: shape(j) for t, j in self.guests.items()}
-            == {t: shape(j) for t, j in other.guests.items()}
+            and {t: shape(j) for t, j in self.gpu_jobs.items()}
+            == {t: shape(j) for t, j in other.gpu_jobs.items()}
         )
 
     def rejects(self, job: Job, room: Room) -> bool:
@@ -66,7 +66,7 @@
         return self._protected_job_on(room) if job.gpus == 0 else None
 
     def _protected_job_on(self, room: MachineClass) -> Job | None:
-        gpu_job = self.guests.get(room.type)
+        gpu_job = self.gpu_jobs.get(room.type)
         return gpu_job if gpu_job is not None and (gpu_job.spot or not room.spot) else None
 
     def blocked(self, room: Room, kind: MachineType) -> float:
@@ -88,7 +88,7 @@
             return max(1.0, cpus - kind.cpus + gpu_job.cpus)
         return max(0.0, cpus - kind.cpus + gpu_job.cpus - EPSILON)
 
-    def able(self, job: Job) -> frozenset[str] | None:
+    def fitting_types(self, job: Job) -> frozenset[str] | None:
         """The types of which an empty machine holds a task of the job; None: not known."""
         if not self.types:
             return None
@@ -120,7 +120,7 @@
             }
         return found
 
-    def dear(self, job: Job, pool: MachineClass) -> bool:
+    def expensive(self, job: Job, pool: MachineClass) -> bool:
         """Whether the pool's machines are expensive for the job, and no job with GPUs needs them.
 
         The same for all machines of a pool.
@@ -158,10 +158,10 @@
 
 
 # Keeps no work off any machine.
-OPEN = Policy((), ())
+NO_POLICY = Policy((), ())
 
 
-class Kept(NamedTuple):
+class LargeTaskReserve(NamedTuple):
     """A share of the machines is kept free of smaller tasks that leave a large one no room.
 
     They are the same machines at all controllers, by a hash of their names.
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -24,8 +24,8 @@
     spread: Spread,
     policy: Policy,
     most: int | None = None,
-    fragile: bool = False,
-    patient: bool = False,
+    avoid_spot: bool = False,
+    can_wait: bool = False,
     without: Container[str] = (),
     uncached: frozenset[str] | None = None,
 ) -> list[tuple[Room, int]]:
@@ -56,17 +56,17 @@
         job.one_zone,
         job.spread,
         most,
-        patient,
+        can_wait,
         uncached and (uncached, job.image),
     )
     unplaceable = index.unplaceable_under(policy)
     since = unplaceable.get(question) if cacheable else None
-    pools = usable_pools(job, index, spread, policy, patient)
+    pools = usable_pools(job, index, spread, policy, can_wait)
     if since is None:
         rooms = index.with_lower_rank(pools, job.rank, without)
     else:
         rooms = index.changed(pools, since)
-    offers = _offers(job, rooms, policy, most, fragile, uncached)
+    offers = _offers(job, rooms, policy, most, avoid_spot, uncached)
     if not offers:
         if cacheable:
             unplaceable[question] = index.rev
@@ -75,7 +75,7 @@
         # A changed room offers something again: choose among all rooms.
         del unplaceable[question]
         return preempt(
-            job, wanted, index, spread, policy, most, fragile, patient, without, uncached
+            job, wanted, index, spread, policy, most, avoid_spot, can_wait, without, uncached
         )
     return _choose(job, wanted, offers, spread)
 
@@ -85,7 +85,7 @@
     rooms: Iterable[Room],
     policy: Policy,
     most: int | None,
-    fragile: bool,
+    avoid_spot: bool,
     uncached: frozenset[str] | None,
 ) -> list[Offer]:
     """The rooms in which stopping work makes room for a task, with what that costs."""
@@ -100,7 +100,7 @@
             continue
         cost = room.preemption_cost(job)
         if cost is not None and (most is None or cost[0] <= most):
-            offers.append((cost[0], fragile and room.spot, cost[1], room.machine, room))
+            offers.append((cost[0], avoid_spot and room.spot, cost[1], room.machine, room))
     return offers
 
 
--- a/clayport/scheduling/queueing/__init__.py
+++ b/clayport/scheduling/queueing/__init__.py
@@ -8,4 +8,4 @@
 from clayport.scheduling.queueing.queue import Group as Group
 from clayport.scheduling.queueing.queue import JobQueue as JobQueue
 from clayport.scheduling.queueing.queue import SubQueue as SubQueue
-from clayport.scheduling.queueing.shares import Shares as Shares
+from clayport.scheduling.queueing.shares import FairShares as FairShares
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -19,7 +19,7 @@
 
 from clayport.model import ARRAY, SERVICE
 from clayport.scaling.demand import LINE
-from clayport.scheduling.queueing.shares import Shares, names_of
+from clayport.scheduling.queueing.shares import FairShares, account_keys
 
 if TYPE_CHECKING:
     from clayport.jobs.managed_job import ManagedJob
@@ -92,12 +92,12 @@
         size: How many jobs there are.
     """
 
-    __slots__ = ("example", "fresh", "nap", "size", "subqueues")
+    __slots__ = ("example", "has_new_demand", "postponement", "size", "subqueues")
 
     def __init__(self, example: ManagedJob) -> None:
         self.subqueues: dict[tuple[str, str], SubQueue] = {}
-        self.nap: Any = None
-        self.fresh = True
+        self.postponement: Any = None
+        self.has_new_demand = True
         self.example = example
         self.size = 0
 
@@ -126,7 +126,7 @@
         managed_jobs: Callable[[], Mapping[str, ManagedJob]],
         finish_limits: Mapping[str, Sequence[float]],
         wait_limits: Mapping[str, float],
-        shares: Shares,
+        shares: FairShares,
         deadline_times: Mapping[str, Sequence[float]] | None = None,
     ) -> None:
         self.managed_jobs = managed_jobs
@@ -201,7 +201,7 @@
             and (known.band, known.key) == position[:2]
         ):
             if pending > known.pending:
-                group.fresh = True
+                group.has_new_demand = True
             if pending != known.pending:
                 self.entries[name] = known._replace(pending=pending)
             return
@@ -210,7 +210,7 @@
         )
         self._remove(name, known, group)
         if group is not None and not returned:
-            group.fresh = True
+            group.has_new_demand = True
         self._enter(name, managed, group_key, group, position, pending)
         until = position[2]
         if until < math.inf and (known is None or known.until != until):
@@ -265,7 +265,7 @@
         made many small ones late. So a large one is put back by this time, `max_s` at most.
         """
         job = managed.job
-        account = self.shares.accounts.get(names_of(job)[0])
+        account = self.shares.accounts.get(account_keys(job)[0])
         running = max(job.cpus, account.running if account is not None else 0.0, 1e-3)
         return min(max(0.0, max_s), managed.pending * job.cpus * job.estimate_s / running)
 
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -34,15 +34,15 @@
 # Arrivals are counted over so many times the wait that a class tolerates.
 ARRIVAL_SPAN = 2.0
 
-Name = tuple[str, bool, str]  # "class" or "team", whether GPUs are used, which
+AccountKey = tuple[str, bool, str]  # "class" or "team", whether GPUs are used, which
 
 
-def names(gpus: bool, job_class: str, team: str) -> tuple[Name, Name]:
+def names(gpus: bool, job_class: str, team: str) -> tuple[AccountKey, AccountKey]:
     """The keys of the accounts that all jobs of a class and team count for."""
     return ("class", gpus, job_class), ("team", gpus, team)
 
 
-def names_of(job: Job) -> tuple[Name, Name]:
+def account_keys(job: Job) -> tuple[AccountKey, AccountKey]:
     """The keys of the accounts that a job counts for."""
     return names(job.gpus > 0, job.job_class, job.team)
 
@@ -59,7 +59,7 @@
         standing: Its rank, as it counts for preemption.
     """
 
-    names: tuple[Name, Name]
+    names: tuple[AccountKey, AccountKey]
     running: float
     waiting: float
     backlog: float
@@ -102,7 +102,7 @@
         self.standing = 0
 
 
-class Owed(NamedTuple):
+class FairShare(NamedTuple):
     """The share of a class or team that waits too long.
 
     Attributes:
@@ -118,7 +118,7 @@
     standing: int
 
 
-class Shares:
+class FairShares:
     """The accounts of all classes and teams, for all jobs but services.
 
     Args:
@@ -132,7 +132,7 @@
         self,
         tolerated_wait_s: Mapping[str, float],
         default_wait_s: float,
-        without: Collection[Name] = (),
+        without: Collection[AccountKey] = (),
     ) -> None:
         self.tolerated_wait_s, self.default_wait_s = tolerated_wait_s, default_wait_s
         self.without = frozenset(without)
@@ -142,7 +142,7 @@
         """Forget everything, at the beginning of an epoch: live jobs are noted anew."""
         self.began = now
         self.usage: dict[str, JobUsage] = {}
-        self.accounts: dict[Name, Account] = {}
+        self.accounts: dict[AccountKey, Account] = {}
 
     def note(self, name: str, job: Job, running: int, pending: int, since: float) -> None:
         """Note what a job runs and waits for now.
@@ -155,7 +155,7 @@
             since: When it was submitted, in this process's time.
         """
         usage = JobUsage(
-            names_of(job),
+            account_keys(job),
             running * job.cpus,
             pending * job.cpus,
             pending * job.cpus * max(1.0, job.estimate_s),
@@ -202,12 +202,12 @@
             if account.jobs == 0 and not account.arrivals:
                 del self.accounts[which]
 
-    def _tolerated_wait_s(self, which: Name) -> float:
+    def _tolerated_wait_s(self, which: AccountKey) -> float:
         if which[0] == "class":
             return self.tolerated_wait_s.get(which[2], self.default_wait_s)
         return self.default_wait_s
 
-    def starvation(self, which: Name, now: float) -> float:
+    def starvation(self, which: AccountKey, now: float) -> float:
         """How near the oldest waiting job is to the wait that is tolerated, 0 to 1."""
         account = self.accounts[which]
         if not account.ages:
@@ -219,7 +219,7 @@
         waited = (now - since) / max(self._tolerated_wait_s(usage.names[0]), 1e-3)
         return min(1.0, max(0.0, (waited - SHARE_BEGINS) / (SHARE_WHOLE - SHARE_BEGINS)))
 
-    def needs(self, which: Name, now: float) -> float:
+    def needs(self, which: AccountKey, now: float) -> float:
         """The CPUs that would run all its work.
 
         That is what arrives, as counted over the span, or what waits, within the wait that is
@@ -236,7 +236,7 @@
             account.arrived / since, account.backlog / max(self._tolerated_wait_s(which), 1e-3)
         )
 
-    def owed(self, now: float) -> dict[Name, Owed]:
+    def owed(self, now: float) -> dict[AccountKey, FairShare]:
         """Who is owed a share now.
 
         Accounts whose share isn't missing anything are listed too: what they run isn't to be
@@ -259,7 +259,7 @@
                 total / (count + 1), MAX_SHARE_OF_NEED * needs
             )
             if floor > 0 and account.running < PROTECTION_MARGIN * floor:
-                found[which] = Owed(
+                found[which] = FairShare(
                     floor,
                     max(0.0, min(floor - account.running, account.waiting)),
                     total,
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -183,12 +183,12 @@
         return self.tasks <= self.backfill_tasks
 
     @property
-    def filled(self) -> float:
+    def backfill_cpus(self) -> float:
         """The CPUs that work without an objective holds here."""
         return sum(used[0] for (rank, _), used in self.used.items() if rank < 0)
 
     @property
-    def lasting(self) -> float:
+    def replica_cpus(self) -> float:
         """The CPUs that replicas hold: the machine stays for them anyway."""
         return self.used.get((RANKS["production"], True), [0.0])[0]
 
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from clayport.model import SERVICE, Description, Job
-from clayport.scaling.provisioning import LINE, remaining, slack
+from clayport.scaling.provisioning import LINE, slack_s, time_left_s
 from clayport.scheduling.objectives import Objectives
 from clayport.settings import Objective
 
@@ -34,17 +34,17 @@
             **{**msgspec.structs.asdict(description), "without_objective": without_objective}
         )
 
-    def patient(self, job: Job, age_s: float) -> bool:
+    def can_wait(self, job: Job, age_s: float) -> bool:
         """Whether the job can wait for a machine that isn't expensive.
 
         Work without any objective always can: it once had the most expensive machines rented,
         at eighteen times the price, since what has no limit was taken for late.
         """
         return job.kind != SERVICE and (
-            job.without_objective or slack(job, age_s, self.finish_limits) > self.patience_s
+            job.without_objective or slack_s(job, age_s, self.finish_limits) > self.patience_s
         )
 
-    def fragile(self, job: Job, age_s: float) -> bool:
+    def avoid_spot(self, job: Job, age_s: float) -> bool:
         """Whether the job would be late if a machine under it were taken back.
 
         Of arrays that don't save, a quarter was late because of a few tasks begun anew:
@@ -53,5 +53,5 @@
         return (
             job.spot
             and job.checkpoint_s == 0
-            and remaining(job, age_s, self.finish_limits) < LINE * job.estimate_s
+            and time_left_s(job, age_s, self.finish_limits) < LINE * job.estimate_s
         )
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -11,17 +11,17 @@
 Key = tuple[float, ...]
 
 
-def preference(job: Job, room: Room, salt: str, dear: bool, fragile: bool) -> Key:
+def preference(job: Job, room: Room, salt: str, expensive: bool, avoid_spot: bool) -> Key:
     """Lower is better; the last is the salt, by which equal rooms differ."""
     left = round(room.cpus + room.gpus, 6)
     tie_breaker = crc32(f"{salt}{room.machine}".encode()) / 2**32
     return (
-        float(dear),
+        float(expensive),
         float(job.gpus == 0 and room.gpus > 0),
-        float(fragile and room.spot),
+        float(avoid_spot and room.spot),
         0.0 if job.image in room.images else 1.0,
         0.0 if room.spot else 1.0,
-        -room.lasting,
+        -room.replica_cpus,
         left,
         tie_breaker,
     )
@@ -52,16 +52,18 @@
     spread: Spread,
     salt: str,
     policy: Policy,
-    patient: bool = False,
-    fragile: bool = False,
+    can_wait: bool = False,
+    avoid_spot: bool = False,
 ) -> list[Room]:
     candidates = [
-        r for r in rooms if r.allows(job) and r.fits(job) and not (patient and policy.dear(job, r))
+        r
+        for r in rooms
+        if r.allows(job) and r.fits(job) and not (can_wait and policy.expensive(job, r))
     ]
     if job.one_zone and not spread.counts and not spread.unknown and candidates:
         candidates = best_zone(job, wanted, candidates)
     chosen: list[Room] = []
-    candidates.sort(key=lambda r: preference(job, r, salt, policy.dear(job, r), fragile))
+    candidates.sort(key=lambda r: preference(job, r, salt, policy.expensive(job, r), avoid_spot))
     for room in candidates:
         while (
             len(chosen) < wanted
@@ -87,7 +89,7 @@
     spread: Spread,
     policy: Policy,
     most: int | None = None,
-    fragile: bool = False,
+    avoid_spot: bool = False,
 ) -> list[tuple[Room, int]]:
     offers = []
     for room in rooms:
@@ -101,7 +103,7 @@
             continue
         cost = room.preemption_cost(job)
         if cost is not None and (most is None or cost[0] <= most):
-            offers.append((cost[0], fragile and room.spot, cost[1], room.machine, room))
+            offers.append((cost[0], avoid_spot and room.spot, cost[1], room.machine, room))
     found: list[tuple[Room, int]] = []
     for rank, _, _, _, room in sorted(offers, key=lambda o: o[:4]):
         count = 0
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -134,7 +134,7 @@
     """Work without an aim was taken for late, and rented machines at 18 times the price."""
     home = Home(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert home.c.objectives.patient(home.c.objectives.with_objectives(job), age) == can_wait
+    assert home.c.objectives.can_wait(home.c.objectives.with_objectives(job), age) == can_wait
 
 
 def test_lower_ranks_give_way_before_a_dear_machine_is_filled(
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -33,8 +33,8 @@
     plan_rentals,
     urgent_demand,
 )
-from clayport.scheduling.placement import OPEN
-from clayport.scheduling.queueing.shares import Owed
+from clayport.scheduling.placement import NO_POLICY
+from clayport.scheduling.queueing.shares import FairShare
 
 from .test_dispatch import Home
 from .test_workers import JOB, KEY, Bench
@@ -188,7 +188,7 @@
     late.waiting_since -= 500.0
     assert home.order(late) < home.order(guest)
     if owed:
-        home.c.placer.owed = {("class", False, "unnamed"): Owed(owed, owed, 64.0, 0)}
+        home.c.placer.owed = {("class", False, "unnamed"): FairShare(owed, owed, 64.0, 0)}
         home.c.placer.owed_until = math.inf
     home.look()
     assert len(late.starts) == 4 and len(guest.starts) == tasks
@@ -491,7 +491,7 @@
     job, boots = made(1, loaners=False), {t.name: t.boot_s for t in types}
     for factor, chosen in ((1.0, "plain"), (3.0, "other")):
         late = [msgspec.structs.replace(types[0], boot_s=types[0].boot_s * factor), types[1]]
-        bought = plan_rentals(late, [Demand(job, 3)], set(), 0.0, OPEN, {}, boots)
+        bought = plan_rentals(late, [Demand(job, 3)], set(), 0.0, NO_POLICY, {}, boots)
         assert {k[0] for k in bought} == {chosen}
 
 
@@ -593,7 +593,7 @@
         for _ in range(3):
             home.now += 1.0
             c.machines.mark_all_changed()
-            await c.provisioner._return_idle(types, [], [], OPEN, home.now)
+            await c.provisioner._return_idle(types, [], [], NO_POLICY, home.now)
 
     curio.run(rounds)
     assert sorted(returned) == ["m4", "m5"]
@@ -629,7 +629,7 @@
         {t.name: t for t in c.catalogue.types},
         [],
         needs,
-        OPEN,
+        NO_POLICY,
         home.now,
     )
     assert len(gone) == returned and len(asked) <= looks
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -120,8 +120,10 @@
             totals = pool.count()
             assert totals.machines == sum(r.open for r in rooms)
             assert totals.free == pytest.approx(sum(r.cpus for r in rooms))
-            assert totals.lasting == pytest.approx(sum(r.lasting for r in rooms if r.open))
-            assert totals.filled == pytest.approx(sum(r.filled for r in rooms))
+            assert totals.replica_cpus == pytest.approx(
+                sum(r.replica_cpus for r in rooms if r.open)
+            )
+            assert totals.backfill_cpus == pytest.approx(sum(r.backfill_cpus for r in rooms))
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
@@ -145,7 +147,7 @@
 ) -> None:
     fleet = Fleet(seed, machines)
     policies = [Policy(JOBS, KINDS), Policy((), KINDS)]
-    for what, number, which, wanted, patient, fragile in steps:
+    for what, number, which, wanted, can_wait, avoid_spot in steps:
         job, rooms, policy = JOBS[which], list(fleet.rooms.values()), policies[0]
         zones = [fleet.rng.choice([*ZONES, None]) for _ in range(fleet.rng.randrange(3))]
         if what == "show":
@@ -161,22 +163,24 @@
                 fleet.rooms[room.machine].open = False
         elif what == "preempt":
             expected = plain.preempt(
-                job, wanted, rooms, Spread(job, zones), policy, wanted % 4, fragile
+                job, wanted, rooms, Spread(job, zones), policy, wanted % 4, avoid_spot
             )
             found = preempt(
-                job, wanted, fleet.index, Spread(job, zones), policy, wanted % 4, fragile
+                job, wanted, fleet.index, Spread(job, zones), policy, wanted % 4, avoid_spot
             )
             assert [(r.machine, n) for r, n in found] == [(r.machine, n) for r, n in expected]
         elif what == "trial":
             # What is tried leaves nothing behind, machines taken out or put in included.
             extra = Room("i-new", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
             with fleet.index.trial([f"i-{number:04d}"], [extra]):
-                place(job, wanted, fleet.index, Spread(job, ()), policy, patient, fragile)
+                place(job, wanted, fleet.index, Spread(job, ()), policy, can_wait, avoid_spot)
         else:
             expected = plain.place(
-                job, wanted, rooms, Spread(job, zones), "c1", policy, patient, fragile
+                job, wanted, rooms, Spread(job, zones), "c1", policy, can_wait, avoid_spot
+            )
+            chosen = place(
+                job, wanted, fleet.index, Spread(job, zones), policy, can_wait, avoid_spot
             )
-            chosen = place(job, wanted, fleet.index, Spread(job, zones), policy, patient, fragile)
             assert [r.machine for r in chosen] == [r.machine for r in expected]
         fleet.same()
 
@@ -215,7 +219,7 @@
         index.add(room)
     assert place(job, 1, index, Spread(job, ())) == []
     since = index.rev
-    assert list(index.news(job, since)) == []
+    assert list(index.changed_rooms(job, since)) == []
     full[7].take(job, -1)
-    assert [r.machine for r in index.news(job, since)] == ["m7"]
+    assert [r.machine for r in index.changed_rooms(job, since)] == ["m7"]
     assert [r.machine for r in place(job, 2, index, Spread(job, ()))] == ["m7"]
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,8 +12,8 @@
     Arrivals,
     Demand,
     plan_rentals,
-    short,
     spare_room,
+    unmet_demand,
     urgent_demand,
 )
 from clayport.scheduling.index import Index
@@ -132,7 +132,9 @@
 def test_patient_work_keeps_off_dear_machines() -> None:
     job = make()
     policy = Policy([], KINDS)
-    assert place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy, patient=True) == []
+    assert (
+        place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy, can_wait=True) == []
+    )
     assert len(place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy)) == 3
 
 
@@ -196,7 +198,7 @@
 
 def test_short_keeps_zones_of_what_was_placed() -> None:
     job = make(pieces=2, scatter=True)
-    left = short(Index("", [room()]), [Demand(job, 2)], Policy([], KINDS))
+    left = unmet_demand(Index("", [room()]), [Demand(job, 2)], Policy([], KINDS))
     assert [(n.tasks, n.zones) for n in left] == [(1, ("north",))]
     # ... so that the next machine is rented where it can be used.
     assert plan_rentals(KINDS, left, set(), 0.0, Policy([], KINDS), {}) == [
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -12,8 +12,8 @@
 from clayport.model import Job
 from clayport.records.chunk import Chunk
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Kept, Policy, Room, Spread, place
-from clayport.scheduling.queueing import JobQueue, Shares
+from clayport.scheduling.placement import LargeTaskReserve, Policy, Room, Spread, place
+from clayport.scheduling.queueing import FairShares, JobQueue
 from clayport.scheduling.queueing.queue import IN_TIME, LATE, LATE_STEP, STARTS_LATE
 
 from .test_dispatch import Home
@@ -36,7 +36,7 @@
             lambda: self.managed_jobs,
             {"batch": (90.0, 150.0), "web": (60.0,)},
             {"web": 20.0},
-            Shares({"batch": 45.0, "web": 20.0}, 100.0),
+            FairShares({"batch": 45.0, "web": 20.0}, 100.0),
             {"due": (1.0, 2.0)},
         )
 
@@ -131,7 +131,7 @@
     managed.done = 2
     waiting.order(0.0)
     group = waiting.queue.entries[managed.job.id].group
-    group.fresh = False
+    group.has_new_demand = False
     if happens == "starts":
         managed.starts = [(0, "m1")]
     elif happens in ("ended", "blocked"):
@@ -144,7 +144,7 @@
         managed.done += 1 if happens == "a task is done" else -1
     waiting.queue.touch(managed.job.id)
     assert (waiting.order(1.0) == [managed.job.id]) == waits
-    assert group.fresh == fresh and (managed.job.id in waiting.queue.in_flight) == (
+    assert group.has_new_demand == fresh and (managed.job.id in waiting.queue.in_flight) == (
         happens == "starts"
     )
     if happens == "starts":
@@ -155,14 +155,14 @@
             other = waiting.add(made(2, pieces=8))
             waiting.order(1.0)
             group = waiting.queue.entries[other.job.id].group
-            group.fresh = False
+            group.has_new_demand = False
             managed.starts = [(0, "m1")]
             waiting.queue.touch(managed.job.id)
             waiting.order(1.0)
             managed.starts, managed.done = [], 8 - pending - int(fresh)
             waiting.queue.touch(managed.job.id)
             waiting.order(1.0)
-            assert group.fresh == fresh
+            assert group.has_new_demand == fresh
     if happens == "rests":
         assert waiting.order(5.0) == [managed.job.id]
 
@@ -269,7 +269,7 @@
 def test_the_share_grows_with_the_wait_and_ends_with_it(
     age: float, running: int, missing: float
 ) -> None:
-    shares = Shares({"low": 45.0, "flood": 45.0}, 100.0)
+    shares = FairShares({"low": 45.0, "flood": 45.0}, 100.0)
     shares.note("f", made(1, jobclass="flood"), 24, 0, 0.0)
     shares.note(
         "l",
@@ -284,7 +284,7 @@
 
 
 def test_accounts_are_forgotten_with_their_jobs() -> None:
-    shares = Shares({}, 100.0)
+    shares = FairShares({}, 100.0)
     for number in range(50):
         shares.note(f"j{number}", made(number, owner=f"team{number}"), 1, 1, float(number))
         shares.note(f"j{number}", made(number, owner=f"team{number}"), 2, 0, float(number))
@@ -302,7 +302,7 @@
 ) -> None:
     """A class with little work, and nobody's aim, took a third of a flooded fleet from work
     with deadlines."""
-    shares = Shares({"low": 45.0, "flood": 45.0}, 100.0)
+    shares = FairShares({"low": 45.0, "flood": 45.0}, 100.0)
     shares.note("f", made(1, jobclass="flood"), 24, 0, 0.0)
     shares.note(
         "l", made(2, jobclass="low", vcpus=2.0, pieces=tasks, guess_s=guess_s), 0, tasks, 0.0
@@ -394,14 +394,14 @@
         Index("c0", [room]),
         Spread(job, ()),
         Policy((), ()),
-        kept=Kept(made(2, vcpus=4.0), share, types and frozenset(types)),
+        reserve=LargeTaskReserve(made(2, vcpus=4.0), share, types and frozenset(types)),
     )
     assert len(found) == placed
 
 
 def test_a_team_with_a_guarantee_has_no_share_beside_it() -> None:
     """It goes by what is owed to it; a share would let it borrow before others."""
-    shares = Shares({}, 10.0, [("team", False, "tight")])
+    shares = FairShares({}, 10.0, [("team", False, "tight")])
     for owner in ("free", "tight", "other"):
         shares.note(owner, made(1, owner=owner), 0 if owner != "other" else 8, 4, 0.0)
     assert {name for kind, _, name in shares.owed(50.0) if kind == "team"} == {"free"}
