--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -7,7 +7,7 @@
 
 from clayport.model import Job, MachineType
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Room, capacity
+from clayport.scheduling.room import Room, capacity
 
 TYPES = [
     MachineType(name, cpus, 0.0, memory_gb, 60.0, 0.4, price, price / 4, 50.0, ["a", "b"])
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -20,7 +20,7 @@
 from clayport.controller import Controller
 from clayport.jobs.managed_job import ManagedJob
 from clayport.membership.epoch import Epoch
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 from clayport.settings import parse
 
 from . import fleets
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -18,7 +18,9 @@
 from collections.abc import Callable
 
 from clayport.jobs.managed_job import ManagedJob
-from clayport.scheduling.placement import Policy, Spread, place
+from clayport.scheduling.placement import place
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.spread import Spread
 from tests import plain
 
 from . import fleets
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -38,9 +38,9 @@
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
+from clayport.scaling.arrivals import Arrivals
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import Cloud
-from clayport.scaling.provisioning import Arrivals
 from clayport.scaling.renting import Provisioner
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.dependencies import DependencyGraph
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -15,7 +15,7 @@
 from clayport.machines.events import GONE
 from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
-from clayport.scheduling.placement import shape
+from clayport.scheduling.requirements import shape
 
 # Machines on which a job has to have failed before it is taken to be at fault itself.
 FAULT_MACHINES = 3
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -8,7 +8,7 @@
 from clayport.machines.machine import LIVE, QUEUED, RESERVED, DesiredTask
 from clayport.machines.reports import GONE_STATUS, emit_status
 from clayport.model import Job
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 
 if TYPE_CHECKING:
     from clayport.machines.table import MachineTable
--- a/clayport/machines/eviction.py
+++ b/clayport/machines/eviction.py
@@ -8,7 +8,7 @@
 
 from clayport.machines.machine import Machine, TaskKey, job_id
 from clayport.model import SERVICE, Job
-from clayport.scheduling.placement import Room, capacity
+from clayport.scheduling.room import Room, capacity
 
 if TYPE_CHECKING:
     from clayport.machines.table import MachineTable
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -30,7 +30,7 @@
 from clayport.routines import Routines
 from clayport.scaling.cloud import CloudError
 from clayport.scheduling.cached_state import CachedState
-from clayport.scheduling.placement import Policy
+from clayport.scheduling.policy import Policy
 from clayport.scheduling.view import ClusterView
 from clayport.settings import ConfigError, Settings, endpoint
 from clayport.transport import frames, http
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import NamedTuple, TypeAlias
 
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 
 # A task's id and the attempt at it. A plain tuple, since one is made for each task of a report.
 TaskKey: TypeAlias = tuple[str, int]
--- a/clayport/machines/room.py
+++ b/clayport/machines/room.py
@@ -7,7 +7,7 @@
 
 from clayport.machines.machine import Machine
 from clayport.model import Job, MachineType
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 
 
 def build_room(
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -26,7 +26,7 @@
 from clayport.machines.room import build_room
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
 from clayport.model import Job, MachineType, WorkerHeartbeat, split_task
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 
 log = logging.getLogger(__name__)
 
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -46,7 +46,7 @@
 from clayport.records.upgrade import UpgradeState
 from clayport.records.values import parse_end
 from clayport.routines import Routines
-from clayport.scaling.provisioning import Arrivals
+from clayport.scaling.arrivals import Arrivals
 from clayport.scheduling.queueing import JobQueue
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.settings import Settings
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -55,8 +55,8 @@
         index: The rooms.
         demand: What is to fit, in order.
         policy: What keeps work off machines.
-        patient: Whether to keep off expensive machines.
-        lodger: Whether to keep off idle on-demand machines.
+        can_wait: Whether to keep off expensive machines.
+        avoid_idle_on_demand: Whether to keep off idle on-demand machines.
     """
     left = []
     for need in demand:
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -9,21 +9,13 @@
 from typing import NamedTuple
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.arrivals import Arrivals as Arrivals
-from clayport.scaling.arrivals import spare_room as spare_room
-from clayport.scaling.boot_times import GIVE_UP_FACTOR as GIVE_UP_FACTOR
-from clayport.scaling.boot_times import LATE as LATE
-from clayport.scaling.boot_times import BootingMachine as BootingMachine
-from clayport.scaling.boot_times import BootTimes as BootTimes
-from clayport.scaling.boot_times import Kind as Kind
-from clayport.scaling.boot_times import ready_s as ready_s
-from clayport.scaling.demand import LINE as LINE
-from clayport.scaling.demand import Demand as Demand
-from clayport.scaling.demand import slack_s as slack_s
-from clayport.scaling.demand import surely_fits as surely_fits
-from clayport.scaling.demand import time_left_s as time_left_s
-from clayport.scaling.demand import unmet_demand as unmet_demand
-from clayport.scaling.demand import urgent_demand as urgent_demand
+from clayport.scaling.boot_times import (
+    Kind,
+    ready_s,
+)
+from clayport.scaling.demand import (
+    Demand,
+)
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import place
 from clayport.scheduling.policy import Policy
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -17,29 +17,17 @@
 from clayport.membership.state import MembershipState
 from clayport.model import RANKS, CloudMachine, MachineType, fits
 from clayport.routines import Routines
+from clayport.scaling.arrivals import Arrivals, spare_room
+from clayport.scaling.boot_times import GIVE_UP_FACTOR, LATE, BootingMachine, BootTimes, Kind
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud, CloudError, NoCapacityError
-from clayport.scaling.provisioning import (
-    GIVE_UP_FACTOR,
-    LATE,
-    MAX_RENTED_AT_ONCE,
-    Arrivals,
-    BootingMachine,
-    BootTimes,
-    Demand,
-    Kind,
-    empty_room,
-    plan_rentals,
-    spare_room,
-    surely_fits,
-    time_left_s,
-    unmet_demand,
-    urgent_demand,
-)
+from clayport.scaling.demand import Demand, surely_fits, time_left_s, unmet_demand, urgent_demand
+from clayport.scaling.provisioning import MAX_RENTED_AT_ONCE, empty_room, plan_rentals
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Policy, Room
 from clayport.scheduling.placer import Placer
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.room import Room
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -15,8 +15,8 @@
 from clayport.model import Job
 from clayport.routines import Routines
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Room
 from clayport.scheduling.refresh import AdaptiveInterval
+from clayport.scheduling.room import Room
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings
 from clayport.transport import frames
--- a/clayport/scheduling/candidates.py
+++ b/clayport/scheduling/candidates.py
@@ -20,7 +20,7 @@
         index: The rooms.
         spread: The zones of its other tasks.
         policy: What keeps work off machines.
-        patient: Whether the job keeps off expensive machines.
+        can_wait: Whether the job keeps off expensive machines.
     """
     fitting_types = policy.fitting_types(job)
     zones_matter = job.one_zone or job.spread
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -91,8 +91,8 @@
     Attributes:
         machines: How many are open.
         free: The free CPUs of all machines.
-        lasting: The CPUs that replicas hold on open machines.
-        filled: The CPUs that work without an objective holds on all machines.
+        replica_cpus: The CPUs that replicas hold on open machines.
+        backfill_cpus: The CPUs that work without an objective holds on all machines.
     """
 
     __slots__ = ("backfill_cpus", "free", "machines", "replica_cpus")
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -10,14 +10,10 @@
 from clayport.model import GANG, Job
 from clayport.scheduling.candidates import is_cacheable, usable_pools
 from clayport.scheduling.index import Index, RankedPool
-from clayport.scheduling.policy import NO_POLICY as NO_POLICY
-from clayport.scheduling.policy import LargeTaskReserve as LargeTaskReserve
-from clayport.scheduling.policy import Policy as Policy
-from clayport.scheduling.preemption import preempt as preempt
-from clayport.scheduling.requirements import shape as shape
-from clayport.scheduling.room import Room as Room
-from clayport.scheduling.room import capacity as capacity
-from clayport.scheduling.spread import Spread as Spread
+from clayport.scheduling.policy import NO_POLICY, LargeTaskReserve, Policy
+from clayport.scheduling.requirements import shape
+from clayport.scheduling.room import Room, capacity
+from clayport.scheduling.spread import Spread
 
 
 def place(
@@ -46,14 +42,14 @@
         index: The rooms.
         spread: The zones of its other tasks.
         policy: What keeps work off machines; None: nothing does.
-        patient: Whether the job can wait for a machine that isn't expensive.
-        fragile: Whether the job would be late if its machine were taken back: it keeps off
+        can_wait: Whether the job can wait for a machine that isn't expensive.
+        avoid_spot: Whether the job would be late if its machine were taken back: it keeps off
             spot machines while others have room, and leaves them to work with checkpoints.
         without: Machines that aren't considered.
-        lodger: Whether to keep off idle on-demand machines, which would stay rented for
+        avoid_idle_on_demand: Whether to keep off idle on-demand machines, which would stay rented for
             this job alone.
         uncached: The types whose machines will do without the image; None: all.
-        kept: The machines on which room for a larger task is left.
+        reserve: The machines on which room for a larger task is left.
 
     Returns:
         One entry for each task that found room, `wanted` at most.
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -27,24 +27,19 @@
 from clayport.records.values import parse_quota
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
-from clayport.scaling.provisioning import Demand
+from clayport.scaling.demand import Demand
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.index import Index
 from clayport.scheduling.objectives import Objectives
-from clayport.scheduling.placement import (
-    LargeTaskReserve,
-    Policy,
-    Room,
-    Spread,
-    accepts,
-    capacity,
-    place,
-    preempt,
-    shape,
-)
+from clayport.scheduling.placement import accepts, place
+from clayport.scheduling.policy import LargeTaskReserve, Policy
+from clayport.scheduling.preemption import preempt
 from clayport.scheduling.queueing import FairShares, Group, JobQueue
 from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
 from clayport.scheduling.quotas import TeamQuotas
+from clayport.scheduling.requirements import shape
+from clayport.scheduling.room import Room, capacity
+from clayport.scheduling.spread import Spread
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings, Team
--- a/clayport/scheduling/policy.py
+++ b/clayport/scheduling/policy.py
@@ -24,7 +24,7 @@
 
     Attributes:
         types: The machine types that can be rented.
-        guests: For each type with GPUs, the largest job that may need them.
+        gpu_jobs: For each type with GPUs, the largest job that may need them.
         services: One service of each shape, the largest first.
     """
 
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -41,8 +41,8 @@
         spread: The zones of its other tasks.
         policy: What keeps work off machines.
         most: The highest rank to be stopped; None: any below the job's.
-        fragile: Whether to prefer machines that aren't spot machines.
-        patient: Whether to keep off expensive machines.
+        avoid_spot: Whether to prefer machines that aren't spot machines.
+        can_wait: Whether to keep off expensive machines.
         without: Machines that aren't considered.
         uncached: The types whose machines will do without the image; None: all.
 
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -86,8 +86,8 @@
 
     Attributes:
         subqueues: The jobs by class and team.
-        nap: Why the group need not be looked at now; kept by the placer.
-        fresh: Whether a job has come, or waits for more, since the last look.
+        postponement: Why the group need not be looked at now; kept by the placer.
+        has_new_demand: Whether a job has come, or waits for more, since the last look.
         example: One of the jobs.
         size: How many jobs there are.
     """
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from clayport.model import SERVICE, Description, Job
-from clayport.scaling.provisioning import LINE, slack_s, time_left_s
+from clayport.scaling.demand import LINE, slack_s, time_left_s
 from clayport.scheduling.objectives import Objectives
 from clayport.settings import Objective
 
--- a/clayport/scheduling/view.py
+++ b/clayport/scheduling/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Room
+from clayport.scheduling.room import Room
 
 
 class ClusterView:
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -6,7 +6,9 @@
 from zlib import crc32
 
 from clayport.model import Job
-from clayport.scheduling.placement import Policy, Room, Spread, capacity
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.room import Room, capacity
+from clayport.scheduling.spread import Spread
 
 Key = tuple[float, ...]
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -211,8 +211,8 @@
             each.take(SMALL)
     if not busy:
         rooms = rooms[2:]  # only the one of the other zone, which is not enough
-    from clayport.scheduling.placement import Spread
     from clayport.scheduling.placer import Placer
+    from clayport.scheduling.spread import Spread
 
     assert Placer._claimable(PAIR, rooms, Spread(PAIR, ())) == claimed
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -26,14 +26,10 @@
 from clayport.records.rate_limit import LEASE_PRIORITY_S, URGENT_PRIORITY_S, TokenBucket
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
-from clayport.scaling.provisioning import (
-    BootingMachine,
-    BootTimes,
-    Demand,
-    plan_rentals,
-    urgent_demand,
-)
-from clayport.scheduling.placement import NO_POLICY
+from clayport.scaling.boot_times import BootingMachine, BootTimes
+from clayport.scaling.demand import Demand, urgent_demand
+from clayport.scaling.provisioning import plan_rentals
+from clayport.scheduling.policy import NO_POLICY
 from clayport.scheduling.queueing.shares import FairShare
 
 from .test_dispatch import Home
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -13,7 +13,11 @@
 
 from clayport.model import Job, MachineType
 from clayport.scheduling.index import MAX_REMOVED_MACHINES, Index
-from clayport.scheduling.placement import Policy, Room, Spread, place, preempt
+from clayport.scheduling.placement import place
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.preemption import preempt
+from clayport.scheduling.room import Room
+from clayport.scheduling.spread import Spread
 
 from . import plain
 from .world import TYPES, ZONES
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,16 +8,15 @@
 import pytest
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.provisioning import (
-    Arrivals,
-    Demand,
-    plan_rentals,
-    spare_room,
-    unmet_demand,
-    urgent_demand,
-)
+from clayport.scaling.arrivals import Arrivals, spare_room
+from clayport.scaling.demand import Demand, unmet_demand, urgent_demand
+from clayport.scaling.provisioning import plan_rentals
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import Policy, Room, Spread, place, preempt
+from clayport.scheduling.placement import place
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.preemption import preempt
+from clayport.scheduling.room import Room
+from clayport.scheduling.spread import Spread
 
 from .world import TYPES
 from .world import job as wire_job
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -12,9 +12,12 @@
 from clayport.model import Job
 from clayport.records.chunk import Chunk
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import LargeTaskReserve, Policy, Room, Spread, place
+from clayport.scheduling.placement import place
+from clayport.scheduling.policy import LargeTaskReserve, Policy
 from clayport.scheduling.queueing import FairShares, JobQueue
 from clayport.scheduling.queueing.queue import IN_TIME, LATE, LATE_STEP, STARTS_LATE
+from clayport.scheduling.room import Room
+from clayport.scheduling.spread import Spread
 
 from .test_dispatch import Home
 from .world import job as wire_job
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -9,7 +9,7 @@
 
 from clayport.membership.epoch import Epoch
 from clayport.model import Job
-from clayport.scaling.provisioning import Arrivals
+from clayport.scaling.arrivals import Arrivals
 from clayport.transport import frames
 
 from .test_dispatch import Home
