--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -46,8 +46,8 @@
         avoid_spot: Whether the job would be late if its machine were taken back: it keeps off
             spot machines while others have room, and leaves them to work with checkpoints.
         without: Machines that aren't considered.
-        avoid_idle_on_demand: Whether to keep off idle on-demand machines, which would stay rented for
-            this job alone.
+        avoid_idle_on_demand: Whether to keep off idle on-demand machines, which would stay
+            rented for this job alone.
         uncached: The types whose machines will do without the image; None: all.
         reserve: The machines on which room for a larger task is left.
 
