--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -2,16 +2,12 @@
 
 from __future__ import annotations
 
-import time
 import zlib
 from collections.abc import Mapping
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
-if TYPE_CHECKING:
-    from clayport.rebuild.ports import RebuildParts
-
 # A frame's share of it, and the most that a whole may unpack to.
 PART, WHOLE_MOST = 1024 * 1024, 512 * 1024 * 1024
 
@@ -47,45 +43,6 @@
     machine: str
 
 
-def gather(ports: RebuildParts, loaded: bool) -> Evidence:
-    """This controller's own evidence."""
-    now, day = time.monotonic(), time.time()
-    found = Evidence(
-        ports.membership.label,
-        ports.membership.incarnation,
-        ports.membership.epoch.number,
-        dict(ports.membership.epoch.members),
-        loaded,
-    )
-    for name, (job, _) in ports.jobs.live.items():
-        node = ports.jobs.dependencies.nodes.get(name)
-        found.live[name] = (
-            msgspec.to_builtins(node.job if node else job),
-            round(day - (now - node.submitted_at), 3) if node else day,
-        )
-    for name, status in ports.jobs.ended.items():
-        at = ports.jobs.dependencies.ends.get(name, ("", 0.0))[1]
-        desc = ports.jobs.ended_descriptions.get(name)
-        found.ended[name] = (
-            status,
-            round(day - (now - at), 3) if at else 0.0,
-            msgspec.to_builtins(desc) if desc is not None else None,
-        )
-    for managed in ports.jobs.managed.values():
-        for index, chunk in managed.chunks.items():
-            found.chunks[managed.key(index)] = chunk.value()
-    found.versions = {label: number for label, (number, _) in ports.upgrade.formats.items()}
-    found.classes = {
-        name: msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))
-        for name, job in ports.jobs.classes.items()
-    }
-    found.machines = {name: room.address for name, room in ports.view.rooms.items()}
-    found.machines.update(
-        {name: m.address for name, m in ports.machines.machines.items() if m.address}
-    )
-    return found
-
-
 def pack(found: Evidence) -> list[bytes]:
     """In parts, each of which fits a frame."""
     raw = zlib.compress(msgspec.json.encode(found), 1)
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -17,6 +17,7 @@
 from clayport.membership.epoch import Epoch
 from clayport.rebuild import evidence
 from clayport.rebuild.evidence import Evidence
+from clayport.rebuild.gather import gather
 from clayport.rebuild.history import (
     HEAD_KEY,
     PREFIXES,
@@ -329,7 +330,7 @@
     async def _join(self, head: Entry, revs: dict[str, int]) -> None:
         """Act on the history that the head names."""
         ports, name = self.ports, str(head.value["id"])
-        late = evidence.gather(ports, self.loaded)
+        late = gather(ports, self.loaded)
         self.head_rev = head.rev
         self.history.join(name, int(head.value["n"]), revs, max(head.rev, *revs.values()))
         log.info("event=joined history=%s seconds=%.1f", name, time.monotonic() - self.since)
@@ -349,6 +350,6 @@
         ports.routines.signal("lease")
 
     def _own(self) -> Evidence:
-        found = evidence.gather(self.ports, self.loaded)
+        found = gather(self.ports, self.loaded)
         found.remembered = self.remembered
         return found
