--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -426,7 +426,7 @@
                 for machine in c.machines.machines.values():
                     machine.held_for_job, machine.held_until = "other", clock() + 60.0
     worker = on()[0]
-    owner = next(c for c in world.controllers.values() if worker.name in c.machines.machines).owner
+    owner = next(c for c in world.controllers.values() if worker.name in c.machines.machines).machines
     machine = owner.machines[worker.name]
     machine.held_for_job, machine.held_until = "other", clock() + 25.0  # not there again
     owner.touch(worker.name)
