--- a/bench/passes.py
+++ b/bench/passes.py
@@ -74,10 +74,7 @@
 
 def show(core: Controller, room: Room) -> None:
     """As a refresh would."""
-    if hasattr(core, "index"):
-        core.view.index.add(room)
-    else:
-        core.view.rooms[room.machine] = room
+    core.view.index.add(room)
 
 
 def one_pass(core: Controller, clock: Callable[[], float] = time.perf_counter) -> float:
@@ -86,7 +83,7 @@
     core.placer._pass(time.monotonic())
     took = clock() - start
     for managed in core.jobs.managed.values():
-        if managed.starts and hasattr(core.placer, "line"):
+        if managed.starts:
             core.queue.touch(managed.job.id)
         managed.starts.clear()
         managed.being_placed.clear()
@@ -110,8 +107,7 @@
         job = core.objectives.with_objectives(job)
         core.jobs.live[job.id] = (job, 1)
         core.jobs.managed[job.id] = ManagedJob(job, 1, 500, time.monotonic())
-        if hasattr(core.placer, "line"):
-            core.queue.touch(job.id)
+        core.queue.touch(job.id)
     return core, there
 
 
