--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -78,7 +78,10 @@
 class CloudListing(Protocol):
     """Knows the machines as the cloud last listed them, by name."""
 
-    listed: dict[str, CloudMachine]
+    @property
+    def listed(self) -> dict[str, CloudMachine]:
+        """The machines of the list."""
+        ...
 
 
 class Fleet:
--- /dev/null
+++ b/clayport/scaling/machine_list.py
@@ -0,0 +1,163 @@
+"""The cloud's list as last seen, and the rented machines that have not come up yet."""
+
+from __future__ import annotations
+
+import logging
+
+from clayport.machines.removal import MachineRemoval
+from clayport.membership.state import MembershipState
+from clayport.model import CloudMachine, MachineType
+from clayport.scaling.boot_times import GIVE_UP_FACTOR, LATE, BootingMachine, BootTimes, Kind
+from clayport.scaling.catalogue import Catalogue
+from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud
+from clayport.scaling.provisioning import empty_room
+from clayport.scheduling.room import Room
+from clayport.scheduling.view import ClusterView
+from clayport.settings import Settings
+
+log = logging.getLogger(__name__)
+
+# How long boots are remembered, in leases of a worker.
+BOOT_MEMORY_LEASES = 20
+
+
+class MachineList:
+    """What the cloud lists, what is booting, and what has been returned.
+
+    Attributes:
+        listed: The machines of the cloud's list when it was last read, by id.
+        listed_at: When that was, on the steady clock.
+        booting: Machines that have not reported yet, by name.
+        returned: When machines were returned, for as long as the list may still have them.
+    """
+
+    def __init__(
+        self,
+        *,
+        catalogue: Catalogue,
+        cloud: Cloud,
+        membership: MembershipState,
+        removal: MachineRemoval,
+        settings: Settings,
+        view: ClusterView,
+    ) -> None:
+        self.catalogue = catalogue
+        self.cloud = cloud
+        self.membership = membership
+        self.removal = removal
+        self.settings = settings
+        self.view = view
+        self.listed: dict[str, CloudMachine] = {}
+        self.listed_at = -1e9
+        self.booting: dict[str, BootingMachine] = {}
+        self.returned: dict[str, float] = {}
+        self._rented_here: set[str] = set()  # those of `booting` that this controller rented
+        self._boot_times = BootTimes(BOOT_MEMORY_LEASES * settings.cluster.workers.lease_s)
+
+    def note_rented(self, name: str, kind: Kind, now: float) -> None:
+        """Record a machine that this controller has just rented."""
+        self.booting[name] = BootingMachine(name, kind, now)
+        self._rented_here.add(name)
+
+    def booting_rooms(self, types: dict[str, MachineType], now: float) -> list[Room]:
+        """Return the room of the machines on their way that are still counted on."""
+        found = []
+        for boot in self.booting.values():
+            kind = types.get(boot.kind[0])
+            if kind is not None and now - boot.since < LATE * kind.boot_s:
+                found.append(empty_room(kind, boot.name, boot.kind[1], boot.kind[2]))
+        return found
+
+    def observed_types(self, now: float) -> list[MachineType]:
+        """Return the machine types with the boot times that are to be expected now."""
+        return self._boot_times.observed(
+            self.catalogue.types,
+            (boot for name, boot in self.booting.items() if name in self._rented_here),
+            now,
+        )
+
+    async def refresh(self, now: float) -> None:
+        """Read the cloud's list, and return the machines that it lists as failed.
+
+        Raises:
+            CloudError: A page or a return was refused or not answered.
+        """
+        found = await self.cloud.machines()
+        self.listed_at = now
+        self.listed = {machine.id: machine for machine in found}
+        settled_s = 4 * self.settings.cluster.cloud.list_lag_s + self.membership.lease_ttl_s
+        self.returned = {
+            name: returned_at
+            for name, returned_at in self.returned.items()
+            if now - returned_at < settled_s
+        }
+        failed = self._note_listed(found, now)
+        self._drop_settled(settled_s, now)
+        for first in range(0, len(failed), MAX_MACHINES_PER_RETURN):
+            await self.give_back(failed[first : first + MAX_MACHINES_PER_RETURN], now)
+
+    def _note_listed(self, found: list[CloudMachine], now: float) -> list[str]:
+        """Count listed machines that have not reported as booting; return the failed ones."""
+        failed = []
+        for machine in found:
+            if machine.id in self.returned:
+                continue
+            if machine.state == "failed":
+                failed.append(machine.id)
+            elif machine.id not in self.view.rooms:
+                self.booting.setdefault(
+                    machine.id,
+                    BootingMachine(
+                        machine.id,
+                        (machine.type, machine.zone, machine.spot),
+                        now - machine.age_s,
+                    ),
+                )
+        return failed
+
+    def _drop_settled(self, settled_s: float, now: float) -> None:
+        """Forget booting machines that have come up, were returned or are long unlisted."""
+        for name, boot in list(self.booting.items()):
+            gone = name not in self.listed and now - boot.since > settled_s
+            if name in self.view.rooms or name in self.returned or gone:
+                if name in self.view.rooms and name in self._rented_here:
+                    self._note_boot_time(boot, now)
+                self._rented_here.discard(name)
+                del self.booting[name]
+
+    def _note_boot_time(self, boot: BootingMachine, now: float) -> None:
+        for kind in self.catalogue.types:
+            if kind.name == boot.kind[0]:
+                self._boot_times.note(kind, now - boot.since, now)
+
+    async def give_up_late(self, types: dict[str, MachineType], now: float) -> None:
+        """Return machines that never came up; they cost as long as they are kept.
+
+        Raises:
+            CloudError: The return was refused or not answered.
+        """
+        late = [
+            boot.name
+            for boot in self.booting.values()
+            if boot.kind[0] in types
+            and now - boot.since > GIVE_UP_FACTOR * types[boot.kind[0]].boot_s
+        ]
+        if late:
+            log.info("event=never-up machines=%s", late)
+            for name in late:
+                if name in self._rented_here:
+                    self._note_boot_time(self.booting[name], now)
+            await self.give_back(late[:MAX_MACHINES_PER_RETURN], now)
+
+    async def give_back(self, names: list[str], now: float) -> None:
+        """Return machines, and announce to all controllers that they are gone.
+
+        Raises:
+            CloudError: The return was refused or not answered.
+        """
+        await self.cloud.give_back(names)
+        for name in names:
+            self.returned[name] = now
+            self.booting.pop(name, None)
+            self._rented_here.discard(name)
+        await self.removal.announce(names)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -654,7 +654,7 @@
     home.look()
     assert gang.starts == []  # there is no machine for it yet
     waiting = home.c.placer.all_demand()
-    bought = home.c.provisioner._filling(
+    bought = home.c.provisioner.planner.plan_backfill(
         waiting, 64.0, home.c.cached_state.index(), home.c.placer.policy()
     )
     assert [kind[0] for kind in bought] == ["accel"] and not bought[0][2]
