--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -19,19 +19,33 @@
 log = logging.getLogger(__name__)
 
 
-class _Wait:
-    """A machine whose return somebody waits for."""
+class _PendingFence:
+    """A machine whose return somebody waits for.
+
+    Attributes:
+        done: Set once the machine has been returned, or could not be.
+        error: Why it could not be; empty if it has been returned.
+    """
 
     def __init__(self) -> None:
-        self.over = curio.Event()
+        self.done = curio.Event()
         self.error = ""
 
 
 class MachineFencing:
-    """Returns on the member of the epoch that talks to the cloud.
+    """Returns machines in batches, on the member of the epoch that talks to the cloud.
 
     What is asked for while a request waits for its turn goes with it, so a fence takes as
     long as one request, however many there are.
+
+    Args:
+        cloud: The client of the cloud's API.
+        membership: The epoch; pending fences fail when it moves on.
+        removal: Removes the returned machines here and at the peers.
+
+    Attributes:
+        waiting: Pending fences by machine, in the order in which they were asked for.
+        sending: Whether a routine is at work that sends them.
     """
 
     def __init__(
@@ -44,31 +58,37 @@
         self.cloud = cloud
         self.membership = membership
         self.removal = removal
-        self.waiting: dict[str, _Wait] = {}  # in the order in which they were asked for
+        self.waiting: dict[str, _PendingFence] = {}
         self.sending = False
 
     async def fence(self, name: str) -> None:
-        """Return a machine: with the cloud's 200 everything on it is gone, and all are told.
-        CloudError if it was not returned, or may not have been."""
-        wait = self.waiting.get(name)
-        if wait is None:
-            wait = self.waiting[name] = _Wait()
+        """Return a machine, and announce to all controllers that it is gone.
+
+        With the cloud's confirmation nothing on it runs any more.
+
+        Raises:
+            CloudError: It was not returned, or may not have been.
+        """
+        pending = self.waiting.get(name)
+        if pending is None:
+            pending = self.waiting[name] = _PendingFence()
         if not self.sending:
             self.sending = True
             await curio.spawn(self._send, daemon=True)
-        await wait.over.wait()
-        if wait.error:
-            raise CloudError(wait.error)
+        await pending.done.wait()
+        if pending.error:
+            raise CloudError(pending.error)
 
     async def _send(self) -> None:
+        """Send requests until no fence is pending."""
         epoch = self.membership.epoch
         try:
             while self.waiting:
                 await self.cloud.turn()
                 if self.membership.epoch is not epoch:
                     # Machines have new owners, who may have heard them meanwhile.
-                    waits, self.waiting = self.waiting, {}
-                    await self._told(waits, "the epoch has moved on")
+                    fences, self.waiting = self.waiting, {}
+                    await self._finish(fences, "the epoch has moved on")
                     epoch = self.membership.epoch
                     continue
                 await self._return(list(self.waiting)[:MAX_MACHINES_PER_RETURN])
@@ -76,19 +96,22 @@
             self.sending = False
 
     async def _return(self, names: list[str]) -> None:
-        waits, error = {n: self.waiting.pop(n) for n in names}, ""
+        """Send one request, and finish its fences."""
+        fences = {name: self.waiting.pop(name) for name in names}
+        error = ""
         try:
             await self.cloud.return_now(names)
             await self.removal.announce(names)
         except CloudError as exc:
             error = str(exc)
-        except Exception as exc:  # whatever it is, those who wait are to be told
+        except Exception as exc:  # whatever it is, those who wait have to learn of it
             log.exception("event=return-failed machines=%d", len(names))
             error = repr(exc)
-        await self._told(waits, error)
+        await self._finish(fences, error)
 
     @staticmethod
-    async def _told(waits: dict[str, _Wait], error: str) -> None:
-        for wait in waits.values():
-            wait.error = error
-            await wait.over.set()
+    async def _finish(fences: dict[str, _PendingFence], error: str) -> None:
+        """Wake up those who wait for the fences."""
+        for pending in fences.values():
+            pending.error = error
+            await pending.done.set()
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -12,12 +12,21 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# How often a peer is told of a return that it doesn't acknowledge.
-TRIES = 3
+# How often a return is announced to a peer that doesn't acknowledge it.
+MAX_ANNOUNCEMENTS = 3
 
 
 class MachineRemoval:
-    """Takes returned machines out of everything known here, and tells the peers."""
+    """Removes returned machines from this controller's state, and announces them to the peers.
+
+    Args:
+        membership: The epoch that announcements are made in.
+        machines: The machines that this controller owns.
+        jobs: The jobs that this controller leads.
+        view: The free room of all machines.
+        peers: The other controllers, by label.
+        routines: Runs the announcements, and is signalled of what changes.
+    """
 
     def __init__(
         self,
@@ -36,28 +45,29 @@
         self.routines = routines
 
     def apply(self, names: Iterable[str]) -> None:
-        """Remove the machines, and settle all that was on them."""
-        found = dict.fromkeys(names)
-        self.machines.removed(found)
-        for name in found:
+        """Remove the machines, and end the tasks that ran on them."""
+        removed = dict.fromkeys(names)
+        self.machines.removed(removed)
+        for name in removed:
             self.view.index.remove(name)
             self.view.zones.pop(name, None)
         for managed in self.jobs.managed.values():
-            if managed.mark_machines_gone(found):
+            if managed.mark_machines_gone(removed):
                 self.routines.signal(managed.name)
         self.routines.signal("place")
 
     async def announce(self, names: list[str]) -> None:
-        """The cloud has just confirmed to this controller that these are gone; all are told."""
+        """Remove machines whose return the cloud has just confirmed, here and at all peers."""
         self.apply(names)
         rows = [(name,) for name in names]
         for peer in self.peers.values():
-            self.routines.spawn(self._tell(peer, rows))
+            self.routines.spawn(self._announce_to(peer, rows))
         await self.routines.flush()
 
-    async def _tell(self, peer: Peer, rows: list[tuple[str]]) -> None:
+    async def _announce_to(self, peer: Peer, rows: list[tuple[str]]) -> None:
+        """Send one peer the names, one in each row as the frame has them."""
         attempt = peer.begin()
-        for _ in range(TRIES):
+        for _ in range(MAX_ANNOUNCEMENTS):
             try:
                 await peer.call(frames.GONE, (self.membership.epoch.number, rows))
                 return
