--- a/clayport/scaling/catalogue.py
+++ b/clayport/scaling/catalogue.py
@@ -16,11 +16,20 @@
 
 # The pause between two reads of the catalogue, in leases of a worker.
 REFRESH_LEASES = 20
+# How fast images are taken to be fetched where no machine type says it.
+DEFAULT_FETCH_GB_PER_S = 1.0
 
 
 class Catalogue:
     """Keeps the machine types as the cloud lists them.
 
+    Args:
+        cloud: The client of the cloud's API.
+        machines: The machines owned here, whose free room depends on the types.
+        jobs: The jobs led here, whose dependencies go by how fast images are fetched.
+        routines: Draws the jitter of the pauses.
+        lease_s: The lease of a worker, in seconds.
+
     Attributes:
         types: The machine types; empty until the catalogue was read once.
     """
@@ -41,7 +50,7 @@
         self.types: list[MachineType] = []
 
     async def keep_current(self) -> None:
-        """Read the catalogue now and then, for as long as the process runs."""
+        """Read the catalogue every `REFRESH_LEASES` leases, for as long as the process runs."""
         attempt = self.cloud.begin()
         while True:
             try:
@@ -54,9 +63,10 @@
                 await self.cloud.back_off(attempt)
 
     def _apply(self) -> None:
-        """Tell those that go by the types; free room depends on them."""
-        self.machines.types = {t.name: t for t in self.types}
+        """Hand the types on to the parts that go by them; free room depends on them."""
+        self.machines.types = {kind.name: kind for kind in self.types}
         self.jobs.dependencies.fetch_gb_per_s = min(
-            (t.fetch_gb_per_s for t in self.types if t.fetch_gb_per_s > 0), default=1.0
+            (kind.fetch_gb_per_s for kind in self.types if kind.fetch_gb_per_s > 0),
+            default=DEFAULT_FETCH_GB_PER_S,
         )
         self.machines.mark_all_changed()
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -5,7 +5,7 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVar
 
 import curio
 import msgspec
@@ -24,8 +24,14 @@
 # The most machines in one request, by the protocol: to return, and to list.
 MAX_MACHINES_PER_RETURN = 100
 PAGE_SIZE = 500
+# Statuses of answers. (Importing `http` for their names would make each start longer.)
+OK, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE = 200, 429, 503
 # By the protocol, what an answer with status 503 says when there is no such machine to rent.
 NO_CAPACITY = b"no capacity"
+# The bytes of an unexpected answer that an error quotes.
+MAX_QUOTED_BYTES = 100
+
+Answer = TypeVar("Answer")
 
 
 class CloudError(Exception):
@@ -37,15 +43,21 @@
 
 
 class _Catalogue(msgspec.Struct):
+    """The answer to a request for the catalogue."""
+
     types: list[MachineType] = msgspec.field(name="flavors")
 
 
 class _Page(msgspec.Struct):
+    """A page of the list of machines, and whether others follow."""
+
     machines: list[CloudMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
 class _Rented(msgspec.Struct):
+    """The names of the machines that were rented."""
+
     machines: list[str] = msgspec.field(name="hosts")
 
 
@@ -90,10 +102,16 @@
             await curio.sleep(delay_s)
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
+        """Send a request when it is its turn; see `_send`."""
         await self.turn()
         return await self._send(method, path, body)
 
     async def _send(self, method: str, path: str, body: Any) -> tuple[int, bytes]:
+        """Send a request at once, and return the status and body of the answer.
+
+        Raises:
+            CloudError: There was no answer.
+        """
         raw = None if body is None else msgspec.json.encode(body)
         try:
             status, payload = await self.client.request(method, path, raw, self.timeout_s)
@@ -101,15 +119,24 @@
             await self.circuit.record(False)
             raise CloudError(str(exc)) from None
         # What is refused for lack of capacity has been served.
-        await self.circuit.record(status != 429 and (status != 503 or NO_CAPACITY in payload))
+        await self.circuit.record(
+            status != TOO_MANY_REQUESTS
+            and (status != SERVICE_UNAVAILABLE or NO_CAPACITY in payload)
+        )
         return status, payload
 
     @staticmethod
-    def _decode(status: int, payload: bytes, kind: Any) -> Any:
-        if status != 200:
-            raise CloudError(f"{status} {payload[:100]!r}")
+    def _check(status: int, payload: bytes) -> None:
+        """Raise CloudError unless the request was served."""
+        if status != OK:
+            raise CloudError(f"{status} {payload[:MAX_QUOTED_BYTES]!r}")
+
+    @classmethod
+    def _decode(cls, status: int, payload: bytes, answer_type: type[Answer]) -> Answer:
+        """Return the answer to a request that was served, or raise CloudError."""
+        cls._check(status, payload)
         try:
-            return msgspec.json.decode(payload, type=kind)
+            return msgspec.json.decode(payload, type=answer_type)
         except msgspec.MsgspecError as exc:
             raise CloudError(f"malformed answer: {exc}") from None
 
@@ -120,8 +147,7 @@
             CloudError: The cloud refused, did not answer, or answered something else.
         """
         status, payload = await self._call("GET", "/catalog")
-        found: list[MachineType] = self._decode(status, payload, _Catalogue).types
-        return found
+        return self._decode(status, payload, _Catalogue).types
 
     async def machines(self) -> list[CloudMachine]:
         """Return the machines in the cloud's list, page after page; the list lags.
@@ -130,24 +156,30 @@
             CloudError: A page was refused or not answered.
         """
         found: list[CloudMachine] = []
-        since = ""
+        last = ""  # the last machine of the page before
         while True:
             status, payload = await self._call(
                 "GET",
-                f"/hosts?since={since}&most={PAGE_SIZE}" if since else f"/hosts?most={PAGE_SIZE}",
+                f"/hosts?since={last}&most={PAGE_SIZE}" if last else f"/hosts?most={PAGE_SIZE}",
             )
-            page: _Page = self._decode(status, payload, _Page)
+            page = self._decode(status, payload, _Page)
             found += page.machines
             if not page.more or not page.machines:
                 return found
-            since = page.machines[-1].id
+            last = page.machines[-1].id
 
     async def rent(
         self, rental: str, machine_type: str, zone: str, spot: bool, count: int
     ) -> list[str]:
         """Rent up to `count` machines and return the names of those that were rented.
 
-        A `rental` name is never used for another request.
+        Args:
+            rental: The name of the rental, which makes the request idempotent: it is never
+                used for another request.
+            machine_type: The name of the machine type.
+            zone: The zone of the machines.
+            spot: Whether to rent spot machines.
+            count: How many machines to rent.
 
         Raises:
             NoCapacityError: No such machine can be rented now.
@@ -161,10 +193,10 @@
             "number": count,
         }
         status, payload = await self._call("POST", "/hosts", body)
-        if status == 503 and NO_CAPACITY in payload:
-            raise NoCapacityError
-        names: list[str] = self._decode(status, payload, _Rented).machines
-        return names
+        if status == SERVICE_UNAVAILABLE and NO_CAPACITY in payload:
+            market = "spot" if spot else "on-demand"
+            raise NoCapacityError(f"no {market} machine of type {machine_type} in zone {zone}")
+        return self._decode(status, payload, _Rented).machines
 
     async def give_back(self, names: list[str]) -> None:
         """Return up to `MAX_MACHINES_PER_RETURN` machines; they and all on them are gone then.
@@ -176,7 +208,10 @@
         await self.return_now(names)
 
     async def return_now(self, names: list[str]) -> None:
-        """Return machines as `give_back`, by a caller that has waited for its `turn`."""
+        """Return machines as `give_back`, by a caller that has waited for its `turn`.
+
+        Raises:
+            CloudError: Refused or unanswered; it may still be executed.
+        """
         status, payload = await self._send("POST", "/hosts/return", {"hosts": names})
-        if status != 200:
-            raise CloudError(f"{status} {payload[:100]!r}")
+        self._check(status, payload)
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -1,7 +1,4 @@
-"""Which machines to rent for what waits. Pure: no I/O, no clock.
-
-Names imported under their own names are for modules that still import them from here.
-"""
+"""Which machines to rent for what waits. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,13 +6,8 @@
 from typing import NamedTuple
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.boot_times import (
-    Kind,
-    ready_s,
-)
-from clayport.scaling.demand import (
-    Demand,
-)
+from clayport.scaling.boot_times import Kind, ready_s
+from clayport.scaling.demand import Demand
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import place
 from clayport.scheduling.policy import Policy
@@ -31,19 +23,19 @@
 def empty_room(kind: MachineType, name: str, zone: str, spot: bool) -> Room:
     """Return the room of a machine of the type on which nothing runs."""
     return Room(
-        name,
-        "",
-        kind.name,
-        zone,
-        spot,
-        True,
-        kind.cpus,
-        kind.gpus,
-        kind.memory_gb,
-        0,
-        (),
-        math.inf,
-        "",
+        machine=name,
+        address="",
+        type=kind.name,
+        zone=zone,
+        spot=spot,
+        open=True,
+        cpus=kind.cpus,
+        gpus=kind.gpus,
+        memory_gb=kind.memory_gb,
+        tasks=0,
+        images=(),
+        idle_since=math.inf,
+        owner="",
     )
 
 
@@ -96,10 +88,12 @@
         boot_s: By type, the boot times of the settings. A type whose machines come up later
             counts as so much more expensive: they are paid for meanwhile.
     """
-    rented: list[Kind] = []
+    planned: list[Kind] = []
     counts: dict[Kind, int] = {}
     rooms = Index()
-    expected_cpus = EXPECTED_GROWTH * busy_cpus + sum(n.job.cpus * n.tasks for n in missing)
+    expected_cpus = EXPECTED_GROWTH * busy_cpus + sum(
+        need.job.cpus * need.tasks for need in missing
+    )
     for job, wanted, _, other_zones in missing:
         spread = Spread(job, other_zones)
         likely = int(expected_cpus / job.cpus) if job.cpus else wanted
@@ -111,23 +105,29 @@
             if best is None:
                 break
             _, most, zone, kind, spot = best
-            which = (kind.name, zone, spot)
-            if counts.get(which, 0) >= MAX_RENTED_AT_ONCE:
+            rental = (kind.name, zone, spot)
+            if counts.get(rental, 0) >= MAX_RENTED_AT_ONCE:
                 # As many as are rented at once: the rest is planned in the next round, so
                 # that a flood costs no more than that.
                 break
-            room = empty_room(kind, f"new-{len(rented)}", zone, spot)
-            tasks = 0
-            while tasks < min(wanted, most) and spread.allows(zone):
-                spread.add(zone)
-                tasks += 1
+            room = empty_room(kind, f"new-{len(planned)}", zone, spot)
+            tasks = _allowed_in(zone, min(wanted, most), spread)
             room.take(job, tasks)
             rooms.add(room)
             zones[zone] = zones.get(zone, 0) + 1
-            counts[which] = counts.get(which, 0) + 1
-            rented.append(which)
+            counts[rental] = counts.get(rental, 0) + 1
+            planned.append(rental)
             wanted -= tasks
-    return rented
+    return planned
+
+
+def _allowed_in(zone: str, most: int, spread: Spread) -> int:
+    """Add tasks in the zone, as many as may be there, and return how many were added."""
+    tasks = 0
+    while tasks < most and spread.allows(zone):
+        spread.add(zone)
+        tasks += 1
+    return tasks
 
 
 def _best_offer(
@@ -144,8 +144,8 @@
     """
     best = min(
         (
-            (price / min(tasks, most), zones.get(zone, 0), zone, n)
-            for n, (price, most, zone, _, _) in enumerate(offers)
+            (price / min(tasks, most), zones.get(zone, 0), zone, number)
+            for number, (price, most, zone, _, _) in enumerate(offers)
             if spread.allows(zone)
         ),
         default=None,
@@ -158,22 +158,22 @@
     job: Job,
     refused: set[Kind],
     policy: Policy,
-    time_left: float,
+    time_left_s: float,
     boot_s: dict[str, float] | None,
 ) -> list[Offer]:
     """The machines that could be rented for a job."""
     expensive = policy.expensive_types(job)
     found: list[Offer] = []
     for kind in types:
-        if not fits(job, kind) or (kind.name in expensive and time_left < ready_s(job, kind)):
+        if not fits(job, kind) or (kind.name in expensive and time_left_s < ready_s(job, kind)):
             continue
         most = capacity(job, empty_room(kind, "", "", False))
-        late = max(1.0, kind.boot_s / boot_s[kind.name]) if boot_s else 1.0
+        lateness = max(1.0, kind.boot_s / boot_s[kind.name]) if boot_s else 1.0
         for zone in kind.zones:
             if most <= 0 or job.zone not in (None, zone):
                 continue
             found += [
-                Offer(price_of(kind, spot) * late, most, zone, kind, spot)
+                Offer(price_of(kind, spot) * lateness, most, zone, kind, spot)
                 for spot in ((True, False) if job.spot else (False,))
                 if (kind.name, zone, spot) not in refused
             ]
