--- /dev/null
+++ b/clayport/machines/evacuation.py
@@ -0,0 +1,150 @@
+"""Moving the replicas of services off a machine, one at a time."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+import curio
+
+from clayport.machines.machine import Machine, TaskKey
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.model import Job, split_task
+from clayport.routines import Routines
+from clayport.scheduling.policy import Policy
+from clayport.settings import Settings
+from clayport.transport import frames
+from clayport.transport.peers import Peer, PeerError
+
+log = logging.getLogger(__name__)
+
+
+class ReplicaPlacement(Protocol):
+    """Knows where a replica would find another place."""
+
+    def policy(self) -> Policy:
+        """What keeps work off machines, from all jobs known."""
+        ...
+
+    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+        """Whether a replica would find another place where it starts soon."""
+        ...
+
+
+class ReplicaEvacuation:
+    """Stops replicas on machines owned here for which there is another place.
+
+    Args:
+        machines: The machines owned here.
+        membership: The epoch, and whether this controller serves in it.
+        peers: The other controllers, by label.
+        poke: Has what is queued for a machine sent.
+        routines: Where evacuations run.
+        settings: The settings, for the workers' lease and the interval of their reports.
+    """
+
+    def __init__(
+        self,
+        *,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        poke: Callable[[str], None],
+        routines: Routines,
+        settings: Settings,
+    ) -> None:
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.poke = poke
+        self.routines = routines
+        self.settings = settings
+
+    def connect(self, *, placer: ReplicaPlacement) -> None:
+        """Set the part that is built later than this one."""
+        self.placer = placer
+
+    def evacuate(self, name: str, drain: bool) -> bool:
+        """Begin to move a machine's replicas off.
+
+        Args:
+            name: The machine.
+            drain: Whether to move all of them, to drain the machine; otherwise as many as the
+                guest of its GPUs needs to fit again.
+
+        Returns:
+            Whether the evacuation has begun with this call.
+        """
+        machine = self.machines.machines.get(name)
+        now = time.monotonic()
+        if (
+            machine is None
+            or machine.evacuating
+            or not self.machines.replicas(machine)
+            or now - machine.evacuated_at < self.settings.cluster.workers.lease_s / 2
+            or not (self.machines.open(machine) or self.machines.is_unhealthy(machine))
+        ):
+            return False
+        log.info(
+            "machine=%s event=evacuate replicas=%d drain=%s",
+            name,
+            len(self.machines.replicas(machine)),
+            drain,
+        )
+        machine.evacuating, machine.evacuated_at = True, now
+        machine.draining = drain
+        self.machines.touch(name)
+        self.routines.spawn(self._evacuate(machine, drain))
+        return True
+
+    async def _evacuate(self, machine: Machine, drain: bool) -> None:
+        """Stop one replica at a time, each only while its leader has another place for it."""
+        epoch = self.membership.epoch
+        try:
+            while (
+                self.membership.epoch is epoch
+                and self.membership.serving
+                and machine.notice_at is None
+            ):
+                replicas = [
+                    replica
+                    for replica in self.machines.replicas(machine)
+                    if replica[0] not in machine.pending_kills
+                ]
+                machine_type = self.machines.types.get(machine.type)
+                if machine_type is None or not replicas:
+                    return
+                room = self.machines.room(machine)
+                if not drain and self.placer.policy().blocked(room, machine_type) <= 0:
+                    return
+                for key, job in replicas:
+                    if await self._movable(machine, key, job, drain):
+                        machine.pending_kills.setdefault(key, 0.0)
+                        self.poke(machine.name)
+                        await self.routines.flush()
+                        break
+                else:
+                    machine.draining = False
+                    self.machines.touch(machine.name)
+                    return
+                await curio.sleep(self.settings.cluster.workers.report_s / 2)
+        finally:
+            machine.evacuating = False
+
+    async def _movable(self, machine: Machine, key: TaskKey, job: Job, drain: bool) -> bool:
+        """Whether the leader of the replica's job has another place for it."""
+        number = split_task(key[0])[1]
+        epoch = self.membership.epoch
+        leader = epoch.member_for(job.id)
+        if leader == self.membership.label:
+            return self.placer.movable(job.id, number, machine.name, drain)
+        try:
+            answer = await self.peers[leader].call(
+                frames.MOVE, (epoch.number, job.id, number, machine.name, drain)
+            )
+            return bool(answer[0])
+        except (PeerError, KeyError):
+            return False
--- /dev/null
+++ b/clayport/machines/event_delivery.py
@@ -0,0 +1,130 @@
+"""Delivering events of tasks to the leaders of their jobs, and applying their verdicts."""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Protocol
+
+from clayport.jobs.verdicts import Verdict
+from clayport.machines.events import GONE, TaskEvent
+from clayport.machines.machine import TaskKey
+from clayport.machines.routing import Routing
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.routines import Routines
+from clayport.scheduling.cached_state import CachedState
+from clayport.transport import frames
+from clayport.transport.peers import Peer, PeerError
+
+# Events per request to a leader.
+MAX_EVENTS = 500
+
+# Events that wait for a leader by (machine, task, attempt): the newest of each is enough.
+Outbox = OrderedDict[tuple[str, str, int], TaskEvent]
+
+
+class EventHandler(Protocol):
+    """Takes in what owners tell of tasks, where this controller leads the job itself."""
+
+    def told(self, events: Iterable[TaskEvent]) -> list[Verdict]:
+        """Judge the events in order; a verdict for each."""
+        ...
+
+
+class EventDelivery:
+    """Keeps an outbox for each leader of jobs, and empties it.
+
+    Args:
+        cached_state: Notes changes of the machines' room.
+        machines: The machines owned here.
+        membership: The epoch, and whether this controller serves in it.
+        peers: The other controllers, by label.
+        poke: Has what is queued for a machine sent.
+        routines: Wakes the delivery when there is an event.
+
+    Attributes:
+        outboxes: The events that wait, by the label of the leader.
+    """
+
+    def __init__(
+        self,
+        *,
+        cached_state: CachedState,
+        machines: MachineTable,
+        membership: MembershipState,
+        peers: Mapping[str, Peer],
+        poke: Callable[[str], None],
+        routines: Routines,
+    ) -> None:
+        self.cached_state = cached_state
+        self.machines = machines
+        self.membership = membership
+        self.peers = peers
+        self.poke = poke
+        self.routines = routines
+        self.outboxes: dict[str, Outbox] = {}
+
+    def connect(self, *, dispatcher: EventHandler, routing: Routing) -> None:
+        """Set the parts that are built later than this one."""
+        self.dispatcher = dispatcher
+        self.routing = routing
+
+    def emit(self, job: str, event: TaskEvent) -> None:
+        """Put an event into the outbox of the job's leader."""
+        leader = self.membership.epoch.member_for(job)
+        outbox = self.outboxes.setdefault(leader, OrderedDict())
+        outbox[event[:3]] = event
+        self.routines.signal(f"outbox {leader}")
+
+    async def tell(self, leader: str) -> None:
+        """Deliver events to one leader until it has taken them; runs for ever."""
+        while True:
+            await self.routines.wait(f"outbox {leader}")
+            outbox = self.outboxes.setdefault(leader, OrderedDict())
+            attempt = self.routing.start_attempt(leader)
+            while outbox and self.membership.serving:
+                epoch = self.membership.epoch
+                batch = [outbox.popitem(last=False)[1] for _ in range(min(len(outbox), MAX_EVENTS))]
+                accepted, verdicts = await self._deliver(leader, batch)
+                if self.membership.epoch is not epoch:
+                    break
+                if not accepted or len(verdicts) != len(batch):
+                    for event in batch:
+                        outbox.setdefault(event[:3], event)
+                    await self.routing.back_off(leader, attempt)
+                    continue
+                touched: dict[str, None] = {}
+                for event, verdict in zip(batch, verdicts):
+                    self._apply_verdict(event, verdict)
+                    touched[event[0]] = None
+                for machine in touched:
+                    self.poke(machine)
+                self.cached_state.note_own_room()
+
+    async def _deliver(self, leader: str, batch: list[TaskEvent]) -> tuple[bool, Sequence[int]]:
+        """Hand a batch to the leader; whether it has taken it, and a verdict for each event."""
+        try:
+            if leader == self.membership.label:
+                return True, self.dispatcher.told(batch)
+            accepted, packed = await self.peers[leader].call(
+                frames.TASK_STATES, (self.membership.epoch.number, batch)
+            )
+            return accepted, [verdict for (verdict,) in packed]
+        except (PeerError, KeyError):
+            return False, []
+
+    def _apply_verdict(self, event: TaskEvent, verdict: int) -> None:
+        """Do with a task what its job's leader has decided."""
+        machine, task, attempt, state = event[:4]
+        key: TaskKey = (task, attempt)
+        if verdict == Verdict.LATER:
+            self.machines.emit_again(machine, key)
+        elif verdict in (Verdict.JOB_AT_FAULT, Verdict.MACHINE_AT_FAULT):
+            self.machines.judge(machine, task.partition("/")[0], verdict == Verdict.JOB_AT_FAULT)
+        elif state == GONE:
+            self.machines.settled(machine, key)
+        elif verdict == Verdict.KILL:
+            self.machines.stop([(machine, task, attempt, 0.0, False)])
+        elif verdict == Verdict.CLEAR:
+            self.machines.stop([(machine, task, attempt, 0.0, True)])
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -702,7 +702,7 @@
     c.membership.records_loaded = True
     monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
     c.watermark.note_promise("c1", heard, home.now + heard_s, home.now + heard_s)
-    c.fleet.forwarded["m1"] = home.now
+    c.fleet.report_answers.forwarded["m1"] = home.now
     sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
     report |= {"loaners": False, "tenure": 1, "counter": 1, "epoch": sent, "pieces": []}
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from clayport.machines.fencing import MachineFencing
-from clayport.machines.fleet import Fleet
+from clayport.machines.silence import SilenceWatch
 from clayport.scaling.cloud import CloudError
 from clayport.transport.peers import PeerError
 
@@ -125,22 +125,22 @@
                 raise PeerError("away")
             return (self.says,)
 
-    fleet: Any = object.__new__(Fleet)
-    fleet.peers = {
+    silence: Any = object.__new__(SilenceWatch)
+    silence.peers = {
         "out": Asked(True),
         "c1": Asked(None if theirs is None else theirs),
         "c2": Asked(False),
     }
-    fleet.command_s = 3.0
+    silence.command_s = 3.0
 
     async def inspect(*_: Any) -> bool:
         await curio.sleep(3.0)
         return ours
 
-    fleet.inspect = inspect
+    silence.inspect = inspect
 
     async def main(clock: Clock) -> tuple[bool, float]:
         began = clock()
-        return await fleet._answers("i-000001", "m:1", {"c0", "c1", "c2"}), clock() - began
+        return await silence._answers("i-000001", "m:1", {"c0", "c1", "c2"}), clock() - began
 
     assert simulate(monkeypatch, main) == (answers, 4.0)
