--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -3,19 +3,16 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
 from clayport.machines.machine import LIVE, QUEUED, RESERVED, DesiredTask
 from clayport.machines.reports import GONE_STATUS, emit_status
+from clayport.machines.table_parts import AssignmentTable
 from clayport.model import Job
 from clayport.scheduling.room import Room
 
-if TYPE_CHECKING:
-    from clayport.machines.table import MachineTable
-
 
 def reserve(
-    table: MachineTable, job: Job, items: Iterable[tuple[str, int]], attempt: int, now: float
+    table: AssignmentTable, job: Job, items: Iterable[tuple[str, int]], attempt: int, now: float
 ) -> list[bool]:
     """Keep room for tasks; refused where it is short (the decline that ASC counts).
 
@@ -55,7 +52,7 @@
     return granted
 
 
-def expire(table: MachineTable, now: float) -> None:
+def expire(table: AssignmentTable, now: float) -> None:
     """Drop reservations whose leader has not come back for them, and room kept too long."""
     for machine in table.machines.values():
         if machine.held_for_job and now >= machine.held_until:
@@ -70,7 +67,7 @@
             table.touch(machine.name)
 
 
-def launch(table: MachineTable, items: Iterable[tuple[str, str, int]]) -> list[int]:
+def launch(table: AssignmentTable, items: Iterable[tuple[str, str, int]]) -> list[int]:
     """Queue launches; 0: no reservation, so it isn't and won't be launched.
 
     Only a standing reservation is launched. That guards against a launch
@@ -87,7 +84,7 @@
     return answers
 
 
-def stop(table: MachineTable, items: Iterable[tuple[str, str, int, float, bool]]) -> None:
+def stop(table: AssignmentTable, items: Iterable[tuple[str, str, int, float, bool]]) -> None:
     """Kill tasks, or clear them from the list of what has exited.
 
     Args:
@@ -118,7 +115,7 @@
             machine.pending_kills[key] = min(grace_s, machine.pending_kills.get(key, grace_s))
 
 
-def adopt(table: MachineTable, items: Iterable[tuple[str, str, int]], now: float) -> None:
+def adopt(table: AssignmentTable, items: Iterable[tuple[str, str, int]], now: float) -> None:
     """Take over assignments that a leader found committed: fenced reports settle them."""
     for name, task, attempt in items:
         machine = table.machine(name, now)
--- a/clayport/machines/commands.py
+++ b/clayport/machines/commands.py
@@ -5,13 +5,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from clayport.machines.machine import LIVE, QUEUED, SENT, Machine, TaskKey, job_id
 from clayport.machines.reports import settle_launches
-
-if TYPE_CHECKING:
-    from clayport.machines.table import MachineTable
+from clayport.machines.table_parts import CommandTable
 
 # Commands of a kind per request, so that 64 KiB always suffice.
 MAX_COMMANDS = 300
@@ -34,7 +32,7 @@
     return {"verb": "launch", "piece": key[0], "try": key[1]}
 
 
-def take_orders(table: MachineTable, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
+def take_orders(table: CommandTable, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
     """The commands to send now, and the launches among them, which become SENT."""
     orders = [clear_order(key) for key in list(machine.pending_clears)[:MAX_COMMANDS]]
     orders += [
--- a/clayport/machines/eviction.py
+++ b/clayport/machines/eviction.py
@@ -4,20 +4,17 @@
 
 import logging
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
 from clayport.machines.machine import Machine, TaskKey, job_id
+from clayport.machines.table_parts import RoomTable
 from clayport.model import SERVICE, Job
 from clayport.scheduling.room import Room, capacity
 
-if TYPE_CHECKING:
-    from clayport.machines.table import MachineTable
-
 log = logging.getLogger(__name__)
 
 
 def preempt(
-    table: MachineTable,
+    table: RoomTable,
     job: Job,
     machine: Machine,
     grace_s: float,
@@ -51,7 +48,7 @@
 
 
 def _victims(
-    table: MachineTable, job: Job, machine: Machine, room: Room, borrowers: Iterable[str]
+    table: RoomTable, job: Job, machine: Machine, room: Room, borrowers: Iterable[str]
 ) -> list[tuple[TaskKey, Job]]:
     """The tasks that may be preempted, the first to stop first.
 
@@ -70,7 +67,7 @@
     return [(key, victim) for _, _, key, victim in victims]
 
 
-def drain(table: MachineTable, machine: Machine) -> bool:
+def drain(table: RoomTable, machine: Machine) -> bool:
     """Close an idle machine for good; see `MachineTable.drain`."""
     room = table.room(machine)
     if room.tasks and room.idle:
@@ -93,7 +90,7 @@
     return True
 
 
-def replicas(table: MachineTable, machine: Machine) -> list[tuple[TaskKey, Job]]:
+def replicas(table: RoomTable, machine: Machine) -> list[tuple[TaskKey, Job]]:
     """The replicas of services on a machine that would have to move."""
     found = []
     for key in machine.occupying():
--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from clayport.machines.events import GONE, TaskEvent
 from clayport.machines.machine import (
     LIVE,
@@ -18,16 +16,14 @@
     TaskStatus,
     job_id,
 )
+from clayport.machines.table_parts import ReportTable, StatusTable
 from clayport.model import ReportedTask, WorkerHeartbeat
 
-if TYPE_CHECKING:
-    from clayport.machines.table import MachineTable
-
 GONE_STATUS = TaskStatus(GONE, "", False)
 
 
 def apply_report(
-    table: MachineTable, report: WorkerHeartbeat, now: float, renews_lease: bool
+    table: ReportTable, report: WorkerHeartbeat, now: float, renews_lease: bool
 ) -> Machine | None:
     """Apply a report; None for one that is older than what is known.
 
@@ -76,7 +72,7 @@
     return machine
 
 
-def emit_status(table: MachineTable, machine: Machine, key: TaskKey, status: TaskStatus) -> None:
+def emit_status(table: StatusTable, machine: Machine, key: TaskKey, status: TaskStatus) -> None:
     """Send a task's status to its job's leader, and count it for the machine's health."""
     machine.emitted[key] = status
     job = job_id(key)
@@ -130,7 +126,7 @@
     return statuses
 
 
-def _take_statuses(table: MachineTable, machine: Machine) -> None:
+def _take_statuses(table: ReportTable, machine: Machine) -> None:
     """Settle launches of tasks that are listed, and emit what is new of each."""
     desired_tasks, emitted = machine.desired, machine.emitted
     for key, status in machine.reported_tasks.items():
@@ -141,7 +137,7 @@
             emit_status(table, machine, key, status)
 
 
-def _note_images(table: MachineTable, machine: Machine) -> None:
+def _note_images(table: ReportTable, machine: Machine) -> None:
     """Note the images that the machine's tasks have made it load."""
     machine_type = table.types.get(machine.type)
     if machine_type is None:
@@ -161,7 +157,7 @@
             held_gb -= images.popitem(last=False)[1]
 
 
-def _checkpoint(table: MachineTable, machine: Machine) -> None:
+def _checkpoint(table: ReportTable, machine: Machine) -> None:
     """Stop the tasks that can save a checkpoint: the cloud takes the machine."""
     for key, status in machine.reported_tasks.items():
         job = table.job_of(job_id(key))
@@ -174,7 +170,7 @@
             machine.pending_kills[key] = job.save_s
 
 
-def _emit_missing(table: MachineTable, machine: Machine) -> None:
+def _emit_missing(table: ReportTable, machine: Machine) -> None:
     """Emit as gone what should be on the machine and isn't, by a report under its token."""
     for key, desired in machine.desired.items():
         if desired.phase is LIVE and key not in machine.reported_tasks:
@@ -183,7 +179,7 @@
                 emit_status(table, machine, key, GONE_STATUS)
 
 
-def _note_change(table: MachineTable, machine: Machine, now: float) -> None:
+def _note_change(table: ReportTable, machine: Machine, now: float) -> None:
     """Note that the room has changed, and whether any work but best-effort work is there."""
     table.touch(machine.name)
     for key in (*machine.desired, *machine.occupying()):
