--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -15,8 +15,12 @@
 
 import curio
 
+from clayport.jobs.commits import FencedCommits
 from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.owner_requests import OwnerRequests
+from clayport.jobs.quota_charges import QuotaCharger
 from clayport.jobs.registry import JobRegistry
+from clayport.jobs.task_events import TaskEvents
 from clayport.leases.promises import Promises
 from clayport.leases.renewal import LeaseRenewal
 from clayport.leases.watermark import CancellationWatermark
@@ -233,21 +237,30 @@
             upgrade=self.upgrade,
             view=self.view,
         )
-        self.dispatcher = Dispatcher(
-            cached_state=self.cached_state,
+        self.owner_requests = OwnerRequests(
             fleet=self.fleet,
-            jobs=self.jobs,
             machines=self.machines,
             membership=self.membership,
             peers=self.peers,
+            routines=self.routines,
+            routing=self.routing,
+        )
+        self.task_events = TaskEvents(jobs=self.jobs, queue=self.queue, routines=self.routines)
+        self.dispatcher = Dispatcher(
+            cached_state=self.cached_state,
+            commits=FencedCommits(membership=self.membership, store=self.store),
+            jobs=self.jobs,
+            membership=self.membership,
+            owner_requests=self.owner_requests,
             queue=self.queue,
+            quota_charger=QuotaCharger(jobs=self.jobs, quotas=self.quotas, store=self.store),
             quotas=self.quotas,
             rebuild=self.rebuild,
             record_replica=self.record_replica,
             routines=self.routines,
-            routing=self.routing,
             settings=self.settings,
             store=self.store,
+            task_events=self.task_events,
             upgrade=self.upgrade,
             view=self.view,
         )
@@ -359,7 +372,7 @@
         """Give the parts that were built first those that were built after them."""
         self.stalls.connect(provisioner=self.provisioner)
         self.fleet.connect(
-            dispatcher=self.dispatcher,
+            dispatcher=self.task_events,
             placer=self.placer,
             provisioner=self.provisioner,
             routing=self.routing,
--- /dev/null
+++ b/clayport/jobs/task_events.py
@@ -0,0 +1,51 @@
+"""Judging what owners of machines tell of the tasks of the jobs that this controller leads."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Iterable
+
+from clayport.jobs.registry import JobRegistry
+from clayport.jobs.verdicts import Verdict, for_uncommitted
+from clayport.model import split_task
+from clayport.routines import Routines
+from clayport.scheduling.queueing import JobQueue
+
+# The fields of a `machines.events.TaskEvent`, as they come off the wire.
+EventRow = tuple[str, str, int, str, str, bool]
+
+
+class TaskEvents:
+    """Passes events of tasks to their jobs, and wakes the jobs' routines."""
+
+    def __init__(self, *, jobs: JobRegistry, queue: JobQueue, routines: Routines) -> None:
+        self.jobs = jobs
+        self.queue = queue
+        self.routines = routines
+
+    def told(self, events: Iterable[EventRow]) -> list[Verdict]:
+        """Judge an owner's events in order; a verdict for each."""
+        verdicts = []
+        now = time.monotonic()
+        for machine, task, attempt, state, cause, _ in events:
+            try:
+                job, number = split_task(task)
+            except ValueError:
+                verdicts.append(Verdict.CLEAR if state == "exited" else Verdict.KILL)
+                continue
+            managed = self.jobs.managed.get(job)
+            if managed is None:
+                if job in self.jobs.live:
+                    verdict = Verdict.LATER  # its routine is just being started
+                else:
+                    verdict = for_uncommitted(state)
+            else:
+                started = managed.started
+                verdict = managed.handle_event(machine, number, attempt, state, cause, now)
+                if managed.started != started:
+                    self.queue.touch(job)
+                if number in managed.outcomes:
+                    managed.exited_on[number] = machine if state == "exited" else ""
+                    self.routines.signal(managed.name)
+            verdicts.append(verdict)
+        return verdicts
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -184,7 +184,7 @@
 
     async def states(self, _epoch: int, events: list[tuple[Any, ...]]) -> Answer:
         """STATES: what machines' owners have seen of tasks."""
-        verdicts = self.dispatcher.told(events)
+        verdicts = self.dispatcher.task_events.told(events)
         return frames.VERDICTS, (True, [(v,) for v in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
--- a/clayport/scheduling/quota_portions.py
+++ b/clayport/scheduling/quota_portions.py
@@ -1,7 +1,7 @@
 """A team's quota divided into portions that several holders use without asking for each start.
 
 Nothing calls this module yet. At present every commit that assigns or ends tasks of a limited team
-also writes one record of that team (`Dispatcher._charge`). docs/cells.md says why that can't hold
+also writes one record of that team (`QuotaCharger.charge`). docs/cells.md says why that can't hold
 for the number of starts in two years, and why portions come first. The decisions are kept here with
 tests that visit every order of events, so that the protocol is settled before starts and ends are
 wired to it; what that still lacks is in docs/ROADMAP.md.
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -447,7 +447,7 @@
     managed = home.wait(msgspec.convert(wire_job(4, **fields), Job))
     managed.outcomes = {n: (1, done) for n, done in ended}
     dispatch = home.c.dispatcher
-    assert dispatch._gathers(managed, home.now) == waits
+    assert dispatch._waits_for_more_outcomes(managed, home.now) == waits
     later = home.now + home.c.settings.cluster.workers.report_s / 2
     managed.outcomes[3] = (1, True)
-    assert not dispatch._gathers(managed, later)
+    assert not dispatch._waits_for_more_outcomes(managed, later)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from clayport.jobs.dispatcher import EpochEndedError
+from clayport.jobs.errors import EpochEndedError
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.jobs.verdicts import Verdict
@@ -511,11 +511,11 @@
         elif prepare == "outcomes":
             old.chunks[0].assigned[2] = (1, "m1")
             old.handle_event("m1", 2, 1, "exited", "stopped", home.now)
-        step = c.dispatcher._adopt if prepare == "adopt" else c.dispatcher._step
+        step = c.owner_requests.adopt if prepare == "adopt" else c.dispatcher._step
         with pytest.raises(EpochEndedError):
             curio.run(step, old)
         assert not c.machines.machines["m1"].desired
-    curio.run(c.dispatcher._stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
+    curio.run(c.owner_requests.stop, old, [("m1", "j-000001/0", 1, 0.0, False)])
     assert not c.machines.machines["m1"].pending_kills
 
 
