--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -15,7 +15,7 @@
 from clayport.jobs.commits import FencedCommits
 from clayport.jobs.errors import EpochEndedError
 from clayport.jobs.managed_job import ManagedJob
-from clayport.jobs.owner_requests import OwnerRequests
+from clayport.jobs.owner_requests import OwnerRequests, Start
 from clayport.jobs.quota_charges import QuotaCharger, add_charges
 from clayport.jobs.registry import JobRegistry
 from clayport.jobs.task_events import TaskEvents
@@ -44,6 +44,13 @@
 # The share of a report's interval for which done tasks wait for others of their array.
 OUTCOME_BATCH_SHARE = 0.2
 
+# The longest that a routine with nothing to do waits, and the time after which it asks for tasks
+# that nobody has reported, in lifetimes of a controller's lease.
+IDLE_LEASES = 4
+
+# The shortest wait for more outcomes, in seconds.
+MIN_WAIT_S = 0.001
+
 
 class Dispatcher:
     """Leads jobs: one routine for each, for as long as an epoch lasts."""
@@ -131,16 +138,18 @@
                 patience_s = (
                     self.membership.lease_ttl_s
                     if managed.ended or managed.attempt_failed
-                    else 4 * self.membership.lease_ttl_s
+                    else IDLE_LEASES * self.membership.lease_ttl_s
                 )
                 if managed.batch_outcomes_until and managed.outcomes:
-                    patience_s = max(0.001, managed.batch_outcomes_until - time.monotonic())
+                    patience_s = max(MIN_WAIT_S, managed.batch_outcomes_until - time.monotonic())
                 await self.routines.wait(name, patience_s)
-                unheard = managed.find_unreported(time.monotonic(), 4 * self.membership.lease_ttl_s)
-                if unheard:
+                unreported = managed.find_unreported(
+                    time.monotonic(), IDLE_LEASES * self.membership.lease_ttl_s
+                )
+                if unreported:
                     # Of what nobody says anything, the owner may have lost track.
-                    log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unheard))
-                    await self.owner_requests.adopt(managed, unheard)
+                    log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unreported))
+                    await self.owner_requests.adopt(managed, unreported)
         except EpochEndedError:
             pass
         finally:
@@ -243,7 +252,7 @@
         started again while they run.)
         """
         fence = self.commits.fence(managed)
-        moved: set[int] = set()
+        written: set[int] = set()
         log.info(
             "job=%s generation=%d event=narrow chunks=%d size=%d",
             managed.job.id,
@@ -252,22 +261,26 @@
             managed.chunk_size,
         )
         while managed.wider_chunks:
-            txn, chunks, gone = split_txn(managed, fence, self.upgrade.limits.txn_ops, moved)
+            txn, chunks, deleted = split_txn(managed, fence, self.upgrade.limits.txn_ops, written)
             try:
                 rev = await self.commits.commit(txn, fence)
             except ConflictError as exc:
                 await self._resolve_conflict(managed, exc, fence)
                 return
             managed.apply_commit(chunks, rev)
-            moved.update(chunks)
-            for key in gone:
+            written.update(chunks)
+            for key in deleted:
                 del managed.wider_chunks[key]
 
     async def _cancel_for_prerequisite(self, managed: ManagedJob) -> None:
-        """A job that this one needs was cancelled, and so is this one.
+        """Cancel the job, since a job that it needs was cancelled.
 
-        From the records alone, by whichever controller is its home: the one that told the
+        From the records alone, by whichever controller leads it: the one that told the
         user may be gone. No task of it has ever started.
+
+        Raises:
+            EpochEndedError: The epoch that the job was loaded under has ended.
+            UnavailableError: The state service doesn't answer, or the record is changing.
         """
         job = managed.job.id
         entry = await self.store.get(live_key(job))
@@ -290,7 +303,15 @@
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
         self.record_replica.note_end(job, "cancelled", time.time(), rev)
 
-    async def _start(self, managed: ManagedJob, starts: list[tuple[int, str]]) -> None:
+    async def _start(self, managed: ManagedJob, starts: list[Start]) -> None:
+        """Reserve room with the owners, commit the starts that they grant, and launch these.
+
+        What isn't committed is released. No task is launched before its start is committed.
+
+        Raises:
+            EpochEndedError: The epoch that the job was loaded under has ended.
+            UnavailableError: The state service doesn't answer; nothing was committed.
+        """
         job = managed.job
         fence = self.commits.fence(managed)
         epoch = self.membership.epoch
@@ -302,34 +323,16 @@
         granted = await self.owner_requests.reserve(managed, starts, attempt)
         if self.membership.epoch is not epoch:
             raise EpochEndedError
-        declined = [s for s in starts if s not in granted]
-        self.cached_state.adaptive_interval.count(len(granted), len(declined))
-        for _, machine in declined:
-            # Not tried again before the cached state of it is renewed.
-            room = self.view.rooms.get(machine)
-            if room is not None and room.owner != self.membership.label:
-                room.close()
-        if declined:
-            self.routines.signal("starved")
-            self.cached_state.starved = True
-        release = [(m, f"{job.id}/{n}", attempt, 0.0, False) for n, m in granted]
+        declined = [start for start in starts if start not in granted]
+        self._note_answers(granted, declined)
+        release = [
+            (machine, f"{job.id}/{number}", attempt, 0.0, False) for number, machine in granted
+        ]
         if not granted or managed.ended or (job.kind == GANG and declined):
             await self.owner_requests.stop(managed, release)
             return
         try:
-            charges = await self.quota_charger.charge(job, len(granted))
-        except UnavailableError:
-            await self.owner_requests.stop(managed, release)
-            raise
-        if charges is None:
-            await self.owner_requests.stop(managed, release)
-            return
-        txn, chunks = start_txn(managed, fence, granted, attempt)
-        add_charges(txn, charges)
-        try:
-            rev = await self.commits.commit(
-                txn, fence, URGENT_PRIORITY_S if job.kind == SERVICE else 0.0
-            )
+            committed = await self._commit_starts(managed, granted, attempt, fence)
         except ConflictError as exc:
             await self.owner_requests.stop(managed, release)
             await self._resolve_conflict(managed, exc, fence)
@@ -337,21 +340,65 @@
         except UnavailableError:
             await self.owner_requests.stop(managed, release)
             raise
-        managed.apply_commit(chunks, rev)
-        self.quota_charger.note_commit(charges, rev)
+        if not committed:
+            await self.owner_requests.stop(managed, release)
+            return
         for number, _ in granted:
             managed.being_placed.discard(number)
         await self.owner_requests.launch(
-            managed, [(m, f"{job.id}/{n}", attempt) for n, m in granted], fence
+            managed,
+            [(machine, f"{job.id}/{number}", attempt) for number, machine in granted],
+            fence,
         )
 
+    def _note_answers(self, granted: list[Start], declined: list[Start]) -> None:
+        """Learn from what owners have granted and declined how good the cached state is."""
+        self.cached_state.adaptive_interval.count(len(granted), len(declined))
+        for _, machine in declined:
+            # Not tried again before the cached state of it is renewed.
+            room = self.view.rooms.get(machine)
+            if room is not None and room.owner != self.membership.label:
+                room.close()
+        if declined:
+            self.routines.signal("starved")
+            self.cached_state.starved = True
+
+    async def _commit_starts(
+        self, managed: ManagedJob, starts: list[Start], attempt: int, fence: int
+    ) -> bool:
+        """Commit machines and attempt of tasks, and charge the quota for them.
+
+        Returns:
+            False, with nothing committed, if the tasks would exceed the team's quota.
+
+        Raises:
+            ConflictError: Another controller has changed a record.
+            UnavailableError: The state service doesn't answer; nothing was committed.
+        """
+        charges = await self.quota_charger.charge(managed.job, len(starts))
+        if charges is None:
+            return False
+        txn, chunks = start_txn(managed, fence, starts, attempt)
+        add_charges(txn, charges)
+        priority_s = URGENT_PRIORITY_S if managed.job.kind == SERVICE else 0.0
+        rev = await self.commits.commit(txn, fence, priority_s)
+        managed.apply_commit(chunks, rev)
+        self.quota_charger.note_commit(charges, rev)
+        return True
+
     async def _commit_outcomes(self, managed: ManagedJob) -> None:
+        """Commit how tasks ended, then have the owners forget those that have exited.
+
+        Raises:
+            EpochEndedError: The epoch that the job was loaded under has ended.
+            UnavailableError: The state service doesn't answer; nothing was committed.
+        """
         managed.batch_outcomes_until = 0.0
         fence = self.commits.fence(managed)
         at = time.time()
-        txn, chunks, covered, over = outcome_txn(managed, fence, self.outcome_chunks, at)
-        count = sum(1 for n in covered if managed.assignment(n) is not None)
-        charges = await self.quota_charger.charge(managed.job, -count) or {}
+        txn, chunks, covered, ends_job = outcome_txn(managed, fence, self.outcome_chunks, at)
+        released = sum(1 for number in covered if managed.assignment(number) is not None)
+        charges = await self.quota_charger.charge(managed.job, -released) or {}
         add_charges(txn, charges)
         if txn.writes:
             try:
@@ -361,12 +408,12 @@
                 return
             managed.apply_commit(chunks, rev)
             self.quota_charger.note_commit(charges, rev)
-            dropped = {w["remove"] for w in txn.writes if "remove" in w}
-            for index in [i for i in chunks if managed.key(i) in dropped]:
+            deleted = {write["remove"] for write in txn.writes if "remove" in write}
+            for index in [i for i in chunks if managed.key(i) in deleted]:
                 del managed.chunks[index]
-        where = {n: managed.exited_on.pop(n, "") for n in covered}
+        exited_on = {number: managed.exited_on.pop(number, "") for number in covered}
         cleared = managed.clear_outcomes(covered)
-        if over:
+        if ends_job:
             managed.ended = "done"
             self.record_replica.note_end(managed.job.id, "done", at)
             log.info(
@@ -374,57 +421,81 @@
             )
         await self.owner_requests.stop(
             managed,
-            [(where[n], f"{managed.job.id}/{n}", a, 0.0, True) for n, a in cleared if where[n]],
+            [
+                (exited_on[number], f"{managed.job.id}/{number}", attempt, 0.0, True)
+                for number, attempt in cleared
+                if exited_on[number]
+            ],
         )
         self.routines.signal("place")
 
-    async def _resolve_conflict(self, managed: ManagedJob, exc: ConflictError, fence: int) -> None:
-        """Somebody else changed something: read what holds now."""
-        log.info("job=%s event=conflict keys=%s", managed.job.id, exc.failed)
-        if EPOCH_KEY in exc.failed:
+    async def _resolve_conflict(
+        self, managed: ManagedJob, conflict: ConflictError, fence: int
+    ) -> None:
+        """Somebody else changed something: read what holds now.
+
+        Raises:
+            EpochEndedError: The epoch has ended.
+            UnavailableError: The state service doesn't answer.
+        """
+        job = managed.job.id
+        log.info("job=%s event=conflict keys=%s", job, conflict.failed)
+        if EPOCH_KEY in conflict.failed:
             self.membership.request_rescan()
             await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 12))
             return
-        if live_key(managed.job.id) in exc.failed and not managed.ended:
-            await self.learn_end(managed.job.id)
-        ours = [k for k in exc.failed if k.startswith(f"run/{managed.job.id}/")]
-        if ours:
-            entries, _ = await self.store.scan(f"run/{managed.job.id}/")
-            if self.membership.epoch.rev != fence:
-                raise EpochEndedError
-            revs = {e.key: e.rev for e in entries}
-            # Nobody but this routine writes them, or removes them while the job is live.
-            if (
-                not managed.ended
-                and any(revs.get(managed.key(i), 0) < c.rev for i, c in managed.chunks.items())
-                and self.rebuild.suspect(f"records of {managed.job.id} have gone back")
-            ):
-                return
-            managed.load_all(
-                {parse_chunk_key(e.key)[1:]: Chunk.parse(e.value, e.rev) for e in entries}
+        if live_key(job) in conflict.failed and not managed.ended:
+            await self.learn_end(job)
+        if any(key.startswith(f"run/{job}/") for key in conflict.failed):
+            await self._reload_chunks(managed, fence)
+
+    async def _reload_chunks(self, managed: ManagedJob, fence: int) -> None:
+        """Read the job's chunks again, and have its assignments judged by their owners."""
+        entries, _ = await self.store.scan(f"run/{managed.job.id}/")
+        if self.membership.epoch.rev != fence:
+            raise EpochEndedError
+        revs = {entry.key: entry.rev for entry in entries}
+        # Nobody but this routine writes them, or removes them while the job is live.
+        if (
+            not managed.ended
+            and any(
+                revs.get(managed.key(index), 0) < chunk.rev
+                for index, chunk in managed.chunks.items()
             )
-            managed.outcomes = {
-                n: o
-                for n, o in managed.outcomes.items()
-                if (managed.assignment(n) or (0, ""))[0] == o[0]
+            and self.rebuild.suspect(f"records of {managed.job.id} have gone back")
+        ):
+            return
+        managed.load_all(
+            {
+                parse_chunk_key(entry.key)[1:]: Chunk.parse(entry.value, entry.rev)
+                for entry in entries
             }
-            await self.owner_requests.adopt(managed)
+        )
+        managed.outcomes = {
+            number: outcome
+            for number, outcome in managed.outcomes.items()
+            if (managed.assignment(number) or (0, ""))[0] == outcome[0]
+        }
+        await self.owner_requests.adopt(managed)
 
     async def learn_end(self, job: str) -> None:
-        """The live record is gone: find out how the job ended."""
+        """Read how a job ended whose live record is gone.
+
+        Raises:
+            UnavailableError: The state service doesn't answer.
+        """
         entry = await self.store.get(end_key(job))
         if entry is not None:
             self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
 
     async def _delete_chunks(self, managed: ManagedJob) -> None:
         """Remove what is left of an ended job's records."""
-        left = sorted(managed.chunks.items())
-        left = [(i, c) for i, c in left if c.rev]
-        most = max(1, self.upgrade.limits.txn_ops - 2)
+        left = [index for index, chunk in sorted(managed.chunks.items()) if chunk.rev]
+        limit = max(1, self.upgrade.limits.txn_ops - 2)
         while left:
-            part, left = left[:most], left[most:]
+            part, left = left[:limit], left[limit:]
             txn = Txn().require(EPOCH_KEY, self.commits.fence(managed))
-            for index, _ in part:
+            for index in part:
                 txn.delete(managed.key(index))
             try:
                 await self.commits.commit(txn, self.membership.epoch.rev)
--- a/clayport/jobs/quota_charges.py
+++ b/clayport/jobs/quota_charges.py
@@ -27,6 +27,10 @@
     rev: int
 
 
+# Decimal places to which quotas in use are rounded, and how far that may take them past a limit.
+DECIMALS = 6
+TOLERANCE = 1e-6
+
 # The charges of a transaction by the keys of their records; empty where nothing is metered.
 Charges = dict[str, QuotaCharge]
 
@@ -65,8 +69,10 @@
         used = parse_quota(entry.value if entry else None)
         rev = entry.rev if entry else 0
         self.jobs.quota_usage[job.team] = (used, rev, time.monotonic())
-        after = (round(used[0] + cpus, 6), round(used[1] + gpus, 6))
-        if count > 0 and ((0 < limit[0] < after[0] - 1e-6) or (0 < limit[1] < after[1] - 1e-6)):
+        after = (round(used[0] + cpus, DECIMALS), round(used[1] + gpus, DECIMALS))
+        if count > 0 and (
+            (0 < limit[0] < after[0] - TOLERANCE) or (0 < limit[1] < after[1] - TOLERANCE)
+        ):
             return None
         return {key: QuotaCharge({"c": max(0.0, after[0]), "g": max(0.0, after[1])}, rev)}
 
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -1,4 +1,4 @@
-"""Taking over a controller's share of the jobs when an epoch begins."""
+"""Taking over this controller's shard of the jobs when an epoch begins."""
 
 from __future__ import annotations
 
@@ -34,15 +34,32 @@
 Chunks = dict[tuple[int, int], Chunk]
 
 
-class Share(NamedTuple):
-    """What the records under `run/` hold for the jobs that are ours."""
+class Shard(NamedTuple):
+    """What the records under `run/` hold of the jobs that this controller is to lead.
+
+    Attributes:
+        chunks: The jobs' chunks, by job.
+        unreadable: The jobs with a chunk that can't be read, of all controllers.
+    """
 
     chunks: dict[str, Chunks]
-    unreadable: set[str]  # jobs with a chunk that can't be read
+    unreadable: set[str]
+
+
+class EndedJob(NamedTuple):
+    """A job that has ended, and still has chunks.
+
+    Attributes:
+        job: Its description.
+        status: Its final state.
+    """
+
+    job: Job
+    status: str
 
 
 class Failover:
-    """Loads the share of an epoch's jobs that belongs to this controller."""
+    """Loads the shard of an epoch's jobs that this controller leads."""
 
     def __init__(
         self,
@@ -72,7 +89,7 @@
         self.store = store
 
     async def load(self, epoch: Epoch) -> None:
-        """Take over our share, trying until the epoch has moved on.
+        """Load the shard, trying until the epoch has moved on.
 
         No commit of an earlier epoch can follow the key of this one.
         """
@@ -96,62 +113,67 @@
         """
         entries, _ = await self.store.scan("run/")
         if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
-            "run/", [e.key for e in entries]
+            "run/", [entry.key for entry in entries]
         ):
             return  # records are gone: the rebuild sees to it
-        share = self._share(entries, epoch)
-        orphans = await self._orphans(share.chunks)
+        shard = self._parse_shard(entries, epoch)
+        ended = await self._ended_jobs(shard.chunks)
         if self.membership.epoch is not epoch or self.rebuild.in_doubt:
             return
-        for job, (desc, rev) in self.jobs.live.items():
+        for job_id, (job, rev) in self.jobs.live.items():
             if (
                 rev
-                and epoch.member_for(job) == self.membership.label
-                and job not in share.unreadable
+                and epoch.member_for(job_id) == self.membership.label
+                and job_id not in shard.unreadable
             ):
-                self.lead(desc, rev, share.chunks.get(job, {}), "")
-        for job, (desc, status) in orphans.items():
-            self.jobs.ended_descriptions[job] = desc
-            self.lead(desc, 0, share.chunks[job], status)
+                self.lead(job, rev, shard.chunks.get(job_id, {}), "")
+        for job_id, (job, status) in ended.items():
+            self.jobs.ended_descriptions[job_id] = job
+            self.lead(job, 0, shard.chunks[job_id], status)
         self.membership.serving = True
         log.info("generation=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
             self.routines.signal(name)
         await self.routines.flush()
 
-    def _share(self, entries: list[Entry], epoch: Epoch) -> Share:
-        """The chunks of the jobs that the epoch gives us."""
-        share = Share({}, set())
+    def _parse_shard(self, entries: list[Entry], epoch: Epoch) -> Shard:
+        """The chunks of the jobs that the epoch gives to this controller."""
+        shard = Shard({}, set())
         for entry in entries:
             if is_anchor(entry.key):
                 continue
             try:
-                job, size, index = parse_chunk_key(entry.key)
-                if epoch.member_for(job) == self.membership.label:
+                job_id, size, index = parse_chunk_key(entry.key)
+                if epoch.member_for(job_id) == self.membership.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
-                    share.chunks.setdefault(job, {})[size, index] = chunk
+                    shard.chunks.setdefault(job_id, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
                 # The job stays as it is: none of its tasks may be started, for
                 # they may run. All others go on.
                 log.error("key=%s event=malformed-value cause=%r", entry.key, exc)
-                share.unreadable.add(entry.key.split("/")[1])
-        return share
-
-    async def _orphans(self, chunks: dict[str, Chunks]) -> dict[str, tuple[Job, str]]:
-        """Jobs that have ended and still have chunks: their descriptions and final states."""
-        orphans: dict[str, tuple[Job, str]] = {}
-        for job in [j for j in chunks if j not in self.jobs.live]:
-            entry = await self.store.get(end_key(job))
+                shard.unreadable.add(entry.key.split("/")[1])
+        return shard
+
+    async def _ended_jobs(self, chunks: dict[str, Chunks]) -> dict[str, EndedJob]:
+        """The jobs that have ended and still have chunks.
+
+        Raises:
+            UnavailableError: The state service doesn't answer.
+            MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
+        """
+        ended: dict[str, EndedJob] = {}
+        for job_id in [job_id for job_id in chunks if job_id not in self.jobs.live]:
+            entry = await self.store.get(end_key(job_id))
             if entry is None:
                 continue
-            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.record_replica.note_end(job_id, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
-                desc = self.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
-                orphans[job] = (desc, entry.value["s"])
-        return orphans
+                job = self.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
+                ended[job_id] = EndedJob(job, entry.value["s"])
+        return ended
 
     def lead(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
-        """Become home to a job.
+        """Become the leader of a job, and start its routine.
 
         Args:
             job: Its description.
