--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -17,6 +17,7 @@
 
 from clayport.jobs.commits import FencedCommits
 from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.job_records import JobRecords
 from clayport.jobs.owner_requests import OwnerRequests
 from clayport.jobs.quota_charges import QuotaCharger
 from clayport.jobs.registry import JobRegistry
@@ -245,18 +246,29 @@
             routines=self.routines,
             routing=self.routing,
         )
+        self.commits = FencedCommits(membership=self.membership, store=self.store)
+        self.job_records = JobRecords(
+            commits=self.commits,
+            membership=self.membership,
+            owner_requests=self.owner_requests,
+            rebuild=self.rebuild,
+            record_replica=self.record_replica,
+            routines=self.routines,
+            store=self.store,
+            upgrade=self.upgrade,
+        )
         self.task_events = TaskEvents(jobs=self.jobs, queue=self.queue, routines=self.routines)
         self.dispatcher = Dispatcher(
             cached_state=self.cached_state,
-            commits=FencedCommits(membership=self.membership, store=self.store),
+            commits=self.commits,
             jobs=self.jobs,
             membership=self.membership,
             owner_requests=self.owner_requests,
             queue=self.queue,
             quota_charger=QuotaCharger(jobs=self.jobs, quotas=self.quotas, store=self.store),
             quotas=self.quotas,
-            rebuild=self.rebuild,
             record_replica=self.record_replica,
+            records=self.job_records,
             routines=self.routines,
             settings=self.settings,
             store=self.store,
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -14,24 +14,20 @@
 
 from clayport.jobs.commits import FencedCommits
 from clayport.jobs.errors import EpochEndedError
+from clayport.jobs.job_records import JobRecords
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.owner_requests import OwnerRequests, Start
 from clayport.jobs.quota_charges import QuotaCharger, add_charges
 from clayport.jobs.registry import JobRegistry
 from clayport.jobs.task_events import TaskEvents
-from clayport.jobs.transactions import outcome_txn, split_txn, start_txn
+from clayport.jobs.transactions import outcome_txn, start_txn
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, SERVICE
-from clayport.rebuild.support import RebuildSupport
-from clayport.records.chunk import Chunk
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
-from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key
-from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
+from clayport.records.rate_limit import URGENT_PRIORITY_S
 from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
-from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
-from clayport.records.values import end_value, parse_end, truncate_end
 from clayport.routines import Routines
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.queueing import JobQueue
@@ -66,8 +62,8 @@
         queue: JobQueue,
         quota_charger: QuotaCharger,
         quotas: TeamQuotas,
-        rebuild: RebuildSupport,
         record_replica: RecordReplica,
+        records: JobRecords,
         routines: Routines,
         settings: Settings,
         store: StateStore,
@@ -83,8 +79,8 @@
         self.queue = queue
         self.quota_charger = quota_charger
         self.quotas = quotas
-        self.rebuild = rebuild
         self.record_replica = record_replica
+        self.records = records
         self.routines = routines
         self.settings = settings
         self.store = store
@@ -172,10 +168,10 @@
         if (
             self.upgrade.complete and managed.split_chunks(self.upgrade.chunk_size)
         ) or managed.wider_chunks:
-            await self._split_chunks(managed)
+            await self.records.split_chunks(managed)
             return True
         if not managed.ended and managed.job.id in self.jobs.dependencies.to_cancel:
-            await self._cancel_for_prerequisite(managed)
+            await self.records.cancel_for_prerequisite(managed)
             return True
         if managed.starts:
             await self._start_placed(managed)
@@ -187,7 +183,7 @@
         if now >= managed.next_stop_at:
             await self._stop_due(managed, now)
         if managed.ended and not managed.assigned:
-            await self._delete_chunks(managed)
+            await self.records.delete_chunks(managed)
             managed.closed = True
         return False
 
@@ -244,65 +240,6 @@
             )
         return now < managed.batch_outcomes_until
 
-    async def _split_chunks(self, managed: ManagedJob) -> None:
-        """Write the job's narrower chunks, then remove the wider ones they come from.
-
-        Nothing else of the job is committed meanwhile, so that after an end in the middle
-        the wider ones still hold all of it. (Tasks found under the wrong key would be
-        started again while they run.)
-        """
-        fence = self.commits.fence(managed)
-        written: set[int] = set()
-        log.info(
-            "job=%s generation=%d event=narrow chunks=%d size=%d",
-            managed.job.id,
-            managed.epoch,
-            len(managed.chunks),
-            managed.chunk_size,
-        )
-        while managed.wider_chunks:
-            txn, chunks, deleted = split_txn(managed, fence, self.upgrade.limits.txn_ops, written)
-            try:
-                rev = await self.commits.commit(txn, fence)
-            except ConflictError as exc:
-                await self._resolve_conflict(managed, exc, fence)
-                return
-            managed.apply_commit(chunks, rev)
-            written.update(chunks)
-            for key in deleted:
-                del managed.wider_chunks[key]
-
-    async def _cancel_for_prerequisite(self, managed: ManagedJob) -> None:
-        """Cancel the job, since a job that it needs was cancelled.
-
-        From the records alone, by whichever controller leads it: the one that told the
-        user may be gone. No task of it has ever started.
-
-        Raises:
-            EpochEndedError: The epoch that the job was loaded under has ended.
-            UnavailableError: The state service doesn't answer, or the record is changing.
-        """
-        job = managed.job.id
-        entry = await self.store.get(live_key(job))
-        if entry is None:
-            await self.learn_end(job)
-            if not managed.ended:
-                raise UnavailableError("the record is just changing")
-            return
-        txn = Txn().require(live_key(job), entry.rev).delete(live_key(job))
-        txn.put(
-            end_key(job),
-            truncate_end(
-                end_value("cancelled", time.time(), entry.value["j"]), self.upgrade.limits.value_kb
-            ),
-        )
-        try:
-            rev = await self.commits.commit(txn, self.commits.fence(managed), CANCEL_PRIORITY_S)
-        except ConflictError:
-            return
-        log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
-        self.record_replica.note_end(job, "cancelled", time.time(), rev)
-
     async def _start(self, managed: ManagedJob, starts: list[Start]) -> None:
         """Reserve room with the owners, commit the starts that they grant, and launch these.
 
@@ -335,7 +272,7 @@
             committed = await self._commit_starts(managed, granted, attempt, fence)
         except ConflictError as exc:
             await self.owner_requests.stop(managed, release)
-            await self._resolve_conflict(managed, exc, fence)
+            await self.records.resolve_conflict(managed, exc, fence)
             return
         except UnavailableError:
             await self.owner_requests.stop(managed, release)
@@ -404,7 +341,7 @@
             try:
                 rev = await self.commits.commit(txn, fence)
             except ConflictError as exc:
-                await self._resolve_conflict(managed, exc, fence)
+                await self.records.resolve_conflict(managed, exc, fence)
                 return
             managed.apply_commit(chunks, rev)
             self.quota_charger.note_commit(charges, rev)
@@ -429,79 +366,6 @@
         )
         self.routines.signal("place")
 
-    async def _resolve_conflict(
-        self, managed: ManagedJob, conflict: ConflictError, fence: int
-    ) -> None:
-        """Somebody else changed something: read what holds now.
-
-        Raises:
-            EpochEndedError: The epoch has ended.
-            UnavailableError: The state service doesn't answer.
-        """
-        job = managed.job.id
-        log.info("job=%s event=conflict keys=%s", job, conflict.failed)
-        if EPOCH_KEY in conflict.failed:
-            self.membership.request_rescan()
-            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 12))
-            return
-        if live_key(job) in conflict.failed and not managed.ended:
-            await self.learn_end(job)
-        if any(key.startswith(f"run/{job}/") for key in conflict.failed):
-            await self._reload_chunks(managed, fence)
-
-    async def _reload_chunks(self, managed: ManagedJob, fence: int) -> None:
-        """Read the job's chunks again, and have its assignments judged by their owners."""
-        entries, _ = await self.store.scan(f"run/{managed.job.id}/")
-        if self.membership.epoch.rev != fence:
-            raise EpochEndedError
-        revs = {entry.key: entry.rev for entry in entries}
-        # Nobody but this routine writes them, or removes them while the job is live.
-        if (
-            not managed.ended
-            and any(
-                revs.get(managed.key(index), 0) < chunk.rev
-                for index, chunk in managed.chunks.items()
-            )
-            and self.rebuild.suspect(f"records of {managed.job.id} have gone back")
-        ):
-            return
-        managed.load_all(
-            {
-                parse_chunk_key(entry.key)[1:]: Chunk.parse(entry.value, entry.rev)
-                for entry in entries
-            }
-        )
-        managed.outcomes = {
-            number: outcome
-            for number, outcome in managed.outcomes.items()
-            if (managed.assignment(number) or (0, ""))[0] == outcome[0]
-        }
-        await self.owner_requests.adopt(managed)
-
-    async def learn_end(self, job: str) -> None:
-        """Read how a job ended whose live record is gone.
-
-        Raises:
-            UnavailableError: The state service doesn't answer.
-        """
-        entry = await self.store.get(end_key(job))
-        if entry is not None:
-            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
-
-    async def _delete_chunks(self, managed: ManagedJob) -> None:
-        """Remove what is left of an ended job's records."""
-        left = [index for index, chunk in sorted(managed.chunks.items()) if chunk.rev]
-        limit = max(1, self.upgrade.limits.txn_ops - 2)
-        while left:
-            part, left = left[:limit], left[limit:]
-            txn = Txn().require(EPOCH_KEY, self.commits.fence(managed))
-            for index in part:
-                txn.delete(managed.key(index))
-            try:
-                await self.commits.commit(txn, self.membership.epoch.rev)
-            except ConflictError:
-                return
-
     def counts(self, job: str) -> tuple[int, int] | None:
         """How many tasks of a job are done and how many run; None if it isn't led from here."""
         managed = self.jobs.managed.get(job)
