--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -1,6 +1,6 @@
 """The transactions by which a job's home commits starts, outcomes and changes of layout.
 
-They are only built here; `jobs.dispatcher` sends them. Each is conditional on the record of the
+They are only built here; `jobs.commits` sends them. Each is conditional on the record of the
 epoch and on the revision of every chunk that it changes, so that it fails where another controller
 has written in the meantime. After a commit, `ManagedJob.apply_commit` takes the chunks over.
 """
