--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -16,7 +16,10 @@
 import curio
 
 from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.lifecycle import JobLifecycle
+from clayport.jobs.prerequisites import PrerequisiteLookup
 from clayport.jobs.registry import JobRegistry
+from clayport.leases.disclosure import CancellationDisclosure
 from clayport.leases.promises import Promises
 from clayport.leases.renewal import LeaseRenewal
 from clayport.leases.watermark import CancellationWatermark
@@ -34,9 +37,11 @@
 from clayport.peer_requests import PeerRequests
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.lookups import Lookups
+from clayport.records.progress import ReadProgress
 from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
+from clayport.records.versions import VersionTracker
 from clayport.routines import Routines
 from clayport.scaling.arrivals import Arrivals
 from clayport.scaling.catalogue import Catalogue
@@ -196,26 +201,64 @@
         )
         self.routing = Routing(self.membership, self.machines, self.peers, self.store, self.fleet)
 
-    def _build_job_routines(self) -> None:
-        """The replica of the records, placement, dispatch, scaling and the users' API."""
-        self.record_replica = RecordReplica(
-            arrivals=self.arrivals,
+    def _build_replica(self) -> None:
+        """The replica of the records, and what follows from their changes."""
+        self.progress = ReadProgress(self.watermark)
+        self.versions = VersionTracker(
             jobs=self.jobs,
             lookups=self.lookups,
+            membership=self.membership,
+            routines=self.routines,
+            settings=self.settings,
+            store=self.store,
+            upgrade=self.upgrade,
+        )
+        self.lifecycle = JobLifecycle(
+            arrivals=self.arrivals,
+            jobs=self.jobs,
             machines=self.machines,
             membership=self.membership,
             objectives=self.objectives,
-            peers=self.peers,
+            progress=self.progress,
             promises=self.promises,
             queue=self.queue,
             rebuild=self.rebuild,
             routines=self.routines,
             settings=self.settings,
+            store=self.store,
+        )
+        self.prerequisites = PrerequisiteLookup(
+            jobs=self.jobs,
+            lifecycle=self.lifecycle,
+            lookups=self.lookups,
+            membership=self.membership,
+            routines=self.routines,
+            store=self.store,
+        )
+        self.record_replica = RecordReplica(
+            jobs=self.jobs,
+            lifecycle=self.lifecycle,
+            membership=self.membership,
+            objectives=self.objectives,
+            progress=self.progress,
+            rebuild=self.rebuild,
+            routines=self.routines,
             stalls=self.stalls,
             store=self.store,
             upgrade=self.upgrade,
-            watermark=self.watermark,
+            versions=self.versions,
         )
+
+    def _build_job_routines(self) -> None:
+        """The replica of the records, placement, dispatch, scaling and the users' API."""
+        self.disclosure = CancellationDisclosure(
+            membership=self.membership,
+            peers=self.peers,
+            promises=self.promises,
+            routines=self.routines,
+            cancel_s=self.settings.cluster.workers.cancel_s,
+        )
+        self._build_replica()
         self.placer = Placer(
             cached_state=self.cached_state,
             catalogue=self.catalogue,
@@ -237,13 +280,13 @@
             cached_state=self.cached_state,
             fleet=self.fleet,
             jobs=self.jobs,
+            lifecycle=self.lifecycle,
             machines=self.machines,
             membership=self.membership,
             peers=self.peers,
             queue=self.queue,
             quotas=self.quotas,
             rebuild=self.rebuild,
-            record_replica=self.record_replica,
             routines=self.routines,
             routing=self.routing,
             settings=self.settings,
@@ -270,16 +313,17 @@
         )
         self.user_api = Api(
             catalogue=self.catalogue,
+            disclosure=self.disclosure,
             dispatcher=self.dispatcher,
             fleet=self.fleet,
             jobs=self.jobs,
+            lifecycle=self.lifecycle,
             lookups=self.lookups,
             membership=self.membership,
             objectives=self.objectives,
             peers=self.peers,
             quotas=self.quotas,
             rebuild=self.rebuild,
-            record_replica=self.record_replica,
             renewal=self.renewal,
             routines=self.routines,
             settings=self.settings,
@@ -292,12 +336,13 @@
         """Heartbeats, registration, failover, and what peers are answered."""
         self.heartbeats = Heartbeats(
             cached_state=self.cached_state,
+            disclosure=self.disclosure,
             machines=self.machines,
             membership=self.membership,
             peers=self.peers,
             placer=self.placer,
+            progress=self.progress,
             promises=self.promises,
-            record_replica=self.record_replica,
             renewal=self.renewal,
             routines=self.routines,
             stalls=self.stalls,
@@ -308,22 +353,22 @@
         self.registration = MembershipDuties(
             membership=self.membership,
             rebuild=self.rebuild,
-            record_replica=self.record_replica,
             routines=self.routines,
             settings=self.settings,
             stalls=self.stalls,
             store=self.store,
             upgrade=self.upgrade,
+            versions=self.versions,
         )
         self.failover = Failover(
             dispatcher=self.dispatcher,
             jobs=self.jobs,
+            lifecycle=self.lifecycle,
             machines=self.machines,
             membership=self.membership,
             objectives=self.objectives,
             queue=self.queue,
             rebuild=self.rebuild,
-            record_replica=self.record_replica,
             routines=self.routines,
             settings=self.settings,
             store=self.store,
@@ -345,11 +390,11 @@
             fleet=self.fleet,
             heartbeats=self.heartbeats,
             jobs=self.jobs,
+            lifecycle=self.lifecycle,
             machines=self.machines,
             membership=self.membership,
             placer=self.placer,
             rebuild=self.rebuild,
-            record_replica=self.record_replica,
             removal=self.removal,
             renewal=self.renewal,
             routines=self.routines,
@@ -364,9 +409,8 @@
             provisioner=self.provisioner,
             routing=self.routing,
         )
-        self.record_replica.connect(
-            failover=self.failover, placer=self.placer, transition=self.transition
-        )
+        self.lifecycle.connect(failover=self.failover, placer=self.placer)
+        self.record_replica.connect(transition=self.transition)
         self.placer.connect(dispatcher=self.dispatcher)
 
     def _recovery(self, snapshots: str, second_copy: bool) -> Recovery:
@@ -384,7 +428,7 @@
             self.record_replica.follow,
             self.registration.keep_lease,
             self.registration.keep_members,
-            self.record_replica.keep_prereqs,
+            self.prerequisites.keep_prereqs,
             self.catalogue.keep_current,
             self.cached_state.refresh,
             self.placer.place_all,
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -11,6 +11,7 @@
 import msgspec
 
 from clayport.jobs.eligibility import is_metered, quota_usage
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.registry import JobRegistry
 from clayport.jobs.transactions import outcome_txn, split_txn, start_txn
@@ -31,7 +32,6 @@
 )
 from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key, quota_key
 from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
@@ -64,13 +64,13 @@
         cached_state: CachedState,
         fleet: Fleet,
         jobs: JobRegistry,
+        lifecycle: JobLifecycle,
         machines: MachineTable,
         membership: MembershipState,
         peers: Mapping[str, Peer],
         queue: JobQueue,
         quotas: TeamQuotas,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
         routines: Routines,
         routing: Routing,
         settings: Settings,
@@ -81,13 +81,13 @@
         self.cached_state = cached_state
         self.fleet = fleet
         self.jobs = jobs
+        self.lifecycle = lifecycle
         self.machines = machines
         self.membership = membership
         self.peers = peers
         self.queue = queue
         self.quotas = quotas
         self.rebuild = rebuild
-        self.record_replica = record_replica
         self.routines = routines
         self.routing = routing
         self.settings = settings
@@ -284,7 +284,7 @@
         except ConflictError:
             return
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
-        self.record_replica.note_end(job, "cancelled", time.time(), rev)
+        self.lifecycle.note_end(job, "cancelled", time.time(), rev)
 
     def _fence(self, managed: ManagedJob) -> int:
         """The condition of the job's commits: the epoch that it was loaded under.
@@ -550,7 +550,7 @@
         cleared = managed.clear_outcomes(covered)
         if over:
             managed.ended = "done"
-            self.record_replica.note_end(managed.job.id, "done", at)
+            self.lifecycle.note_end(managed.job.id, "done", at)
             log.info(
                 "job=%s generation=%d event=done", managed.job.id, self.membership.epoch.number
             )
@@ -596,7 +596,7 @@
         """The live record is gone: find out how the job ended."""
         entry = await self.store.get(end_key(job))
         if entry is not None:
-            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.lifecycle.note_end(job, *parse_end(entry.value), entry.rev)
 
     async def _tidy(self, managed: ManagedJob) -> None:
         """Remove what is left of an ended job's records."""
--- a/clayport/leases/__init__.py
+++ b/clayport/leases/__init__.py
@@ -18,4 +18,5 @@
 
 `promises` has the side of the controller that tells users, `watermark` the side of the one
 that renews leases. Neither does I/O; times are seconds of this process's monotonic clock.
+`disclosure` has peers acknowledge cancellations, and has answers to users wait for that.
 """
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.registry import JobRegistry
 from clayport.machines.table import MachineTable
@@ -20,7 +21,6 @@
 from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, is_anchor, parse_chunk_key
 from clayport.records.messages import Entry
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.values import parse_end
 from clayport.routines import Routines
@@ -49,24 +49,24 @@
         *,
         dispatcher: Dispatcher,
         jobs: JobRegistry,
+        lifecycle: JobLifecycle,
         machines: MachineTable,
         membership: MembershipState,
         objectives: SchedulingObjectives,
         queue: JobQueue,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
         routines: Routines,
         settings: Settings,
         store: StateStore,
     ) -> None:
         self.dispatcher = dispatcher
         self.jobs = jobs
+        self.lifecycle = lifecycle
         self.machines = machines
         self.membership = membership
         self.objectives = objectives
         self.queue = queue
         self.rebuild = rebuild
-        self.record_replica = record_replica
         self.routines = routines
         self.settings = settings
         self.store = store
@@ -144,7 +144,7 @@
             entry = await self.store.get(end_key(job))
             if entry is None:
                 continue
-            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.lifecycle.note_end(job, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
                 desc = self.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
                 orphans[job] = (desc, entry.value["s"])
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -9,6 +9,7 @@
 
 import curio
 
+from clayport.leases.disclosure import CancellationDisclosure
 from clayport.leases.promises import Promises
 from clayport.leases.renewal import LeaseRenewal
 from clayport.leases.watermark import CancellationWatermark
@@ -16,7 +17,7 @@
 from clayport.membership.isolation import should_leave
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
-from clayport.records.replica import RecordReplica
+from clayport.records.progress import ReadProgress
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
@@ -35,12 +36,13 @@
         self,
         *,
         cached_state: CachedState,
+        disclosure: CancellationDisclosure,
         machines: MachineTable,
         membership: MembershipState,
         peers: Mapping[str, Peer],
         placer: Placer,
+        progress: ReadProgress,
         promises: Promises,
-        record_replica: RecordReplica,
         renewal: LeaseRenewal,
         routines: Routines,
         stalls: StallDetector,
@@ -49,12 +51,13 @@
         watermark: CancellationWatermark,
     ) -> None:
         self.cached_state = cached_state
+        self.disclosure = disclosure
         self.machines = machines
         self.membership = membership
         self.peers = peers
         self.placer = placer
+        self.progress = progress
         self.promises = promises
-        self.record_replica = record_replica
         self.renewal = renewal
         self.routines = routines
         self.stalls = stalls
@@ -87,7 +90,7 @@
         else:
             label, number, state_ok, room_rev, incarnation, promised = await peer.call(
                 frames.HEARTBEAT,
-                (*fields, self.membership.incarnation, self.record_replica.known_rev),
+                (*fields, self.membership.incarnation, self.progress.known_rev),
             )
             if promised and label == peer.label:
                 self.watermark.note_promise(label, incarnation, sent, time.monotonic())
@@ -172,5 +175,5 @@
         self.promises.note_records_read(label, known_rev)
         if self.promises.renew(label, now):
             return True
-        self.record_replica.resend_cancellations(label)
+        self.disclosure.resend_cancellations(label)
         return False
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -20,10 +20,10 @@
 )
 from clayport.records.keys import EPOCH_KEY, NODE_PREFIX, VERSION_PREFIX
 from clayport.records.rate_limit import LEASE_PRIORITY_S
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
+from clayport.records.versions import VersionTracker
 from clayport.routines import Routines
 from clayport.settings import Settings
 
@@ -38,21 +38,21 @@
         *,
         membership: MembershipState,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
         routines: Routines,
         settings: Settings,
         stalls: StallDetector,
         store: StateStore,
         upgrade: UpgradeState,
+        versions: VersionTracker,
     ) -> None:
         self.membership = membership
         self.rebuild = rebuild
-        self.record_replica = record_replica
         self.routines = routines
         self.settings = settings
         self.stalls = stalls
         self.store = store
         self.upgrade = upgrade
+        self.versions = versions
         workers = settings.cluster.workers
         self.flap_damping = FlapDamping(4 * workers.lease_s, workers.report_s, 4 * workers.lease_s)
 
@@ -122,7 +122,7 @@
                     entry = await self.store.get(key, allow_in_doubt=True)
                     if entry is None:
                         raise
-                    self.record_replica.note_version(self.membership.label, entry.value, entry.rev)
+                    self.versions.note_version(self.membership.label, entry.value, entry.rev)
 
     async def keep_members(self) -> None:
         """Propose the next epoch when those present differ from its members."""
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from clayport.jobs.dispatcher import Dispatcher
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.registry import JobRegistry
 from clayport.leases.renewal import LeaseRenewal
 from clayport.machines.fleet import Fleet
@@ -23,7 +24,6 @@
 from clayport.membership.state import MembershipState
 from clayport.model import WorkerHeartbeat
 from clayport.rebuild.support import RebuildSupport
-from clayport.records.replica import RecordReplica
 from clayport.routines import Routines
 from clayport.scaling.cloud import CloudError
 from clayport.scheduling.cached_state import CachedState
@@ -59,11 +59,11 @@
         fleet: Fleet,
         heartbeats: Heartbeats,
         jobs: JobRegistry,
+        lifecycle: JobLifecycle,
         machines: MachineTable,
         membership: MembershipState,
         placer: Placer,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
         removal: MachineRemoval,
         renewal: LeaseRenewal,
         routines: Routines,
@@ -73,11 +73,11 @@
         self.fleet = fleet
         self.heartbeats = heartbeats
         self.jobs = jobs
+        self.lifecycle = lifecycle
         self.machines = machines
         self.membership = membership
         self.placer = placer
         self.rebuild = rebuild
-        self.record_replica = record_replica
         self.removal = removal
         self.renewal = renewal
         self.routines = routines
@@ -132,7 +132,7 @@
     async def ended(self, job: str, status: str) -> Answer:
         """ENDED: a job's final state, to be acknowledged before its user is told."""
         if status in FINAL_STATES and job not in self.jobs.ended:
-            self.record_replica.note_end(job, status)
+            self.lifecycle.note_end(job, status)
         return AGREED
 
     async def history(self, *values: Any) -> Answer:
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -38,7 +38,7 @@
                     txn = Txn().require(live_key(name), 0).require(end_key(name), 0)
                     txn.put(live_key(name), {"j": desc, "t": at})
                     if not await self._once(txn, "job", name):
-                        await parts.record_replica.learn(name)
+                        await parts.lifecycle.learn(name)
                     todo.pop()
                 else:
                     name, (status, at, desc) = ends[-1]
--- a/clayport/rebuild/ports.py
+++ b/clayport/rebuild/ports.py
@@ -4,14 +4,16 @@
 
 from typing import Protocol
 
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.registry import JobRegistry
 from clayport.machines.fleet import Fleet
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
 from clayport.rebuild.support import RebuildSupport
-from clayport.records.replica import RecordReplica
+from clayport.records.progress import ReadProgress
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
+from clayport.records.versions import VersionTracker
 from clayport.routines import Routines
 from clayport.scaling.cloud import Cloud
 from clayport.scheduling.quotas import TeamQuotas
@@ -35,5 +37,7 @@
     view: ClusterView
     machines: MachineTable
     fleet: Fleet
-    record_replica: RecordReplica
+    lifecycle: JobLifecycle
+    progress: ReadProgress
+    versions: VersionTracker
     rebuild: RebuildSupport
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -125,7 +125,7 @@
                         h.number,
                         h.highest_revision,
                         bool(h.suspicion),
-                        ports.record_replica.seen,
+                        ports.progress.seen,
                     ),
                     ports.membership.lease_ttl_s / 4,
                 )
@@ -172,7 +172,7 @@
                 h.number,
                 h.highest_revision,
                 bool(h.suspicion),
-                self.ports.record_replica.seen,
+                self.ports.progress.seen,
             )
         name, part = values
         if self.packed[0] != name:
@@ -257,9 +257,7 @@
         for entry in entries:
             # Who is there, and understands what: also for who has only just begun.
             if entry.key.startswith("c/version/"):
-                ports.record_replica.note_version(
-                    entry.key[len("c/version/") :], entry.value, entry.rev
-                )
+                ports.versions.note_version(entry.key[len("c/version/") :], entry.value, entry.rev)
         head = records.get(HEAD_KEY)
         # Whoever is there with no record at all has none of before.
         told = [
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -13,7 +13,9 @@
 
 from clayport.jobs.dispatcher import Dispatcher
 from clayport.jobs.eligibility import can_be_placed, can_ever_run
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.registry import JobRegistry
+from clayport.leases.disclosure import CancellationDisclosure
 from clayport.leases.renewal import LeaseRenewal
 from clayport.limits import AdmissionControl, Deadline
 from clayport.machines.fleet import Fleet
@@ -25,7 +27,6 @@
 from clayport.records.keys import end_key, live_key
 from clayport.records.lookups import Lookups
 from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
@@ -60,16 +61,17 @@
         self,
         *,
         catalogue: Catalogue,
+        disclosure: CancellationDisclosure,
         dispatcher: Dispatcher,
         fleet: Fleet,
         jobs: JobRegistry,
+        lifecycle: JobLifecycle,
         lookups: Lookups,
         membership: MembershipState,
         objectives: SchedulingObjectives,
         peers: Mapping[str, Peer],
         quotas: TeamQuotas,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
         renewal: LeaseRenewal,
         routines: Routines,
         settings: Settings,
@@ -78,16 +80,17 @@
         upgrade: UpgradeState,
     ) -> None:
         self.catalogue = catalogue
+        self.disclosure = disclosure
         self.dispatcher = dispatcher
         self.fleet = fleet
         self.jobs = jobs
+        self.lifecycle = lifecycle
         self.lookups = lookups
         self.membership = membership
         self.objectives = objectives
         self.peers = peers
         self.quotas = quotas
         self.rebuild = rebuild
-        self.record_replica = record_replica
         self.renewal = renewal
         self.routines = routines
         self.settings = settings
@@ -166,7 +169,7 @@
             raise UnavailableError("the records are in doubt")
         if entry is None:
             return None
-        self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+        self.lifecycle.note_end(job, *parse_end(entry.value), entry.rev)
         return str(entry.value["s"])
 
     async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
@@ -285,7 +288,7 @@
             job.kind,
             job.tasks,
         )
-        self.record_replica.note_live(job, rev, self.record_replica.since(submitted))
+        self.lifecycle.note_live(job, rev, self.lifecycle.since(submitted))
         if self.rebuild.recovery is not None:
             await self.rebuild.recovery.second(rev, deadline)
         return 201, {"id": job.id, "status": "queued"}
@@ -345,7 +348,7 @@
     async def _over(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
         """The answer to a cancellation."""
         if status == "cancelled":
-            await self.record_replica.announced(job, deadline)
+            await self.disclosure.announced(job, deadline)
         return {"id": job, "status": status}
 
     async def _abort(self, job: str) -> tuple[int, dict[str, Any]]:
@@ -381,6 +384,6 @@
                     break
                 continue
             log.info("job=%s event=cancelled", job)
-            self.record_replica.note_end(job, "cancelled", at, rev)
+            self.lifecycle.note_end(job, "cancelled", at, rev)
             return 200, await self._over(job, "cancelled", deadline)
         raise UnavailableError("not settled in time")
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -648,8 +648,8 @@
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
     c.upgrade.formats, c.membership.epoch = said, Epoch(9, {"c0": "x"}, rev)
-    c.record_replica.count_versions()
+    c.versions.count_versions()
     assert c.upgrade.complete == upgraded
     c.upgrade.formats = {}
-    c.record_replica.count_versions()
+    c.versions.count_versions()
     assert c.upgrade.complete == upgraded  # once true, it stays
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -64,7 +64,7 @@
 
         c.machines.emit = checked
         if label in self.old:
-            c.record_replica.count_versions = lambda: None  # type: ignore[method-assign]
+            c.versions.count_versions = lambda: None  # type: ignore[method-assign]
         self.controllers[label] = c
         self.routines[label] = await curio.spawn(self._run(c), daemon=True)
 
