--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -15,6 +15,7 @@
 from clayport.jobs.commits import FencedCommits
 from clayport.jobs.errors import EpochEndedError
 from clayport.jobs.job_records import JobRecords
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.owner_requests import OwnerRequests, Start
 from clayport.jobs.quota_charges import QuotaCharger, add_charges
@@ -25,7 +26,6 @@
 from clayport.model import ARRAY, GANG, SERVICE
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.rate_limit import URGENT_PRIORITY_S
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
@@ -62,7 +62,7 @@
         queue: JobQueue,
         quota_charger: QuotaCharger,
         quotas: TeamQuotas,
-        record_replica: RecordReplica,
+        lifecycle: JobLifecycle,
         records: JobRecords,
         routines: Routines,
         settings: Settings,
@@ -79,7 +79,7 @@
         self.queue = queue
         self.quota_charger = quota_charger
         self.quotas = quotas
-        self.record_replica = record_replica
+        self.lifecycle = lifecycle
         self.records = records
         self.routines = routines
         self.settings = settings
@@ -352,7 +352,7 @@
         cleared = managed.clear_outcomes(covered)
         if ends_job:
             managed.ended = "done"
-            self.record_replica.note_end(managed.job.id, "done", at)
+            self.lifecycle.note_end(managed.job.id, "done", at)
             log.info(
                 "job=%s generation=%d event=done", managed.job.id, self.membership.epoch.number
             )
--- a/clayport/jobs/job_records.py
+++ b/clayport/jobs/job_records.py
@@ -9,6 +9,7 @@
 
 from clayport.jobs.commits import FencedCommits
 from clayport.jobs.errors import EpochEndedError
+from clayport.jobs.lifecycle import JobLifecycle
 from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.owner_requests import OwnerRequests
 from clayport.jobs.transactions import split_txn
@@ -18,7 +19,6 @@
 from clayport.records.errors import ConflictError, UnavailableError
 from clayport.records.keys import EPOCH_KEY, end_key, live_key, parse_chunk_key
 from clayport.records.rate_limit import CANCEL_PRIORITY_S
-from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
@@ -38,7 +38,7 @@
         membership: MembershipState,
         owner_requests: OwnerRequests,
         rebuild: RebuildSupport,
-        record_replica: RecordReplica,
+        lifecycle: JobLifecycle,
         routines: Routines,
         store: StateStore,
         upgrade: UpgradeState,
@@ -47,7 +47,7 @@
         self.membership = membership
         self.owner_requests = owner_requests
         self.rebuild = rebuild
-        self.record_replica = record_replica
+        self.lifecycle = lifecycle
         self.routines = routines
         self.store = store
         self.upgrade = upgrade
@@ -123,7 +123,7 @@
         except ConflictError:
             return
         log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
-        self.record_replica.note_end(job, "cancelled", time.time(), rev)
+        self.lifecycle.note_end(job, "cancelled", time.time(), rev)
 
     async def resolve_conflict(
         self, managed: ManagedJob, conflict: ConflictError, fence: int
@@ -182,4 +182,4 @@
         """
         entry = await self.store.get(end_key(job))
         if entry is not None:
-            self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
+            self.lifecycle.note_end(job, *parse_end(entry.value), entry.rev)
