--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -6,45 +6,49 @@
 import math
 import time
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 from urllib.parse import unquote
 
 import msgspec
 
 from clayport.jobs.dispatcher import Dispatcher
 from clayport.jobs.eligibility import can_be_placed, can_ever_run
+from clayport.jobs.prerequisites import PrerequisiteCheck
 from clayport.jobs.registry import JobRegistry
+from clayport.jobs.status import LIVE, JobStatus
 from clayport.leases.renewal import LeaseRenewal
 from clayport.limits import AdmissionControl, Deadline
 from clayport.machines.fleet import Fleet
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
-from clayport.model import SERVICE, Description, Job, valid_id
+from clayport.model import Description, Job, valid_id
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
 from clayport.records.lookups import Lookups
+from clayport.records.messages import Entry
 from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
 from clayport.records.replica import RecordReplica
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
-from clayport.records.values import end_value, live_value, parse_end, truncate_end
+from clayport.records.values import end_value, live_value, truncate_end
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.settings import Settings
-from clayport.transport import frames
-from clayport.transport.peers import Peer, PeerError
+from clayport.transport.peers import Peer
 
 log = logging.getLogger(__name__)
 
 Headers = list[tuple[str, str]]
-# The protocol's own figures: users wait this long for a submission and a poll.
-SUBMIT_S, POLL_S = 5.0, 2.0
+# How long the protocol has users wait for the answer to a submission and to a poll, in seconds.
+SUBMIT_S = 5.0
+POLL_S = 2.0
+# The longest pause that a refusal asks for, in seconds.
 RETRY_MOST_S = 30.0
-# The share of that time in which an answer is to be ready, the way there and back aside.
+# The share of a user's wait in which an answer is to be ready, the way there and back aside.
 IN_TIME = 0.7
 # Turns of the processor that an answer waits for: to be read, and to be written once the state
 # service has answered.
@@ -53,6 +57,18 @@
 END_BYTES = 64
 
 
+class Answer(NamedTuple):
+    """An HTTP status, and the body to be encoded as JSON."""
+
+    status: int
+    body: dict[str, Any]
+
+
+METHOD_NOT_ALLOWED = Answer(405, {})
+NO_SUCH_PATH = Answer(404, {"error": "no such path"})
+NO_SUCH_JOB = Answer(404, {"error": "no such job"})
+
+
 class Api:
     """Requests on the address that users, workers and health checks share."""
 
@@ -78,13 +94,9 @@
         upgrade: UpgradeState,
     ) -> None:
         self.catalogue = catalogue
-        self.dispatcher = dispatcher
         self.fleet = fleet
         self.jobs = jobs
-        self.lookups = lookups
-        self.membership = membership
         self.objectives = objectives
-        self.peers = peers
         self.quotas = quotas
         self.rebuild = rebuild
         self.record_replica = record_replica
@@ -99,8 +111,24 @@
         # With less processor time than all ask for, submissions are refused while polls, reports
         # and cancellations can still be answered in time.
         self.processor_admission = AdmissionControl(IN_TIME * POLL_S, RETRY_MOST_S)
+        self.status = JobStatus(
+            dispatcher=dispatcher,
+            jobs=jobs,
+            lookups=lookups,
+            membership=membership,
+            peers=peers,
+            rebuild=rebuild,
+            record_replica=record_replica,
+            store=store,
+            counts_timeout_s=POLL_S / 4,
+        )
+        self.prerequisites = PrerequisiteCheck(jobs=jobs, store=store, upgrade=upgrade)
 
     async def handle(self, method: str, path: str, body: bytes) -> tuple[int, bytes, Headers]:
+        """Answer one request by a status, a JSON body and further headers.
+
+        What the request has signalled or started is carried out before.
+        """
         after_s = 1
         try:
             status, value = await self._route(method, path.partition("?")[0], body)
@@ -121,110 +149,44 @@
             headers.append(("Retry-After", str(after_s)))
         return status, msgspec.json.encode(value), headers
 
+    # A worker's report is answered by the plain pair that `Fleet.report` returns.
     async def _route(self, method: str, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
+        """Have the request answered by what stands for its path and method."""
         if path == "/v1/report":
-            if method != "POST":
-                return 405, {}
-            return await self.fleet.report(body)
+            return await self.fleet.report(body) if method == "POST" else METHOD_NOT_ALLOWED
         if path == "/up":
-            return (405, {}) if method != "GET" else (200 if self.renewal.healthy() else 503, {})
+            return self._health() if method == "GET" else METHOD_NOT_ALLOWED
         if path == "/api/jobs":
-            return await self._submit(body) if method == "POST" else (405, {})
+            return await self._submit(body) if method == "POST" else METHOD_NOT_ALLOWED
         if path.startswith("/api/jobs/"):
             job, _, action = path[len("/api/jobs/") :].partition("/")
             job = unquote(job)
             if not action:
-                return await self._poll(job) if method == "GET" else (405, {})
+                return await self._poll(job) if method == "GET" else METHOD_NOT_ALLOWED
             if action == "abort":
-                return await self._abort(job) if method == "POST" else (405, {})
-        return 404, {"error": "no such path"}
+                return await self._cancel(job) if method == "POST" else METHOD_NOT_ALLOWED
+        return NO_SUCH_PATH
 
-    async def _known(self, job: str, deadline: Deadline) -> str | None:
-        """The job's state as the state service holds it now, or None.
+    def _health(self) -> Answer:
+        """Answer a health check."""
+        return Answer(200 if self.renewal.healthy() else 503, {})
 
-        The live record is read first: it only ever turns into the final one, so
-        that finding neither means that the job was never accepted.
-        """
-        if job in self.jobs.ended:
-            return self.jobs.ended[job]
-        live = self.jobs.live.get(job)
-        if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
-            return "live"
-        if not valid_id(job):
-            # An id that the first versions let through can't stand in a path.
-            if live is not None:
-                raise UnavailableError("the record is just changing")
-            return None
-        entry = await self.store.get(live_key(job), deadline)
-        if entry is not None:
-            await self._guard({live_key(job): entry.rev}, deadline)
-            return "live"
-        entry = await self.store.get(end_key(job), deadline)
-        await self._guard({live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline)
-        if entry is None and job in self.jobs.live:
-            self.rebuild.suspect(f"{job} is gone")
-            raise UnavailableError("the records are in doubt")
-        if entry is None:
-            return None
-        self.record_replica.note_end(job, *parse_end(entry.value), entry.rev)
-        return str(entry.value["s"])
-
-    async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
-        """That what was read is from the history of the records that we act on: a read by
-        itself says nothing of that."""
-        if self.rebuild.recovery is None:
-            return
-        txn = Txn()
-        for key, rev in revs.items():
-            txn.require(key, rev)
-        try:
-            await self.store.commit(txn, deadline)
-        except ConflictError:
-            raise UnavailableError("the record is just changing") from None
-
-    async def _answer(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
-        """The body of an answer about a job; UnavailableError if it is cancelled and its user can't
-        be told of that in time."""
-        if status != "live":
-            known = self.jobs.live.get(job)
-            done = known[0].tasks if status == "done" and known else 0
-            return {**await self._over(job, status, deadline), "done": done, "running": 0}
-        counts = self.dispatcher.counts(job)
-        leader = self.membership.epoch.member_for(job)
-        if counts is None and leader in self.peers and self.membership.is_member:
-            try:
-                ok, done, running = await self.peers[leader].call(
-                    frames.COUNTS, (self.membership.epoch.number, job), POLL_S / 4
-                )
-                counts = (done, running) if ok else None
-            except PeerError:
-                counts = None
-        if job in self.jobs.ended:
-            # It ended while the home was asked: that has been told to somebody by now.
-            return await self._answer(job, self.jobs.ended[job], deadline)
-        # For display only: a home out of reach must not cost the user its answer.
-        done, running = counts or (0, 0)
-        return {
-            "id": job,
-            "status": "running" if running else "queued",
-            "done": done,
-            "running": running,
-        }
-
-    async def _poll(self, job: str) -> tuple[int, dict[str, Any]]:
+    async def _poll(self, job: str) -> Answer:
+        """Answer a poll of a job's state."""
         if not valid_id(job):
-            return 404, {"error": "no such job"}
+            return NO_SUCH_JOB
         deadline = Deadline.within(time.monotonic(), IN_TIME * POLL_S)
-        status = await self._known(job, deadline)
+        status = await self.status.find(job, deadline)
         if status is None:
-            return 404, {"error": "no such job"}
-        return 200, await self._answer(job, status, deadline)
+            return NO_SUCH_JOB
+        return Answer(200, await self.status.describe(job, status, deadline))
 
-    async def _submit(self, body: bytes) -> tuple[int, dict[str, Any]]:
+    async def _submit(self, body: bytes) -> Answer:
+        """Answer a submission; a repeated one gets the state of the job accepted before."""
         try:
             job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-            return 400, {"error": str(exc)}
+            return Answer(400, {"error": str(exc)})
         if not self.stalls.check(time.monotonic()):
             # It may have waited since before we stood still, and its user have left.
             raise UnavailableError("just awake")
@@ -233,51 +195,88 @@
             return await self._refuse(job, 400, "not in the form of a job's id", deadline)
         submitted = time.time()
         value = live_value(job, submitted)
-        if (
-            len(msgspec.json.encode(value))
-            > self.settings.cluster.state.least().value_kb * 1024 - END_BYTES
-        ):
+        if self._exceeds_record(value):
             return await self._refuse(job, 400, "description too large", deadline)
-        limit = self.quotas.limits.get(job.team)
         if not self.catalogue.types and job.id not in self.jobs.ended:
-            return 503, {"error": "machine types not known yet"}
-        if (
-            limit is None
-            or not can_be_placed(job, self.catalogue.types)
-            or not can_ever_run(job, limit)
-        ):
+            return Answer(503, {"error": "machine types not known yet"})
+        if not self._can_ever_run(job):
             return await self._refuse(job, 422, "can never run", deadline)
-        if job.id in self.jobs.ended:
-            return 200, await self._answer(job.id, self.jobs.ended[job.id], deadline)
-        if job.id in self.jobs.live:
-            known = await self._known(job.id, deadline)
-            if known is not None:
-                return 200, await self._answer(job.id, known, deadline)
+        repeated = await self._answer_repeated(job.id, deadline)
+        if repeated is not None:
+            return repeated
         self._admit(URGENT_PRIORITY_S)
         if job.prereqs:
-            wrong = await self._unsuitable(job.prereqs, deadline)
-            if wrong:
-                return await self._refuse(job, 422, wrong, deadline)
+            fault = await self.prerequisites.find_fault(job.prereqs, deadline)
+            if fault:
+                return await self._refuse(job, 422, fault, deadline)
             if not self.upgrade.complete:
                 # The version in production would start it at once.
                 raise UnavailableError("not all controllers can take prereqs yet")
-        txn = Txn().require(live_key(job.id), 0).require(end_key(job.id), 0)
-        txn.put(live_key(job.id), value)
+        rev = await self._commit_live(job.id, value, deadline)
+        if rev is None:
+            known = await self.status.find(job.id, deadline)
+            if known is None:
+                raise UnavailableError("the record is just changing")
+            return Answer(200, await self.status.describe(job.id, known, deadline))
+        return await self._accept(job, rev, submitted, deadline)
+
+    def _exceeds_record(self, value: dict[str, Any]) -> bool:
+        """Whether the job's record, or the final one after it, would be too large."""
+        limit = self.settings.cluster.state.least().value_kb * 1024 - END_BYTES
+        return len(msgspec.json.encode(value)) > limit
+
+    def _can_ever_run(self, job: Job) -> bool:
+        """Whether the job fits on a machine type and into its team's limit."""
+        limit = self.quotas.limits.get(job.team)
+        return (
+            limit is not None
+            and can_be_placed(job, self.catalogue.types)
+            and can_ever_run(job, limit)
+        )
+
+    async def _answer_repeated(self, job: str, deadline: Deadline) -> Answer | None:
+        """Answer the submission of a job that is known here; None if it isn't."""
+        if job in self.jobs.ended:
+            return Answer(200, await self.status.describe(job, self.jobs.ended[job], deadline))
+        if job in self.jobs.live:
+            known = await self.status.find(job, deadline)
+            if known is not None:
+                return Answer(200, await self.status.describe(job, known, deadline))
+        return None
+
+    async def _commit_live(self, job: str, value: dict[str, Any], deadline: Deadline) -> int | None:
+        """Write the live record of a new job.
+
+        Returns:
+            Its revision; None if the job has a record already.
+
+        Raises:
+            UnavailableError: The state service can't be asked in time.
+            OutcomeUnknownError: It may have been written.
+        """
+        txn = Txn().require(live_key(job), 0).require(end_key(job), 0)
+        txn.put(live_key(job), value)
         attempt = self.store.begin(deadline)
         while True:
             try:
-                rev = await self.store.commit(txn, deadline, URGENT_PRIORITY_S)
-                break
+                return await self.store.commit(txn, deadline, URGENT_PRIORITY_S)
             except ConflictError:
-                known = await self._known(job.id, deadline)
-                if known is None:
-                    raise UnavailableError("the record is just changing") from None
-                return 200, await self._answer(job.id, known, deadline)
+                return None
             except OutcomeUnknownError:
                 # It may have been applied: the same transaction again either
                 # succeeds or shows the job.
                 if not await self.store.back_off(attempt):
                     raise
+
+    async def _accept(self, job: Job, rev: int, submitted: float, deadline: Deadline) -> Answer:
+        """Take in a job whose live record has been written, and answer its user.
+
+        Args:
+            job: The job.
+            rev: The revision of its live record.
+            submitted: When it was submitted, in seconds of the wall clock.
+            deadline: When its user stops waiting.
+        """
         log.info(
             "job=%s event=accepted class=%s kind=%s tasks=%d",
             job.id,
@@ -288,21 +287,25 @@
         self.record_replica.note_live(job, rev, self.record_replica.since(submitted))
         if self.rebuild.recovery is not None:
             await self.rebuild.recovery.second(rev, deadline)
-        return 201, {"id": job.id, "status": "queued"}
-
-    async def _refuse(
-        self, job: Job, status: int, cause: str, deadline: Deadline
-    ) -> tuple[int, dict[str, Any]]:
-        """The answer to a job that isn't accepted; but one that was accepted before never is
-        refused, whatever has changed since."""
-        known = await self._known(job.id, deadline)
+        return Answer(201, {"id": job.id, "status": "queued"})
+
+    async def _refuse(self, job: Job, status: int, cause: str, deadline: Deadline) -> Answer:
+        """Answer a submission that isn't accepted.
+
+        A job that was accepted before never is refused, whatever has changed since.
+        """
+        known = await self.status.find(job.id, deadline)
         if known is None:
-            return status, {"error": cause}
-        return 200, await self._answer(job.id, known, deadline)
+            return Answer(status, {"error": cause})
+        return Answer(200, await self.status.describe(job.id, known, deadline))
 
     def _admit(self, priority_s: float) -> None:
-        """UnavailableError, with when to come back, if what waits for the state service, or for the
-        processor, can't be worked off in time."""
+        """Admit a submission.
+
+        Raises:
+            UnavailableError: What waits for the state service, or for the processor, can't be
+                worked off in time; it says when to come back.
+        """
         after_s = max(
             self.admission.retry_after_s(self.store.backlog(priority_s)),
             self.processor_admission.retry_after_s(TURNS * self.stalls.timer_delay_s),
@@ -310,77 +313,51 @@
         if after_s:
             raise UnavailableError("too much is waiting", after_s)
 
-    async def _unsuitable(self, names: list[str], deadline: Deadline) -> str:
-        """Why a job can't wait for these; empty if it can: each was accepted, and ends by
-        itself. What isn't known here may have been accepted a moment ago by a controller
-        whose watch is ahead of ours, so the state service is asked."""
-        unknown = []
-        for name in dict.fromkeys(names):
-            known = self.jobs.live.get(name)
-            if known is None and name not in self.jobs.ended:
-                unknown.append(name)
-            elif known is not None and known[0].kind == SERVICE:
-                return f"{name} is a service"
-        # Of many at once, which records there are: a comparison names those that exist.
-        most = max(1, self.upgrade.limits.txn_ops * 2 - self.store.anchor_conditions)
-        for first in range(0, len(unknown), most):
-            part = unknown[first : first + most]
-            txn = Txn()
-            for name in part:
-                txn.require(live_key(name), 0).require(end_key(name), 0)
-            try:
-                await self.store.commit(txn, deadline)
-                return f"{part[0]} was never accepted"
-            except ConflictError as exc:
-                for name in part:
-                    if end_key(name) in exc.failed:
-                        continue
-                    if live_key(name) not in exc.failed:
-                        return f"{name} was never accepted"
-                    entry = await self.store.get(live_key(name), deadline)
-                    if entry is not None and entry.value["j"]["shape"] == SERVICE:
-                        return f"{name} is a service"
-        return ""
-
-    async def _over(self, job: str, status: str, deadline: Deadline) -> dict[str, Any]:
-        """The answer to a cancellation."""
-        if status == "cancelled":
-            await self.record_replica.announced(job, deadline)
-        return {"id": job, "status": status}
-
-    async def _abort(self, job: str) -> tuple[int, dict[str, Any]]:
+    async def _cancel(self, job: str) -> Answer:
+        """Answer a cancellation.
+
+        Raises:
+            UnavailableError: It could not be settled, or told, in time.
+        """
         if not valid_id(job):
-            return 404, {"error": "no such job"}
+            return NO_SUCH_JOB
         deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
         attempt = self.store.begin(deadline)
         while deadline.allows(time.monotonic()):
             if job in self.jobs.ended:
-                return 200, await self._over(job, self.jobs.ended[job], deadline)
+                ended = self.jobs.ended[job]
+                return Answer(200, await self.status.describe_end(job, ended, deadline))
             entry = await self.store.get(live_key(job), deadline)
             if entry is None:
-                known = await self._known(job, deadline)
+                known = await self.status.find(job, deadline)
                 if known is None:
-                    return 404, {"error": "no such job"}
-                if known == "live":
+                    return NO_SUCH_JOB
+                if known == LIVE:
                     continue
-                return 200, await self._over(job, known, deadline)
-            txn = Txn().require(live_key(job), entry.rev).delete(live_key(job))
-            at = time.time()
-            txn.put(
-                end_key(job),
-                truncate_end(
-                    end_value("cancelled", at, entry.value["j"]), self.upgrade.limits.value_kb
-                ),
-            )
+                return Answer(200, await self.status.describe_end(job, known, deadline))
             try:
-                rev = await self.store.commit(txn, deadline, CANCEL_PRIORITY_S)
+                await self._commit_cancellation(job, entry, deadline)
             except ConflictError:
                 continue
             except OutcomeUnknownError:
                 if not await self.store.back_off(attempt):
                     break
                 continue
-            log.info("job=%s event=cancelled", job)
-            self.record_replica.note_end(job, "cancelled", at, rev)
-            return 200, await self._over(job, "cancelled", deadline)
+            return Answer(200, await self.status.describe_end(job, "cancelled", deadline))
         raise UnavailableError("not settled in time")
+
+    async def _commit_cancellation(self, job: str, live: Entry, deadline: Deadline) -> None:
+        """Replace the live record `live` by the final one of a cancelled job.
+
+        Raises:
+            ConflictError: The live record has changed or gone.
+            OutcomeUnknownError: It may have been replaced.
+            UnavailableError: The state service can't be asked in time.
+        """
+        txn = Txn().require(live_key(job), live.rev).delete(live_key(job))
+        cancelled_at = time.time()
+        value = end_value("cancelled", cancelled_at, live.value["j"])
+        txn.put(end_key(job), truncate_end(value, self.upgrade.limits.value_kb))
+        rev = await self.store.commit(txn, deadline, CANCEL_PRIORITY_S)
+        log.info("job=%s event=cancelled", job)
+        self.record_replica.note_end(job, "cancelled", cancelled_at, rev)
