--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -46,7 +46,8 @@
             return False
         if self.state_lost(now):
             return not any(
-                p.state_ok and now - p.heard < membership.lease_ttl_s for p in self.peers.values()
+                peer.state_ok and now - peer.heard < membership.lease_ttl_s
+                for peer in self.peers.values()
             )
         return True
 
@@ -58,15 +59,17 @@
         """
         membership = self.membership
         return any(
-            p.state_ok
-            and p.epoch > membership.epoch.number
-            and now - p.heard < membership.lease_ttl_s
-            for p in self.peers.values()
+            peer.state_ok
+            and peer.epoch > membership.epoch.number
+            and now - peer.heard < membership.lease_ttl_s
+            for peer in self.peers.values()
         )
 
     def may_renew(self, now: float) -> bool:
-        """Whether leases may be renewed: a cancelled task must not be kept alive past its
-        deadline by a controller that doesn't know of it.
+        """Whether workers' leases may be renewed.
+
+        A cancelled task must not be kept alive past its deadline by a controller that doesn't
+        know of the cancellation.
 
         Silence proves nothing: that no peer reached the state service was once taken for a
         proof that nobody had been told of a cancellation, and one that had told it, and ended
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -5,7 +5,7 @@
 import logging
 import time
 from collections.abc import Mapping
-from typing import Any
+from typing import NamedTuple
 
 import curio
 
@@ -27,6 +27,32 @@
 
 log = logging.getLogger(__name__)
 
+# Heartbeats in the time that a controller's lease lasts.
+HEARTBEATS_PER_LEASE = 4
+# How long no peer must be heard before this controller steps aside, and how old its process must
+# be for that, in the time of a controller's lease.
+ISOLATION_LEASES = 1.5
+STARTUP_LEASES = 2
+
+# A job, its pending tasks, since when (s) and the zones of its other tasks.
+DemandRecord = tuple[str, int, float, str]
+
+
+class HeartbeatStatus(NamedTuple):
+    """What a heartbeat and its answer begin with, in the order of the frame.
+
+    Attributes:
+        label: The sender.
+        epoch: The number of the newest epoch that the sender knows.
+        state_ok: Whether the state service answers it.
+        room_rev: The revision of its machines' room.
+    """
+
+    label: str
+    epoch: int
+    state_ok: bool
+    room_rev: int
+
 
 class Heartbeats:
     """Exchanges signs of life, demand and promises on cancellations with the peers."""
@@ -63,16 +89,16 @@
         self.watermark = watermark
 
     async def keep_peers(self, peer: Peer) -> None:
-        """Exchange heartbeats with one peer, four in the time of a controller's lease."""
+        """Exchange heartbeats with one peer, several in the time of a controller's lease."""
         while True:
             self.stalls.check(time.monotonic())
             try:
                 await self._exchange(peer)
             except PeerError as exc:
                 log.debug("peer=%s event=out-of-reach cause=%s", peer.label, exc)
-            self._step_aside_or_back(time.monotonic())
+            self._update_away(time.monotonic())
             await self.routines.flush()
-            await curio.sleep(self.membership.lease_ttl_s / 4)
+            await curio.sleep(self.membership.lease_ttl_s / HEARTBEATS_PER_LEASE)
 
     async def _exchange(self, peer: Peer) -> None:
         """Send one heartbeat and take in its answer.
@@ -81,20 +107,20 @@
             PeerError: The peer has not answered.
         """
         sent = time.monotonic()
-        fields = (*self.status_fields(sent), self._demand_for(peer.label))
+        fields = (*self.status(sent), self._demand_for(peer.label))
         if not self.upgrade.promises_enabled:
-            label, number, state_ok, room_rev = await peer.call(frames.PING, fields)
+            label, epoch, state_ok, room_rev = await peer.call(frames.PING, fields)
         else:
-            label, number, state_ok, room_rev, incarnation, promised = await peer.call(
+            label, epoch, state_ok, room_rev, incarnation, promised = await peer.call(
                 frames.HEARTBEAT,
                 (*fields, self.membership.incarnation, self.record_replica.known_rev),
             )
             if promised and label == peer.label:
                 self.watermark.note_promise(label, incarnation, sent, time.monotonic())
         if label == peer.label:
-            self._heard(peer, number, state_ok, room_rev)
+            self._note_heard(peer, epoch, state_ok, room_rev)
 
-    def _step_aside_or_back(self, now: float) -> None:
+    def _update_away(self, now: float) -> None:
         """Leave the members while no peer is reached, and come back after that."""
         away = (
             self.membership.records_loaded
@@ -102,56 +128,64 @@
             and should_leave(
                 now,
                 self.membership.label,
-                {p.label: p.heard for p in self.peers.values()},
+                {peer.label: peer.heard for peer in self.peers.values()},
                 self.membership.present,
-                1.5 * self.membership.lease_ttl_s,
+                ISOLATION_LEASES * self.membership.lease_ttl_s,
             )
-            and now - self.membership.started_at > 2 * self.membership.lease_ttl_s
+            and now - self.membership.started_at > STARTUP_LEASES * self.membership.lease_ttl_s
         )
         if away != self.membership.away:
             log.info("event=%s cause=peers", "away" if away else "back")
             self.membership.away = away
             self.routines.signal("lease")
 
-    def received(
-        self, label: str, number: int, state_ok: bool, room_rev: int, demand: list[Any]
+    def receive(
+        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRecord]
     ) -> bool:
-        """Take in a heartbeat that a peer has sent; False if it is none of our peers."""
+        """Take in a heartbeat that a peer has sent.
+
+        Args:
+            label: The sender.
+            epoch: The number of the newest epoch that it knows.
+            state_ok: Whether the state service answers it.
+            room_rev: The revision of its machines' room.
+            demand: What waits there, if we are to rent by it.
+
+        Returns:
+            Whether the sender is a peer of ours.
+        """
         peer = self.peers.get(label)
         if peer is None:
             return False
-        self._heard(peer, number, state_ok, room_rev)
+        self._note_heard(peer, epoch, state_ok, room_rev)
         before = self.placer.demands.get(label)
         self.placer.demands[label] = demand
         if demand and not before:
             self.routines.signal("demand")
         return True
 
-    def _heard(self, peer: Peer, number: int, state_ok: bool, room_rev: int) -> None:
+    def _note_heard(self, peer: Peer, epoch: int, state_ok: bool, room_rev: int) -> None:
+        """Take note of the status that a peer has sent just now."""
         peer.heard = time.monotonic()
-        peer.state_ok, peer.epoch = state_ok, number
+        peer.state_ok, peer.epoch = state_ok, epoch
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
             if self.cached_state.starved:
                 self.routines.signal("starved")
-        if number > self.membership.epoch.number and self.store.ok:
+        if epoch > self.membership.epoch.number and self.store.ok:
             self.membership.rescan = True
 
-    def status_fields(self, now: float) -> tuple[str, int, bool, int]:
-        """What a heartbeat and its answer begin with.
-
-        It is our label, the epoch's number, whether the state service answers us, and
-        the revision of our machines' room.
-        """
-        return (
+    def status(self, now: float) -> HeartbeatStatus:
+        """Return what our heartbeats and our answers to them begin with."""
+        return HeartbeatStatus(
             self.membership.label,
             self.membership.epoch.number,
             not self.renewal.state_lost(now),
             self.machines.room_rev,
         )
 
-    def _demand_for(self, label: str) -> list[tuple[str, int, float, str]]:
-        """What waits here, for the one member that rents by it; nobody else asks."""
+    def _demand_for(self, label: str) -> list[DemandRecord]:
+        """Return what waits here, for the one member that rents by it; nobody else asks."""
         return (
             self.placer.demand()
             if self.membership.serving and label == self.membership.epoch.provisioner
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -31,7 +31,11 @@
 
 
 class MembershipDuties:
-    """The routines that keep a controller among the members."""
+    """The routines that keep a controller among the members.
+
+    Attributes:
+        flap_damping: Leaves out of the next epoch those that come and go too often.
+    """
 
     def __init__(
         self,
@@ -81,7 +85,7 @@
             return
         lease, self.membership.lease = self.membership.lease, None
         key = NODE_PREFIX + self.membership.label
-        # (Carried out late, it must not take away a later one of ours.)
+        # Carried out late, it must not take away a later key of ours.
         await self.store.commit(
             Txn()
             .require(key, self.membership.present_revs.get(self.membership.label, 0))
@@ -91,35 +95,44 @@
         log.info("event=stepped-aside lease=%d", lease)
 
     async def _enter(self, lease: int) -> None:
-        """Write our key, and with its first the version's record, so that the epoch
-        that takes us in is the later one.
+        """Write our key under `lease`, and with the first one the version's record.
+
+        So the epoch that takes us in is later than that record. The record is written once and
+        no more: a second copy, applied after that epoch had begun, left all who came later
+        waiting for another before they took pipelines.
 
-        The record is written once and no more: a second copy, applied after that epoch
-        had begun, left all who came later waiting for another before they took pipelines.
+        Raises:
+            ConflictError: Neither key explains why the transaction was refused.
+            NoLeaseError: The lease has ended.
+            UnavailableError: The state service has not answered.
+            OutcomeUnknownError: Our key may have been written.
         """
-        key, node = VERSION_PREFIX + self.membership.label, NODE_PREFIX + self.membership.label
+        version_key = VERSION_PREFIX + self.membership.label
+        node_key = NODE_PREFIX + self.membership.label
         node_rev = self.membership.present_revs.get(self.membership.label, 0)
         while True:
             # In place of the one that is known, and of no other: a copy that is carried out
             # late, by a process that has ended since, would put that in our place.
             txn = (
-                Txn().require(node, node_rev).put(node, {"inc": self.membership.incarnation}, lease)
+                Txn()
+                .require(node_key, node_rev)
+                .put(node_key, {"inc": self.membership.incarnation}, lease)
             )
             number, rev = self.upgrade.formats.get(self.membership.label, (0, 0))
             if number < self.rebuild.format:
-                txn.require(key, rev).put(key, {"format": self.rebuild.format})
+                txn.require(version_key, rev).put(version_key, {"format": self.rebuild.format})
             try:
                 await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
             except ConflictError as exc:
                 # Written by a process before this one: the mirror has not been read yet.
-                if node in exc.failed:
-                    entry = await self.store.get(node, allow_in_doubt=True)
+                if node_key in exc.failed:
+                    entry = await self.store.get(node_key, allow_in_doubt=True)
                     node_rev = entry.rev if entry is not None else 0
-                elif key not in exc.failed:
+                elif version_key not in exc.failed:
                     raise
-                if key in exc.failed:
-                    entry = await self.store.get(key, allow_in_doubt=True)
+                if version_key in exc.failed:
+                    entry = await self.store.get(version_key, allow_in_doubt=True)
                     if entry is None:
                         raise
                     self.record_replica.note_version(self.membership.label, entry.value, entry.rev)
@@ -132,22 +145,25 @@
                 continue
             if self._proposal() is None:
                 continue
+            # Others see the same; after pauses of different lengths most find the epoch proposed.
             await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 20))
             proposal = self._proposal()
-            if proposal is None:
-                continue
-            txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
-            try:
-                await self.store.commit(
-                    txn.put(EPOCH_KEY, proposal.value()), priority_s=LEASE_PRIORITY_S
-                )
-            except ConflictError:
-                await curio.sleep(self.membership.lease_ttl_s / 20)
-            except (UnavailableError, OutcomeUnknownError, NoLeaseError):
-                await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 10))
+            if proposal is not None:
+                await self._propose(proposal)
+
+    async def _propose(self, proposal: Epoch) -> None:
+        """Write the next epoch in place of the one known here; pause if that fails."""
+        txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
+        txn.put(EPOCH_KEY, proposal.value())
+        try:
+            await self.store.commit(txn, priority_s=LEASE_PRIORITY_S)
+        except ConflictError:
+            await curio.sleep(self.membership.lease_ttl_s / 20)
+        except (UnavailableError, OutcomeUnknownError, NoLeaseError):
+            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 10))
 
     def _proposal(self) -> Epoch | None:
-        """The next epoch, if there is to be one and it is ours to propose."""
+        """Return the next epoch, if there is to be one and it is ours to propose."""
         now = time.monotonic()
         for label in self.flap_damping.observe(self.membership.present, now):
             log.info(
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -46,7 +46,7 @@
         self.routines = routines
 
     def begin(self, epoch: Epoch) -> None:
-        """Act under a new epoch."""
+        """Act under a new epoch: serve nothing until our share of it has been loaded."""
         self.membership.epoch, self.membership.epoch_started_at = epoch, time.monotonic()
         self.membership.serving = False
         log.info(
@@ -55,7 +55,7 @@
             ",".join(sorted(epoch.members)),
         )
         if self.rebuild.recovery is not None:
-            # Who has seen more than the records show?
+            # Members may have seen more than the records show: their histories are compared.
             self.rebuild.recovery.history.needs_check_in = True
         for managed in self.jobs.managed.values():
             self.routines.signal(managed.name)
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -8,7 +8,7 @@
 
 import logging
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Iterable
 from typing import Any, NamedTuple
 
 import msgspec
@@ -19,7 +19,7 @@
 from clayport.machines.fleet import Fleet
 from clayport.machines.removal import MachineRemoval
 from clayport.machines.table import MachineTable
-from clayport.membership.heartbeats import Heartbeats
+from clayport.membership.heartbeats import DemandRecord, Heartbeats
 from clayport.membership.state import MembershipState
 from clayport.model import WorkerHeartbeat
 from clayport.rebuild.support import RebuildSupport
@@ -32,8 +32,20 @@
 
 log = logging.getLogger(__name__)
 
-# The kind of the answer's frame, and its fields.
-Answer = tuple[int, tuple[Any, ...]]
+# The kind of the answer's frame, and its fields: bare tuples, as `frames` packs them.
+Answer = tuple[int, frames.Fields]
+
+# The records of lists in the frames, as `frames` unpacks them.
+# A machine.
+NameRecord = tuple[str]
+# A machine, and the number of a task that is to be placed there.
+PlaceRecord = tuple[str, int]
+# A machine, a task and its attempt.
+TaskRecord = tuple[str, str, int]
+# The same, seconds to save in, and whether to clear the task rather than kill it.
+StopRecord = tuple[str, str, int, float, bool]
+# A machine, a task and its attempt, the state seen, its cause, and whether the task has saved.
+TaskStateRecord = tuple[str, str, int, str, str, bool]
 
 AGREED: Answer = (frames.ACK, (True,))
 REFUSED: Answer = (frames.ACK, (False,))
@@ -82,7 +94,7 @@
         self.renewal = renewal
         self.routines = routines
 
-    async def answer(self, kind: int, values: tuple[Any, ...]) -> Answer:
+    async def answer(self, kind: int, values: frames.Fields) -> Answer:
         """Answer one request; what it has signalled or started is carried out before.
 
         A request that acts on machines or tasks is refused as a whole unless it names the
@@ -99,38 +111,39 @@
             await self.routines.flush()
 
     def _is_current(self, epoch: int) -> bool:
+        """Whether this is the epoch whose work is loaded here."""
         return self.membership.serving and epoch == self.membership.epoch.number
 
     # -- requests of any epoch --------------------------------------
 
     async def ping(
-        self, label: str, number: int, state_ok: bool, room_rev: int, demand: list[Any]
+        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRecord]
     ) -> Answer:
         """PING, a heartbeat without promises."""
         heartbeats = self.heartbeats
-        heartbeats.received(label, number, state_ok, room_rev, demand)
-        return frames.PONG, heartbeats.status_fields(time.monotonic())
+        heartbeats.receive(label, epoch, state_ok, room_rev, demand)
+        return frames.PONG, heartbeats.status(time.monotonic())
 
-    async def beat(
+    async def heartbeat(
         self,
         label: str,
-        number: int,
+        epoch: int,
         state_ok: bool,
         room_rev: int,
-        demand: list[Any],
+        demand: list[DemandRecord],
         _incarnation: str,
         known_rev: int,
     ) -> Answer:
-        """BEAT, a heartbeat that asks for a promise about cancellations."""
+        """HEARTBEAT, one that asks for a promise about cancellations."""
         now = time.monotonic()
         heartbeats = self.heartbeats
-        is_peer = heartbeats.received(label, number, state_ok, room_rev, demand)
-        status_fields = heartbeats.status_fields(now)
+        is_peer = heartbeats.receive(label, epoch, state_ok, room_rev, demand)
+        status = heartbeats.status(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
-        return frames.HEARTBEAT_REPLY, (*status_fields, self.membership.incarnation, promised)
+        return frames.HEARTBEAT_REPLY, (*status, self.membership.incarnation, promised)
 
-    async def ended(self, job: str, status: str) -> Answer:
-        """ENDED: a job's final state, to be acknowledged before its user is told."""
+    async def job_ended(self, job: str, status: str) -> Answer:
+        """JOB_ENDED: a job's final state, to be acknowledged before its user is told."""
         if status in FINAL_STATES and job not in self.jobs.ended:
             self.record_replica.note_end(job, status)
         return AGREED
@@ -151,7 +164,7 @@
         """INSPECT: whether a machine that its owner misses answers us."""
         return frames.ACK, (await self.fleet.inspect(machine, address),)
 
-    async def gone(self, _epoch: int, machines: list[tuple[str]]) -> Answer:
+    async def gone(self, _epoch: int, machines: list[NameRecord]) -> Answer:
         """GONE: machines whose return the cloud has confirmed.
 
         It holds in any epoch, since names are not used again.
@@ -182,10 +195,10 @@
         counts = self.dispatcher.counts(job)
         return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
-    async def states(self, _epoch: int, events: list[tuple[Any, ...]]) -> Answer:
-        """STATES: what machines' owners have seen of tasks."""
+    async def task_states(self, _epoch: int, events: list[TaskStateRecord]) -> Answer:
+        """TASK_STATES: what machines' owners have seen of tasks."""
         verdicts = self.dispatcher.told(events)
-        return frames.VERDICTS, (True, [(v,) for v in verdicts])
+        return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
         """MOVE: whether a replica has another place than this machine."""
@@ -193,33 +206,33 @@
 
     # -- requests to the owner of machines -------------------------------
 
-    async def room(self, _epoch: int, since: int, machines: list[tuple[str]]) -> Answer:
-        """ROOM: the table of free room, or what has changed in it since a revision."""
+    async def free_room(self, _epoch: int, since: int, machines: list[NameRecord]) -> Answer:
+        """FREE_ROOM: the table of free room, or what has changed in it since a revision."""
         return frames.TABLE, self.cached_state.table(since, [name for (name,) in machines])
 
     async def reserve(
-        self, _epoch: int, job: str, attempt: int, places: list[tuple[str, int]]
+        self, _epoch: int, job: str, attempt: int, places: list[PlaceRecord]
     ) -> Answer:
         """RESERVE: room for tasks of a job on our machines."""
         known = self.jobs.description(job)
         if known is None:
             return NO_RESERVATIONS
-        granted = self.machines.reserve(known, places, attempt, time.monotonic())
-        return frames.RESERVED, (True, [(g,) for g in granted])
+        grants = self.machines.reserve(known, places, attempt, time.monotonic())
+        return frames.RESERVED, (True, [(granted,) for granted in grants])
 
-    async def launch(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
+    async def launch(self, _epoch: int, tasks: list[TaskRecord]) -> Answer:
         """LAUNCH: start tasks whose room has been reserved."""
         verdicts = self.machines.launch(tasks)
         self._poke(tasks)
-        return frames.VERDICTS, (True, [(v,) for v in verdicts])
+        return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
-    async def stop(self, _epoch: int, tasks: list[tuple[str, str, int, float, bool]]) -> Answer:
+    async def stop(self, _epoch: int, tasks: list[StopRecord]) -> Answer:
         """STOP: kill tasks, or clear them from the machines' reports."""
         self.machines.stop(tasks)
         self._poke(tasks)
         return AGREED
 
-    async def adopt(self, _epoch: int, tasks: list[tuple[str, str, int]]) -> Answer:
+    async def adopt(self, _epoch: int, tasks: list[TaskRecord]) -> Answer:
         """ADOPT: tasks that the records say are on our machines."""
         self.machines.adopt(tasks, time.monotonic())
         return AGREED
@@ -231,7 +244,7 @@
         job: str,
         count: int,
         grace_s: float,
-        borrowers: list[tuple[str]],
+        borrowers: list[NameRecord],
     ) -> Answer:
         """PREEMPT: make room on a machine for so many tasks of a job."""
         wanting = self.jobs.description(job)
@@ -262,7 +275,7 @@
             return REFUSED
         return AGREED
 
-    def _poke(self, tasks: list[Any]) -> None:
+    def _poke(self, tasks: Iterable[TaskRecord | StopRecord]) -> None:
         """Send the commands of the tasks' machines without waiting for their reports."""
         for machine in dict.fromkeys(task[0] for task in tasks):
             self.fleet.poke(machine)
@@ -278,17 +291,17 @@
 
 HANDLERS: dict[int, Handler] = {
     frames.PING: Handler(PeerRequests.ping),
-    frames.HEARTBEAT: Handler(PeerRequests.beat),
-    frames.JOB_ENDED: Handler(PeerRequests.ended),
+    frames.HEARTBEAT: Handler(PeerRequests.heartbeat),
+    frames.JOB_ENDED: Handler(PeerRequests.job_ended),
     frames.HISTORY: Handler(PeerRequests.history),
     frames.EVIDENCE: Handler(PeerRequests.evidence),
     frames.INSPECT: Handler(PeerRequests.inspect),
     frames.GONE: Handler(PeerRequests.gone),
     frames.REPORT: Handler(PeerRequests.report),
     frames.COUNTS: Handler(PeerRequests.counts, NO_COUNTS),
-    frames.TASK_STATES: Handler(PeerRequests.states, NO_VERDICTS),
+    frames.TASK_STATES: Handler(PeerRequests.task_states, NO_VERDICTS),
     frames.MOVE: Handler(PeerRequests.move, REFUSED),
-    frames.FREE_ROOM: Handler(PeerRequests.room, NO_TABLE),
+    frames.FREE_ROOM: Handler(PeerRequests.free_room, NO_TABLE),
     frames.RESERVE: Handler(PeerRequests.reserve, NO_RESERVATIONS),
     frames.LAUNCH: Handler(PeerRequests.launch, NO_VERDICTS),
     frames.STOP: Handler(PeerRequests.stop, REFUSED),
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -24,6 +24,8 @@
     exactly.
 
     Attributes:
+        rng: Draws the lengths of pauses.
+        duty_pause_s: About how long a long-lived routine pauses before it begins anew.
         events: The event of each signal that was set or waited for, by the signal's name.
         signalled: The signals to be set at the next flush (a set in order).
         coroutines: The coroutines to be started at the next flush.
@@ -40,20 +42,20 @@
         """Set the signal `name` at the next flush."""
         self.signalled[name] = None
 
-    def spawn(self, coro: Coroutine[Any, Any, Any]) -> None:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         """Start a short-lived routine at the next flush.
 
         An exception that it raises is logged and goes no further.
         """
-        self.coroutines.append(coro)
+        self.coroutines.append(coroutine)
 
     async def flush(self) -> None:
         """Start the routines and set the signals recorded, also while this goes on."""
         while self.coroutines or self.signalled:
-            coros, self.coroutines = self.coroutines, []
+            coroutines, self.coroutines = self.coroutines, []
             signalled, self.signalled = self.signalled, {}
-            for coro in coros:
-                await curio.spawn(self._guard(coro), daemon=True)
+            for coroutine in coroutines:
+                await curio.spawn(self._guard(coroutine), daemon=True)
             for name in signalled:
                 await self._event(name).set()
 
@@ -73,12 +75,19 @@
         event.clear()
 
     def jitter(self, base_s: float) -> float:
-        """A pause around `base_s` seconds: controllers must not come back in step."""
+        """Return a pause around `base_s` seconds: controllers must not come back in step."""
         return base_s * self.rng.uniform(0.5, 1.5)
 
     async def duty(self, routine: Callable[..., Coroutine[Any, Any, None]], *args: Any) -> None:
-        """Run a long-lived routine. An error in one round is logged and must not end the
-        process, which would cost its users and workers more than the round."""
+        """Run a long-lived routine, and begin it anew after an error.
+
+        The error is logged and must not end the process, which would cost its users and workers
+        more than one round of the routine.
+
+        Args:
+            routine: The routine.
+            *args: Its arguments.
+        """
         while True:
             try:
                 await routine(*args)
@@ -87,14 +96,16 @@
             await curio.sleep(self.jitter(self.duty_pause_s))
 
     def _event(self, name: str) -> curio.Event:
+        """Return the event of a signal, made when it is first asked for."""
         event = self.events.get(name)
         if event is None:
             event = self.events[name] = curio.Event()
         return event
 
-    async def _guard(self, coro: Coroutine[Any, Any, Any]) -> None:
+    async def _guard(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a short-lived routine to its end, and what it has recorded."""
         try:
-            await coro
+            await coroutine
         except Exception:
             log.exception("event=routine-failed")
         await self.flush()
