--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -29,6 +29,18 @@
 
 log = logging.getLogger(__name__)
 
+# In the time that our key's lease lasts: its renewals, what is tried again after an error, and
+# checks of whether an epoch is to be proposed.
+RENEWALS_PER_LEASE = 3
+RETRIES_PER_LEASE = 8
+CHECKS_PER_LEASE = 2
+# As shares of the same time, the pauses before a proposal and after one that came too late, and
+# after one that the state service has not answered.
+PROPOSAL_PAUSES_PER_LEASE = 20
+UNANSWERED_PAUSES_PER_LEASE = 10
+# The shortest pause between two rounds that keep the lease, in seconds.
+MIN_PAUSE_S = 0.001
+
 
 class MembershipDuties:
     """The routines that keep a controller among the members.
@@ -63,7 +75,7 @@
     async def keep_lease(self) -> None:
         """Hold our key in the state service while we can serve."""
         while True:
-            pause = self.membership.lease_ttl_s / 3
+            pause_s = self.membership.lease_ttl_s / RENEWALS_PER_LEASE
             try:
                 if self.membership.away:
                     await self._step_aside()
@@ -73,11 +85,11 @@
                     self.membership.lease = lease
                 elif not await self.store.renew(self.membership.lease):
                     self.membership.lease = None
-                    pause = 0.0
+                    pause_s = 0.0
             except (UnavailableError, OutcomeUnknownError, NoLeaseError, ConflictError) as exc:
                 log.debug("event=lease-trouble cause=%s", exc)
-                pause = self.routines.jitter(self.membership.lease_ttl_s / 8)
-            await self.routines.wait("lease", max(pause, 0.001))
+                pause_s = self.routines.jitter(self.membership.lease_ttl_s / RETRIES_PER_LEASE)
+            await self.routines.wait("lease", max(pause_s, MIN_PAUSE_S))
 
     async def _step_aside(self) -> None:
         """Remove our key, if it is there."""
@@ -140,13 +152,15 @@
     async def keep_members(self) -> None:
         """Propose the next epoch when those present differ from its members."""
         while True:
-            await self.routines.wait("members", self.membership.lease_ttl_s / 2)
+            await self.routines.wait("members", self.membership.lease_ttl_s / CHECKS_PER_LEASE)
             if not self.membership.records_loaded or not self.stalls.check(time.monotonic()):
                 continue
             if self._proposal() is None:
                 continue
             # Others see the same; after pauses of different lengths most find the epoch proposed.
-            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 20))
+            await curio.sleep(
+                self.routines.jitter(self.membership.lease_ttl_s / PROPOSAL_PAUSES_PER_LEASE)
+            )
             proposal = self._proposal()
             if proposal is not None:
                 await self._propose(proposal)
@@ -158,9 +172,11 @@
         try:
             await self.store.commit(txn, priority_s=LEASE_PRIORITY_S)
         except ConflictError:
-            await curio.sleep(self.membership.lease_ttl_s / 20)
+            await curio.sleep(self.membership.lease_ttl_s / PROPOSAL_PAUSES_PER_LEASE)
         except (UnavailableError, OutcomeUnknownError, NoLeaseError):
-            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 10))
+            await curio.sleep(
+                self.routines.jitter(self.membership.lease_ttl_s / UNANSWERED_PAUSES_PER_LEASE)
+            )
 
     def _proposal(self) -> Epoch | None:
         """Return the next epoch, if there is to be one and it is ours to propose."""
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -34,7 +34,7 @@
 
 
 class StallDetector:
-    """Notices stalls, and whether membership has been confirmed since the last one.
+    """Detects stalls, and whether membership has been confirmed since the last one.
 
     After a stall everybody looks silent or late, and the others may have gone on without
     this process; so nothing is judged by elapsed time before the records have been read again.
@@ -85,7 +85,15 @@
             self.timer_delay_s = min(max(0.0, delay_s), self.stall_s)
 
     def check(self, now: float) -> bool:
-        """Whether what was last seen is as old as the clock says, as far as is known."""
+        """Note a stall, if there was one.
+
+        Args:
+            now: The time on the steady clock, in seconds.
+
+        Returns:
+            Whether what was last seen is as old as the clock says, as far as is known: the records
+            have been read since the last stall.
+        """
         report_s = self.settings.cluster.workers.report_s
         gap_s = now - self.last_run - CHECK_INTERVALS * report_s
         self.last_run = now
@@ -94,7 +102,7 @@
         return self.confirmed_count == self.count
 
     def _note_stall(self, gap_s: float, now: float) -> None:
-        """Move what is judged by elapsed time by the gap, and look at the records again."""
+        """Shift what is judged by elapsed time by the gap, and look at the records again."""
         log.info("event=stood-still seconds=%.1f", gap_s)
         self.count += 1
         self.membership.rescan = True
--- a/clayport/membership/state.py
+++ b/clayport/membership/state.py
@@ -46,5 +46,5 @@
         return self.epoch.members.get(self.label) == self.incarnation
 
     def request_rescan(self) -> None:
-        """Somebody acts under a newer epoch than the one known here: read the records anew."""
+        """Have the records read anew: somebody acts under a newer epoch than the one known here."""
         self.rescan = True
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -57,16 +57,16 @@
 END_BYTES = 64
 
 
-class Answer(NamedTuple):
-    """An HTTP status, and the body to be encoded as JSON."""
+class Response(NamedTuple):
+    """What a request is answered: an HTTP status, and the body to be encoded as JSON."""
 
     status: int
     body: dict[str, Any]
 
 
-METHOD_NOT_ALLOWED = Answer(405, {})
-NO_SUCH_PATH = Answer(404, {"error": "no such path"})
-NO_SUCH_JOB = Answer(404, {"error": "no such job"})
+METHOD_NOT_ALLOWED = Response(405, {})
+NO_SUCH_PATH = Response(404, {"error": "no such path"})
+NO_SUCH_JOB = Response(404, {"error": "no such job"})
 
 
 class Api:
@@ -167,11 +167,11 @@
                 return await self._cancel(job) if method == "POST" else METHOD_NOT_ALLOWED
         return NO_SUCH_PATH
 
-    def _health(self) -> Answer:
+    def _health(self) -> Response:
         """Answer a health check."""
-        return Answer(200 if self.renewal.healthy() else 503, {})
+        return Response(200 if self.renewal.healthy() else 503, {})
 
-    async def _poll(self, job: str) -> Answer:
+    async def _poll(self, job: str) -> Response:
         """Answer a poll of a job's state."""
         if not valid_id(job):
             return NO_SUCH_JOB
@@ -179,14 +179,14 @@
         status = await self.status.find(job, deadline)
         if status is None:
             return NO_SUCH_JOB
-        return Answer(200, await self.status.describe(job, status, deadline))
+        return Response(200, await self.status.describe(job, status, deadline))
 
-    async def _submit(self, body: bytes) -> Answer:
+    async def _submit(self, body: bytes) -> Response:
         """Answer a submission; a repeated one gets the state of the job accepted before."""
         try:
             job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
-            return Answer(400, {"error": str(exc)})
+            return Response(400, {"error": str(exc)})
         if not self.stalls.check(time.monotonic()):
             # It may have waited since before we stood still, and its user have left.
             raise UnavailableError("just awake")
@@ -198,7 +198,7 @@
         if self._exceeds_record(value):
             return await self._refuse(job, 400, "description too large", deadline)
         if not self.catalogue.types and job.id not in self.jobs.ended:
-            return Answer(503, {"error": "machine types not known yet"})
+            return Response(503, {"error": "machine types not known yet"})
         if not self._can_ever_run(job):
             return await self._refuse(job, 422, "can never run", deadline)
         repeated = await self._answer_repeated(job.id, deadline)
@@ -217,7 +217,7 @@
             known = await self.status.find(job.id, deadline)
             if known is None:
                 raise UnavailableError("the record is just changing")
-            return Answer(200, await self.status.describe(job.id, known, deadline))
+            return Response(200, await self.status.describe(job.id, known, deadline))
         return await self._accept(job, rev, submitted, deadline)
 
     def _exceeds_record(self, value: dict[str, Any]) -> bool:
@@ -234,14 +234,14 @@
             and can_ever_run(job, limit)
         )
 
-    async def _answer_repeated(self, job: str, deadline: Deadline) -> Answer | None:
+    async def _answer_repeated(self, job: str, deadline: Deadline) -> Response | None:
         """Answer the submission of a job that is known here; None if it isn't."""
         if job in self.jobs.ended:
-            return Answer(200, await self.status.describe(job, self.jobs.ended[job], deadline))
+            return Response(200, await self.status.describe(job, self.jobs.ended[job], deadline))
         if job in self.jobs.live:
             known = await self.status.find(job, deadline)
             if known is not None:
-                return Answer(200, await self.status.describe(job, known, deadline))
+                return Response(200, await self.status.describe(job, known, deadline))
         return None
 
     async def _commit_live(self, job: str, value: dict[str, Any], deadline: Deadline) -> int | None:
@@ -268,7 +268,7 @@
                 if not await self.store.back_off(attempt):
                     raise
 
-    async def _accept(self, job: Job, rev: int, submitted: float, deadline: Deadline) -> Answer:
+    async def _accept(self, job: Job, rev: int, submitted: float, deadline: Deadline) -> Response:
         """Take in a job whose live record has been written, and answer its user.
 
         Args:
@@ -287,17 +287,17 @@
         self.record_replica.note_live(job, rev, self.record_replica.since(submitted))
         if self.rebuild.recovery is not None:
             await self.rebuild.recovery.second(rev, deadline)
-        return Answer(201, {"id": job.id, "status": "queued"})
+        return Response(201, {"id": job.id, "status": "queued"})
 
-    async def _refuse(self, job: Job, status: int, cause: str, deadline: Deadline) -> Answer:
+    async def _refuse(self, job: Job, status: int, cause: str, deadline: Deadline) -> Response:
         """Answer a submission that isn't accepted.
 
         A job that was accepted before never is refused, whatever has changed since.
         """
         known = await self.status.find(job.id, deadline)
         if known is None:
-            return Answer(status, {"error": cause})
-        return Answer(200, await self.status.describe(job.id, known, deadline))
+            return Response(status, {"error": cause})
+        return Response(200, await self.status.describe(job.id, known, deadline))
 
     def _admit(self, priority_s: float) -> None:
         """Admit a submission.
@@ -313,7 +313,7 @@
         if after_s:
             raise UnavailableError("too much is waiting", after_s)
 
-    async def _cancel(self, job: str) -> Answer:
+    async def _cancel(self, job: str) -> Response:
         """Answer a cancellation.
 
         Raises:
@@ -326,7 +326,7 @@
         while deadline.allows(time.monotonic()):
             if job in self.jobs.ended:
                 ended = self.jobs.ended[job]
-                return Answer(200, await self.status.describe_end(job, ended, deadline))
+                return Response(200, await self.status.describe_end(job, ended, deadline))
             entry = await self.store.get(live_key(job), deadline)
             if entry is None:
                 known = await self.status.find(job, deadline)
@@ -334,7 +334,7 @@
                     return NO_SUCH_JOB
                 if known == LIVE:
                     continue
-                return Answer(200, await self.status.describe_end(job, known, deadline))
+                return Response(200, await self.status.describe_end(job, known, deadline))
             try:
                 await self._commit_cancellation(job, entry, deadline)
             except ConflictError:
@@ -343,7 +343,7 @@
                 if not await self.store.back_off(attempt):
                     break
                 continue
-            return Answer(200, await self.status.describe_end(job, "cancelled", deadline))
+            return Response(200, await self.status.describe_end(job, "cancelled", deadline))
         raise UnavailableError("not settled in time")
 
     async def _commit_cancellation(self, job: str, live: Entry, deadline: Deadline) -> None:
