--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -29,9 +29,25 @@
 
 log = logging.getLogger(__name__)
 
+# In the time that our key's lease lasts: its renewals, what is tried again after an error, and
+# checks of whether an epoch is to be proposed.
+RENEWALS_PER_LEASE = 3
+RETRIES_PER_LEASE = 8
+CHECKS_PER_LEASE = 2
+# As shares of the same time, the pauses before a proposal and after one that came too late, and
+# after one that the state service has not answered.
+PROPOSAL_PAUSES_PER_LEASE = 20
+UNANSWERED_PAUSES_PER_LEASE = 10
+# The shortest pause between two rounds that keep the lease, in seconds.
+MIN_PAUSE_S = 0.001
+
 
 class MembershipDuties:
-    """The routines that keep a controller among the members."""
+    """The routines that keep a controller among the members.
+
+    Attributes:
+        flap_damping: Leaves out of the next epoch those that come and go too often.
+    """
 
     def __init__(
         self,
@@ -59,7 +75,7 @@
     async def keep_lease(self) -> None:
         """Hold our key in the state service while we can serve."""
         while True:
-            pause = self.membership.lease_ttl_s / 3
+            pause_s = self.membership.lease_ttl_s / RENEWALS_PER_LEASE
             try:
                 if self.membership.away:
                     await self._step_aside()
@@ -69,11 +85,11 @@
                     self.membership.lease = lease
                 elif not await self.store.renew(self.membership.lease):
                     self.membership.lease = None
-                    pause = 0.0
+                    pause_s = 0.0
             except (UnavailableError, OutcomeUnknownError, NoLeaseError, ConflictError) as exc:
                 log.debug("event=lease-trouble cause=%s", exc)
-                pause = self.routines.jitter(self.membership.lease_ttl_s / 8)
-            await self.routines.wait("lease", max(pause, 0.001))
+                pause_s = self.routines.jitter(self.membership.lease_ttl_s / RETRIES_PER_LEASE)
+            await self.routines.wait("lease", max(pause_s, MIN_PAUSE_S))
 
     async def _step_aside(self) -> None:
         """Remove our key, if it is there."""
@@ -81,7 +97,7 @@
             return
         lease, self.membership.lease = self.membership.lease, None
         key = NODE_PREFIX + self.membership.label
-        # (Carried out late, it must not take away a later one of ours.)
+        # Carried out late, it must not take away a later key of ours.
         await self.store.commit(
             Txn()
             .require(key, self.membership.present_revs.get(self.membership.label, 0))
@@ -91,35 +107,44 @@
         log.info("event=stepped-aside lease=%d", lease)
 
     async def _enter(self, lease: int) -> None:
-        """Write our key, and with its first the version's record, so that the epoch
-        that takes us in is the later one.
+        """Write our key under `lease`, and with the first one the version's record.
 
-        The record is written once and no more: a second copy, applied after that epoch
-        had begun, left all who came later waiting for another before they took pipelines.
+        So the epoch that takes us in is later than that record. The record is written once and
+        no more: a second copy, applied after that epoch had begun, left all who came later
+        waiting for another before they took pipelines.
+
+        Raises:
+            ConflictError: Neither key explains why the transaction was refused.
+            NoLeaseError: The lease has ended.
+            UnavailableError: The state service has not answered.
+            OutcomeUnknownError: Our key may have been written.
         """
-        key, node = VERSION_PREFIX + self.membership.label, NODE_PREFIX + self.membership.label
+        version_key = VERSION_PREFIX + self.membership.label
+        node_key = NODE_PREFIX + self.membership.label
         node_rev = self.membership.present_revs.get(self.membership.label, 0)
         while True:
             # In place of the one that is known, and of no other: a copy that is carried out
             # late, by a process that has ended since, would put that in our place.
             txn = (
-                Txn().require(node, node_rev).put(node, {"inc": self.membership.incarnation}, lease)
+                Txn()
+                .require(node_key, node_rev)
+                .put(node_key, {"inc": self.membership.incarnation}, lease)
             )
             number, rev = self.upgrade.formats.get(self.membership.label, (0, 0))
             if number < self.rebuild.format:
-                txn.require(key, rev).put(key, {"format": self.rebuild.format})
+                txn.require(version_key, rev).put(version_key, {"format": self.rebuild.format})
             try:
                 await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
             except ConflictError as exc:
                 # Written by a process before this one: the mirror has not been read yet.
-                if node in exc.failed:
-                    entry = await self.store.get(node, allow_in_doubt=True)
+                if node_key in exc.failed:
+                    entry = await self.store.get(node_key, allow_in_doubt=True)
                     node_rev = entry.rev if entry is not None else 0
-                elif key not in exc.failed:
+                elif version_key not in exc.failed:
                     raise
-                if key in exc.failed:
-                    entry = await self.store.get(key, allow_in_doubt=True)
+                if version_key in exc.failed:
+                    entry = await self.store.get(version_key, allow_in_doubt=True)
                     if entry is None:
                         raise
                     self.versions.note_version(self.membership.label, entry.value, entry.rev)
@@ -127,27 +152,34 @@
     async def keep_members(self) -> None:
         """Propose the next epoch when those present differ from its members."""
         while True:
-            await self.routines.wait("members", self.membership.lease_ttl_s / 2)
+            await self.routines.wait("members", self.membership.lease_ttl_s / CHECKS_PER_LEASE)
             if not self.membership.records_loaded or not self.stalls.check(time.monotonic()):
                 continue
             if self._proposal() is None:
                 continue
-            await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 20))
+            # Others see the same; after pauses of different lengths most find the epoch proposed.
+            await curio.sleep(
+                self.routines.jitter(self.membership.lease_ttl_s / PROPOSAL_PAUSES_PER_LEASE)
+            )
             proposal = self._proposal()
-            if proposal is None:
-                continue
-            txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
-            try:
-                await self.store.commit(
-                    txn.put(EPOCH_KEY, proposal.value()), priority_s=LEASE_PRIORITY_S
-                )
-            except ConflictError:
-                await curio.sleep(self.membership.lease_ttl_s / 20)
-            except (UnavailableError, OutcomeUnknownError, NoLeaseError):
-                await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 10))
+            if proposal is not None:
+                await self._propose(proposal)
+
+    async def _propose(self, proposal: Epoch) -> None:
+        """Write the next epoch in place of the one known here; pause if that fails."""
+        txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
+        txn.put(EPOCH_KEY, proposal.value())
+        try:
+            await self.store.commit(txn, priority_s=LEASE_PRIORITY_S)
+        except ConflictError:
+            await curio.sleep(self.membership.lease_ttl_s / PROPOSAL_PAUSES_PER_LEASE)
+        except (UnavailableError, OutcomeUnknownError, NoLeaseError):
+            await curio.sleep(
+                self.routines.jitter(self.membership.lease_ttl_s / UNANSWERED_PAUSES_PER_LEASE)
+            )
 
     def _proposal(self) -> Epoch | None:
-        """The next epoch, if there is to be one and it is ours to propose."""
+        """Return the next epoch, if there is to be one and it is ours to propose."""
         now = time.monotonic()
         for label in self.flap_damping.observe(self.membership.present, now):
             log.info(
