--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -1,4 +1,4 @@
-"""The cached cached state of free room that work is placed from, and its adaptive refresh."""
+"""The cached state of the fleet's free resources that tasks are placed from, and its refresh."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import math
 import time
 from collections.abc import Iterable, Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import curio
 
@@ -25,8 +25,104 @@
 log = logging.getLogger(__name__)
 
 
+# What is taken on a machine: priority rank, whether without GPUs, CPUs, GPUs, memory (GB).
+Usage = tuple[int, bool, float, float, float]
+
+
+class MachineRow(NamedTuple):
+    """One machine in a table of free room, in the order of `frames.MACHINE`.
+
+    Attributes:
+        machine: Its name.
+        address: Where its worker is reached.
+        type: Its machine type.
+        zone: Its zone.
+        spot: Whether it is a spot instance.
+        open: Whether it takes new tasks.
+        cpus: Free CPUs; `gpus` likewise.
+        gpus: Free GPUs.
+        memory_gb: Free memory, in GB.
+        tasks: How many tasks it has.
+        images: The images that it has cached, separated by spaces.
+        idle_s: For how long it has been idle, in seconds; negative while it is not.
+        hold: The job that its room is kept for ("": none).
+    """
+
+    machine: str
+    address: str
+    type: str
+    zone: str
+    spot: bool
+    open: bool
+    cpus: float
+    gpus: float
+    memory_gb: float
+    tasks: int
+    images: str
+    idle_s: float
+    hold: str
+
+    def room(self, owner: str, usage: Iterable[Usage], now: float) -> Room:
+        """Return the room that the row describes.
+
+        Args:
+            owner: The controller that sent the row.
+            usage: What is taken on the machine.
+            now: The monotonic time, in seconds.
+        """
+        room = Room(
+            self.machine,
+            self.address,
+            self.type,
+            self.zone,
+            self.spot,
+            self.open,
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.tasks,
+            self.images.split(" ") if self.images else (),
+            now - self.idle_s if self.idle_s >= 0 else math.inf,
+            owner,
+            usage,
+        )
+        room.hold = self.hold
+        return room
+
+
+def machine_row(room: Room, now: float) -> MachineRow:
+    """Return the row that tells peers of a room; `now` is the monotonic time in seconds."""
+    return MachineRow(
+        room.machine,
+        room.address,
+        room.type,
+        room.zone,
+        room.spot,
+        room.open,
+        room.cpus,
+        room.gpus,
+        room.memory_gb,
+        room.tasks,
+        " ".join(room.images),
+        -1.0 if room.idle_since == math.inf else max(0.0, now - room.idle_since),
+        room.hold,
+    )
+
+
 class CachedState:
-    """Rooms of all machines, as their owners' tables said when they were last pulled."""
+    """The rooms of all machines, as their owners' tables said when they were last pulled.
+
+    Attributes:
+        adaptive_interval: How often all peers' tables are pulled.
+        inflight: Tasks, by job and number, that are placed and not committed yet, with their
+            machine and job: what they take is subtracted.
+        pulled: For each peer, the revision of its table at the last pull.
+        own_rev: The revision of our own table when it was last read (-1: not yet).
+        stale: Machines whose rooms were charged or closed here, and so differ from what their
+            owner says until they are asked for again.
+        pulling: Peers whose tables are to be pulled soon.
+        starved: Whether the last pass of the placer left work without room.
+    """
 
     def __init__(
         self,
@@ -45,18 +141,15 @@
         self.settings = settings
         self.view = view
         self.adaptive_interval = AdaptiveInterval()
-        # Tasks that are placed and not committed yet: what they take is subtracted.
         self.inflight: dict[tuple[str, int], tuple[str, Job]] = {}
-        self.pulled: dict[str, int] = {}  # peer: its room revision at the last pull
+        self.pulled: dict[str, int] = {}
         self.own_rev = -1
-        # Machines whose rooms were charged or closed here, and so differ from what
-        # their owner says until they are asked for again.
         self.stale: dict[str, None] = {}
         self.pulling: set[str] = set()
         self.starved = False
 
     def begin(self) -> None:
-        """A new epoch: machines have new owners, and nothing is on its way."""
+        """Start an epoch: machines have new owners, and no start is in flight."""
         self.inflight.clear()
         self.pulled.clear()
         self.own_rev = -1
@@ -68,52 +161,60 @@
             self.routines.signal("place")
 
     def index(self) -> Index:
-        """The snapshot, indexed, as it is now."""
+        """Return the index of the rooms, with our own machines up to date."""
         self.rooms()
         return self.view.index
 
     def rooms(self) -> Mapping[str, Room]:
-        """The snapshot; our own machines in it are always as their reports say."""
-        owner = self.machines
-        ours = [n for n in self.stale if n in owner.machines]
-        if owner.room_rev != self.own_rev or ours:
-            changed = owner.changed(self.own_rev) if self.own_rev >= 0 else None
-            names = dict.fromkeys(owner.machines if changed is None else [*changed, *ours])
-            self.own_rev = owner.room_rev
-            self.unstale(ours)
+        """Return the rooms by machine; our own are always as their last heartbeats say."""
+        table = self.machines
+        own_stale = [name for name in self.stale if name in table.machines]
+        if table.room_rev != self.own_rev or own_stale:
+            changed = table.changed(self.own_rev) if self.own_rev >= 0 else None
+            names = dict.fromkeys(table.machines if changed is None else [*changed, *own_stale])
+            self.own_rev = table.room_rev
+            self.mark_fresh(own_stale)
             now = time.monotonic()
-            found = {n: owner.machines[n] for n in names if n in owner.machines}
-            self._show(
-                self.membership.label,
-                [owner.room(m, self.membership.label, now) for m in found.values() if m.known],
+            label = self.membership.label
+            found = {name: table.machines[name] for name in names if name in table.machines}
+            self._update(
+                label,
+                [table.room(machine, label, now) for machine in found.values() if machine.known],
                 changed is None,
-                [n for n in names if n not in found],
+                [name for name in names if name not in found],
             )
         return self.view.rooms
 
-    def unstale(self, names: Iterable[str]) -> None:
+    def mark_fresh(self, names: Iterable[str]) -> None:
+        """Note that the rooms of these machines are as their owner says again."""
         for name in names:
             self.stale.pop(name, None)
 
-    def _show(self, owner: str, rooms: Iterable[Room], whole: bool, removed: Iterable[str]) -> None:
-        """Renew one owner's part of the snapshot, or what has changed of it."""
+    def _update(
+        self, owner: str, rooms: Iterable[Room], whole: bool, removed: Iterable[str]
+    ) -> None:
+        """Replace one owner's rooms, or (not `whole`) those of them that have changed."""
         if whole:
-            removed = [n for n, r in self.view.rooms.items() if r.owner == owner]
+            removed = [name for name, room in self.view.rooms.items() if room.owner == owner]
         for name in removed:
             if name in self.view.rooms and self.view.rooms[name].owner == owner:
                 self.view.index.remove(name)
-        shown = set()
+        updated = set()
         for room in rooms:
             self.view.index.add(room)
             self.view.zones[room.machine] = room.zone  # never changes
-            shown.add(room.machine)
+            updated.add(room.machine)
         # What was placed and isn't reserved yet stays subtracted.
         for machine, job in self.inflight.values():
-            if machine in shown:
+            if machine in updated:
                 self.view.rooms[machine].take(job)
 
     async def refresh_peers(self, changed_only: bool) -> None:
-        """Pull the peers' free-room tables; nothing is written to the state service."""
+        """Pull the peers' tables of free room; nothing is written to the state service.
+
+        Args:
+            changed_only: Leave out peers whose table has not changed since the last pull.
+        """
         epoch = self.membership.epoch
         for label in epoch.members:
             peer = self.peers.get(label)
@@ -123,56 +224,38 @@
                 and not (changed_only and self.pulled.get(label) == peer.room_rev)
             ):
                 await self._pull(label)
-        self.unstale([n for n in self.stale if n not in self.view.rooms])
+        self.mark_fresh([name for name in self.stale if name not in self.view.rooms])
 
     async def _pull(self, label: str) -> None:
-        """What has changed of a peer's table since the last time, and the machines whose
+        """Pull what has changed of a peer's table since the last pull, and the machines whose
         rooms were charged or closed here meanwhile."""
-        epoch = self.membership.epoch
-        charged = [
-            n for n in self.stale if n in self.view.rooms and self.view.rooms[n].owner == label
-        ]
+        epoch, rooms = self.membership.epoch, self.view.rooms
+        charged = [name for name in self.stale if name in rooms and rooms[name].owner == label]
         try:
             ok, rev, whole, removed, rows, taken = await self.peers[label].call(
-                frames.FREE_ROOM, (epoch.number, self.pulled.get(label, 0), [(n,) for n in charged])
+                frames.FREE_ROOM,
+                (epoch.number, self.pulled.get(label, 0), [(name,) for name in charged]),
             )
         except (PeerError, KeyError):
             return
         if not ok or self.membership.epoch is not epoch or rev < self.pulled.get(label, 0):
             return
         self.pulled[label] = rev
-        self.unstale(charged)
+        self.mark_fresh(charged)
         now = time.monotonic()
-        used: dict[str, list[tuple[int, bool, float, float, float]]] = {}
-        for name, *use in taken:
-            used.setdefault(name, []).append((use[0], use[1], use[2], use[3], use[4]))
-        rooms = []
-        for m, a, t, z, s, o, c, g, mem, n, images, idle, hold in rows:
-            room = Room(
-                m,
-                a,
-                t,
-                z,
-                s,
-                o,
-                c,
-                g,
-                mem,
-                n,
-                images.split(" ") if images else (),
-                now - idle if idle >= 0 else math.inf,
-                label,
-                used.get(m, ()),
-            )
-            room.hold = hold
-            rooms.append(room)
-        self._show(label, rooms, whole, [n for (n,) in removed])
+        usage: dict[str, list[Usage]] = {}
+        for machine, rank, without_gpus, cpus, gpus, memory_gb in taken:
+            usage.setdefault(machine, []).append((rank, without_gpus, cpus, gpus, memory_gb))
+        pulled = [
+            row.room(label, usage.get(row.machine, ()), now) for row in map(MachineRow._make, rows)
+        ]
+        self._update(label, pulled, whole, [name for (name,) in removed])
 
     async def pull_soon(self, label: str) -> None:
-        """Look at a peer's table once what it was asked to stop has ended.
+        """Pull a peer's table once the tasks that it was asked to preempt have ended.
 
-        It would show with the next heartbeat only, and a start that is to happen within
-        two seconds has no time for that.
+        The room would show with the next heartbeat only, and a start that is to happen
+        within two seconds has no time for that.
         """
         if label in self.pulling:
             return
@@ -187,44 +270,36 @@
             self.pulling.discard(label)
 
     def table(self, since: int, names: list[str]) -> tuple[Any, ...]:
-        """Our own free-room table, or what has changed of it, as peers pull it."""
-        owner = self.machines
+        """Return the fields of `frames.TABLE`: our own table of free room, or its changes.
+
+        Args:
+            since: The revision that the peer knows (0: none, it gets the whole table).
+            names: Machines to be told of even when they have not changed.
+        """
+        table, label = self.machines, self.membership.label
         now = time.monotonic()
-        changed = owner.changed(since) if since else None
-        wanted = list(owner.machines) if changed is None else [*dict.fromkeys([*changed, *names])]
-        rows: list[tuple[Any, ...]] = []
+        changed = table.changed(since) if since else None
+        wanted = list(table.machines) if changed is None else [*dict.fromkeys([*changed, *names])]
+        rows: list[MachineRow] = []
         taken: list[tuple[Any, ...]] = []
         for name in wanted:
-            m = owner.machines.get(name)
-            if m is not None and m.known:
-                r = owner.room(m, self.membership.label, now)
-                rows.append(
-                    (
-                        r.machine,
-                        r.address,
-                        r.type,
-                        r.zone,
-                        r.spot,
-                        r.open,
-                        r.cpus,
-                        r.gpus,
-                        r.memory_gb,
-                        r.tasks,
-                        " ".join(r.images),
-                        -1.0 if r.idle_since == math.inf else max(0.0, now - r.idle_since),
-                        r.hold,
-                    )
-                )
-                taken += [(r.machine, *key, *used) for key, used in r.used.items()]
-        gone = [(n,) for n in wanted if n not in owner.machines]
-        return (self.membership.serving, owner.room_rev, changed is None, gone, rows, taken)
+            machine = table.machines.get(name)
+            if machine is not None and machine.known:
+                room = table.room(machine, label, now)
+                rows.append(machine_row(room, now))
+                taken += [(room.machine, *key, *used) for key, used in room.used.items()]
+        gone = [(name,) for name in wanted if name not in table.machines]
+        return (self.membership.serving, table.room_rev, changed is None, gone, rows, taken)
 
     async def refresh(self) -> None:
-        """The adaptive refresh; a lasting shortage also looks when a peer's table changed."""
+        """Pull the peers' tables at an adaptive interval, for as long as the process runs.
+
+        During a lasting shortage tables that have changed are pulled in between as well.
+        """
         due = time.monotonic() + self.adaptive_interval.interval_s
-        looked = -math.inf
-        # Between two looks for want of room: what machines report in between comes together.
-        apart_s = max(self.adaptive_interval.min_s, self.settings.cluster.workers.report_s) / 2
+        pulled_at = -math.inf
+        # Between two pulls in a shortage: what machines report meanwhile comes in one pull.
+        spacing_s = max(self.adaptive_interval.min_s, self.settings.cluster.workers.report_s) / 2
         while True:
             await self.routines.wait(
                 "starved", min(self.adaptive_interval.min_s, max(0.01, due - time.monotonic()))
@@ -232,11 +307,11 @@
             if not self.membership.serving:
                 continue
             now = time.monotonic()
-            if now < min(due, looked + apart_s):
-                # Each of the peers' heartbeats wakes us: one look at all that they announce
-                # costs as much as one at a single table. (With five controllers, tables were
+            if now < min(due, pulled_at + spacing_s):
+                # Each of the peers' heartbeats wakes us: one pull of all that they announce
+                # costs as much as that of a single table. (With five controllers, tables were
                 # a seventh of what a controller computed.)
-                await curio.sleep(min(due, looked + apart_s) - now)
+                await curio.sleep(min(due, pulled_at + spacing_s) - now)
                 now = time.monotonic()
             if now >= due:
                 interval = self.adaptive_interval.step()
@@ -247,13 +322,13 @@
                 await self.refresh_peers(changed_only=False)
                 self.routines.signal("place")
             elif self.starved and any(
-                self.pulled.get(p.label) != p.room_rev
-                for p in self.peers.values()
-                if p.label in self.membership.epoch.members
+                self.pulled.get(peer.label) != peer.room_rev
+                for peer in self.peers.values()
+                if peer.label in self.membership.epoch.members
             ):
                 # True shortage: the interval is left alone, but room that a
                 # peer has since announced is looked at.
-                looked = now
+                pulled_at = now
                 await self.refresh_peers(changed_only=True)
                 self.routines.signal("place")
             await self.routines.flush()
