--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -21,6 +21,7 @@
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
 from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.demand_report import DemandRow
 from clayport.scheduling.placer import Placer
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
@@ -121,8 +122,8 @@
         if peer is None:
             return False
         self._heard(peer, number, state_ok, room_rev)
-        before = self.placer.demands.get(label)
-        self.placer.demands[label] = demand
+        before = self.placer.demand_report.peer_rows.get(label)
+        self.placer.demand_report.peer_rows[label] = demand
         if demand and not before:
             self.routines.signal("demand")
         return True
@@ -150,10 +151,10 @@
             self.machines.room_rev,
         )
 
-    def _demand_for(self, label: str) -> list[tuple[str, int, float, str]]:
+    def _demand_for(self, label: str) -> list[DemandRow]:
         """What waits here, for the one member that rents by it; nobody else asks."""
         return (
-            self.placer.demand()
+            self.placer.demand_report.own_rows()
             if self.membership.serving and label == self.membership.epoch.provisioner
             else []
         )
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -141,7 +141,7 @@
         index, policy = self.cached_state.index(), self.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
             self._describe(list(index.rooms.values()), types)
-        waiting = self.placer.all_demand()
+        waiting = self.placer.demand_report.whole_epoch()
         demand = [n for n in waiting if not n.job.backfill]
         observed = self.took.observed(
             self.catalogue.types, (b for n, b in self.boots.items() if n in self.own), now
@@ -335,7 +335,7 @@
                 row[1] += types[room.type].cpus
                 row[2] += types[room.type].cpus - room.cpus
         waiting: dict[str, int] = {}
-        for need in self.placer.all_demand():
+        for need in self.placer.demand_report.whole_epoch():
             name = need.job.job_class
             waiting[name] = waiting.get(name, 0) + need.tasks
         log.debug(
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
 from functools import partial
 from heapq import heappop, heappush
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 import curio
 
@@ -27,8 +27,9 @@
 from clayport.records.values import parse_quota
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
-from clayport.scaling.demand import Demand
+from clayport.scheduling.backfill import BackfillLimits
 from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.demand_report import DemandReport
 from clayport.scheduling.index import Index
 from clayport.scheduling.objectives import Objectives
 from clayport.scheduling.placement import accepts, place
@@ -39,6 +40,11 @@
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.requirements import shape
 from clayport.scheduling.room import Room, capacity
+from clayport.scheduling.scheduling_pass import (
+    SHARE_UPDATES_PER_REPORT,
+    Postponement,
+    SchedulingPass,
+)
 from clayport.scheduling.spread import Spread
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
@@ -48,12 +54,8 @@
 
 log = logging.getLogger(__name__)
 
-# The share of the fleet's CPUs that work without any aim may hold beside work that has one.
-FILL = 0.25
 # The standing of work of the lowest rank without any aim (`Job.standing`).
 UNAIMED = -1
-# Demand told to peers: enough jobs to fill any fleet, and a bounded frame.
-MAX_DEMAND_ROWS = 500
 # Leases that work without any aim can wait before it is owed a share of room.
 DEFAULT_WAIT_LEASES = 40.0
 # Of the machines, how many times the share that is still owed to somebody who found no room
@@ -63,8 +65,6 @@
 # that had found none are looked at again. On a full fleet machines come free one by one, and
 # each task had a pass, a commit and two requests to an owner of its own.
 GATHER = 0.2
-# Looks at the shares in the time between two reports.
-OWED_LOOKS = 10
 # Passes in the time between two reports of a worker, at most.
 PASSES = 50
 # Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
@@ -72,43 +72,6 @@
 MAX_PASS_WORK = 1000
 
 
-class Look:
-    """What one pass goes by, and what it has found out on its way."""
-
-    def __init__(
-        self,
-        now: float,
-        index: Index,
-        policy: Policy,
-        owed: dict[AccountKey, FairShare],
-        reserve: LargeTaskReserve | None,
-        given: dict[AccountKey, float],
-    ) -> None:
-        self.now, self.index, self.policy = now, index, policy
-        # Who is owed a share of room, and what they have been given of late.
-        self.owed, self.reserve = owed, reserve
-        self.given = given
-        # What work without any aim, by its rank, may take beside work that can't make it stop:
-        # only looked up once such work waits.
-        self.fill: dict[int, float] = {}
-        # Groups that found less than they want, and the index's revision at that time.
-        self.full: dict[tuple[object, ...], int] = {}
-        self.starved = False
-        self.work = 0  # jobs looked at and tasks placed
-
-
-class Postponement(NamedTuple):
-    """Why a group of waiting jobs need not be looked at: it found no room at the index's
-    revision `rev`, under the policy and with those machines kept for others. Before `least`
-    what has come free since is left to be more."""
-
-    rev: int
-    least: float
-    until: float
-    policy: Policy
-    reserve: LargeTaskReserve | None
-
-
 def job_queue(
     managed: Callable[[], Mapping[str, ManagedJob]],
     objectives: Objectives,
@@ -189,8 +152,8 @@
         self.store = store
         self.upgrade = upgrade
         self.view = view
-        self.demands: dict[str, list[tuple[str, int, float, str]]] = {}  # what peers told
-        self.cut_logged_at = -1e9
+        self.demand_report = DemandReport(jobs=jobs, membership=membership, queue=queue, view=view)
+        self.backfill = BackfillLimits(jobs=jobs, machines=machines, settings=settings)
         self.known: Policy | None = None
         self.known_types: object = None
         self.known_until = -1e9
@@ -199,13 +162,19 @@
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[AccountKey, FairShare] = {}
         self.given: dict[AccountKey, float] = {}  # CPUs begun for them since they were looked up
-        # A job of each kind (with GPUs, without) and rank that work without any aim could
-        # hinder, as last looked for.
-        self.disturbers: dict[tuple[bool, int], str] = {}
-        self.looked_until = -math.inf
-        # Work without any aim that has waited so long is placed, and has machines rented,
-        # like any other (within its share).
-        self.long_s = 20 * settings.cluster.workers.lease_s
+
+    @property
+    def long_s(self) -> float:
+        """Return `BackfillLimits.long_wait_s`."""
+        return self.backfill.long_wait_s
+
+    def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
+        """Return `BackfillLimits.hinders_objectives`."""
+        return self.backfill.hinders_objectives(job, most)
+
+    def fill_cpus(self, index: Index, rank: int) -> float:
+        """Return `BackfillLimits.cpus_left`."""
+        return self.backfill.cpus_left(index, rank)
 
     def connect(self, *, dispatcher: TransactionBounds) -> None:
         """Set the parts that are built later than this one."""
@@ -213,70 +182,12 @@
 
     def begin(self) -> None:
         """A new epoch: other homes, and nothing told by peers."""
-        self.demands.clear()
+        self.demand_report.begin()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
         self.reserve = None
         self.missed = {}
-        self.looked_until = -math.inf
-
-    # -- demand ----------------------------------------------------------
-
-    def demand(self) -> list[tuple[str, int, float, str]]:
-        """What waits here: (job, tasks, since, zones of its other tasks), bounded: the most
-        urgent is told, the rest when that has been served."""
-        now = time.monotonic()
-        queue = self.queue
-        queue.catch_up(now)
-        found = [
-            self._row(managed, now)
-            for managed, _ in queue.in_flight.values()
-            if now >= managed.not_before and not managed.at_fault
-        ]
-        groups = sorted(
-            queue.groups.values(), key=lambda g: (g.example.job.backfill, -g.example.job.rank)
-        )
-        for name in (n for g in groups for subqueue in g.subqueues.values() for n in subqueue):
-            if len(found) >= MAX_DEMAND_ROWS:
-                if now >= self.cut_logged_at:
-                    self.cut_logged_at = now + 20 * self.membership.lease_ttl_s
-                    log.info(
-                        "event=demand-bounded told=%d jobs=%d",
-                        MAX_DEMAND_ROWS,
-                        len(queue.entries) + len(queue.in_flight),
-                    )
-                break
-            managed = queue.entries[name].managed
-            if not managed.at_fault:
-                found.append(self._row(managed, now))
-        return found[:MAX_DEMAND_ROWS]
-
-    def _row(self, managed: ManagedJob, now: float) -> tuple[str, int, float, str]:
-        zones = ""
-        if managed.job.spread or managed.job.one_zone:
-            zones = " ".join(self.view.zones.get(m, "") for _, _, m in managed.assignments())
-        return (
-            managed.job.id,
-            managed.pending + len(managed.being_placed),
-            now - managed.waiting_since,
-            zones,
-        )
-
-    def all_demand(self) -> list[Demand]:
-        """Demand of the whole epoch, most urgent first."""
-        rows = self.demand()
-        for label in self.membership.epoch.members:
-            if label != self.membership.label:
-                rows += self.demands.get(label, [])
-        found = [
-            Demand(self.jobs.live[job][0], count, age, tuple(zones.split()))
-            for job, count, age, zones in rows
-            if job in self.jobs.live
-        ]
-        found.sort(key=lambda need: (need.job.backfill, -need.job.rank, -need.age_s))
-        return found
-
-    # -- placing ---------------------------------------------------------
+        self.backfill.begin()
 
     async def place_all(self) -> None:
         """The placer: one pass over the waiting jobs whenever something changed."""
@@ -306,7 +217,7 @@
         if not queue.entries:
             self.cached_state.starved = False
             return
-        look = Look(
+        current = SchedulingPass(
             now,
             self.cached_state.index(),
             self.policy(),
@@ -317,16 +228,16 @@
         awake: list[Group] = []
         asleep: list[Group] = []
         for group in queue.groups.values():
-            (asleep if self._sleeps(group, look, True) else awake).append(group)
+            (asleep if self._sleeps(group, current, True) else awake).append(group)
         if any(g.example.job.kind != SERVICE for g in awake):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
-            awake += [g for g in asleep if not self._sleeps(g, look, False)]
-        for managed in self._in_order(awake, look):
-            if look.work >= MAX_PASS_WORK:
+            awake += [g for g in asleep if not self._sleeps(g, current, False)]
+        for managed in self._in_order(awake, current):
+            if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
-            self._serve(managed, look)
-        for key, rev in look.full.items():
+            self._serve(managed, current)
+        for key, rev in current.unsatisfied.items():
             full = queue.groups.get(key)
             # Replicas are missed every second: they are looked at each time.
             if full is not None and full.example.job.kind != SERVICE:
@@ -339,25 +250,27 @@
                     rev,
                     now + gather_s,
                     now + self.membership.lease_ttl_s / 6,
-                    look.policy,
-                    look.reserve,
+                    current.policy,
+                    current.reserve,
                 )
                 full.has_new_demand = False
-        self._keep(look)
-        if look.starved and not self.cached_state.starved:
+        self._keep(current)
+        if current.starved and not self.cached_state.starved:
             self.routines.signal("starved")
             self.routines.signal("demand")
-        self.cached_state.starved = look.starved
+        self.cached_state.starved = current.starved
 
     def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
         """Who is owed a share, looked up anew a few times between two reports."""
         if now >= self.owed_until:
-            self.owed_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
+            self.owed_until = (
+                now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
+            )
             self.owed = self.queue.shares.owed(now)
             self.given = {}
         return self.owed
 
-    def _sleeps(self, group: Group, look: Look, gather: bool) -> bool:
+    def _sleeps(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
         """Whether jobs of a group that found no room would find none now either: none has
         come or waits for more, nothing that has changed fits one of their tasks, and it is
         not yet time to see what else may be stopped, or who has become impatient."""
@@ -365,41 +278,47 @@
         if (
             postponement is None
             or group.has_new_demand
-            or look.now >= postponement.until
-            or postponement.policy is not look.policy
-            or postponement.reserve is not look.reserve
+            or current.now >= postponement.until
+            or postponement.policy is not current.policy
+            or postponement.reserve is not current.reserve
         ):
             group.postponement = None
             return False
-        if gather and look.now < postponement.least:
-            look.starved = look.starved or not job.backfill
+        if gather and current.now < postponement.least:
+            current.starved = current.starved or not job.backfill
             return True
         reserve = (
             None
             if job.kind == SERVICE
-            or any(self._lacks(names(job.gpus > 0, *which), look) > 0 for which in group.subqueues)
-            else look.reserve
+            or any(
+                current.missing_cpus(names(job.gpus > 0, *which)) > 0 for which in group.subqueues
+            )
+            else current.reserve
         )
-        for room in look.index.changed_rooms(job, postponement.rev):
+        for room in current.index.changed_rooms(job, postponement.rev):
             mark = self.queue.entries.get(room.hold) if room.hold else None
-            if mark is not None and mark.group is group or accepts(job, room, look.policy, reserve):
+            if (
+                mark is not None
+                and mark.group is group
+                or accepts(job, room, current.policy, reserve)
+            ):
                 group.postponement = None
                 return False
-        look.starved = look.starved or not job.backfill
+        current.starved = current.starved or not job.backfill
         return True
 
-    def _in_order(self, groups: list[Group], look: Look) -> Iterator[ManagedJob]:
+    def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
         """The jobs of the groups as they are to be looked at; of a group that found less
         than it wanted only those that room is held for."""
         entries, serial = self.queue.entries, itertools.count()
         heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
-        held = {name: None for name in look.index.held if name in entries}
+        held = {name: None for name in current.index.held if name in entries}
 
         def push(rest: Iterator[str]) -> None:
             name = next(rest, None)
             if name is not None:
                 managed = entries[name].managed
-                heappush(heap, (self._order(managed, look), next(serial), managed, rest))
+                heappush(heap, (self._order(managed, current), next(serial), managed, rest))
 
         for name in held:
             push(iter((name,)))
@@ -409,12 +328,12 @@
         while heap:
             _, _, managed, rest = heappop(heap)
             yield managed
-            if managed.group in look.full:
-                look.starved = look.starved or not managed.job.backfill
+            if managed.group in current.unsatisfied:
+                current.starved = current.starved or not managed.job.backfill
             else:
                 push(rest)
 
-    def _keep(self, look: Look) -> None:
+    def _keep(self, current: SchedulingPass) -> None:
         """Which machines small work keeps off until what is owed a share has found room.
         (What needs GPUs has them kept free by the policy.)
 
@@ -424,16 +343,16 @@
         self.missed = {
             which: job
             for which, job in self.missed.items()
-            if which in look.owed and look.owed[which].missing > 0
+            if which in current.owed and current.owed[which].missing > 0
         }
         reserve: LargeTaskReserve | None = None
         for which, found in self.missed.items():
-            owed = look.owed[which]
+            owed = current.owed[which]
             if found.gpus == 0 and owed.total > 0:
                 share = min(1.0, STARVING_SHARE * owed.missing / owed.total)
                 steps = math.ceil(share * STARVING_SHARE_STEPS) / STARVING_SHARE_STEPS
                 if reserve is None or steps > reserve.share:
-                    reserve = LargeTaskReserve(found, steps, look.policy.fitting_types(found))
+                    reserve = LargeTaskReserve(found, steps, current.policy.fitting_types(found))
         # Whoever sleeps is woken when it changes: it stays as it is while it says the same.
         if (
             reserve is None
@@ -443,36 +362,40 @@
         ):
             self.reserve = reserve
 
-    def _serve(self, managed: ManagedJob, look: Look) -> None:
+    def _serve(self, managed: ManagedJob, current: SchedulingPass) -> None:
         """Find room for one job, or have it made; what is found is to be started."""
         job = managed.job
-        if job.backfill and job.rank not in look.fill:
-            look.fill[job.rank] = self.fill_cpus(look.index, job.rank)
+        if job.backfill and job.rank not in current.backfill_cpus_left:
+            current.backfill_cpus_left[job.rank] = self.backfill.cpus_left(current.index, job.rank)
         if managed.at_fault and managed.assigned > managed.running:
             # One trial at a time. (Not none while others of it run: a replica that had
             # failed on three sick machines would have been missing for good.)
             return
-        look.work += 1
-        wanted = self._wanted(managed, look)
+        current.work += 1
+        wanted = self._wanted(managed, current)
         if wanted <= 0 or (job.kind == GANG and wanted < managed.pending):
             return
-        chosen, wanted = self._seek(managed, wanted, look)
+        chosen, wanted = self._seek(managed, wanted, current)
         if job.backfill:
-            look.fill[job.rank] -= len(chosen) * job.cpus
+            current.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
-            look.starved = look.starved or not job.backfill
+            current.starved = current.starved or not job.backfill
             for which in account_keys(job):
                 self.missed.setdefault(which, job)
-            if job.id not in look.index.held and not managed.errors and not managed.lost_machines:
-                look.full.setdefault(managed.group, look.index.rev)
+            if (
+                job.id not in current.index.held
+                and not managed.errors
+                and not managed.lost_machines
+            ):
+                current.unsatisfied.setdefault(managed.group, current.index.rev)
         else:
             for which in account_keys(job):
                 self.missed.pop(which, None)
-        look.work += len(chosen)
+        current.work += len(chosen)
         if chosen:
-            self._begin(managed, chosen, look)
+            self._begin(managed, chosen, current)
 
-    def _wanted(self, managed: ManagedJob, look: Look) -> int:
+    def _wanted(self, managed: ManagedJob, current: SchedulingPass) -> int:
         """Tasks to look for: what one transaction holds, and the job may have."""
         job = managed.job
         wanted = min(
@@ -483,19 +406,31 @@
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
-        lacks = self._lacks(account_keys(job), look)
+        lacks = current.missing_cpus(account_keys(job))
         if job.kind == ARRAY and lacks > 0 and job.cpus > 0:
             # It goes first for what is owed, and no further: the rest would be stopped again
             # for whoever it went before.
             wanted = min(wanted, math.ceil(lacks / job.cpus))
-        if job.backfill and job.cpus > 0 and self.hinders(job, job.rank):
-            wanted = int(max(0.0, min(wanted, max(look.fill[job.rank], lacks) / job.cpus)))
+        if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
+            wanted = int(
+                max(
+                    0.0,
+                    min(wanted, max(current.backfill_cpus_left[job.rank], lacks) / job.cpus),
+                )
+            )
         return wanted
 
-    def _seek(self, managed: ManagedJob, wanted: int, look: Look) -> tuple[list[Room], int]:
+    def _seek(
+        self, managed: ManagedJob, wanted: int, current: SchedulingPass
+    ) -> tuple[list[Room], int]:
         """Room that is free, and room made by stopping others; and for how many it was
         looked for in the end (fewer, where some is being made)."""
-        job, now, index, policy = managed.job, look.now, look.index, look.policy
+        job, now, index, policy = (
+            managed.job,
+            current.now,
+            current.index,
+            current.policy,
+        )
         without: Collection[str] = (
             {*managed.avoided(), *managed.lost_machines}
             if managed.errors or managed.lost_machines
@@ -503,14 +438,18 @@
         )
         age = now - managed.waiting_since
         # Not on ordinary machines that it alone would keep rented.
-        avoid_idle_on_demand = job.backfill and age < self.long_s and self.hinders(job)
+        avoid_idle_on_demand = (
+            job.backfill
+            and age < self.backfill.long_wait_s
+            and self.backfill.hinders_objectives(job)
+        )
         can_wait, avoid_spot = (
             self.objectives.can_wait(job, age),
             self.objectives.avoid_spot(job, age),
         )
         spread = self.spread(managed)
         limit = self.objectives.wait_limits.get(job.job_class)
-        most = self._spared(job, self._stops(job, age, can_wait), look)
+        most = self._spared(job, self._stops(job, age, can_wait), current)
         find = partial(
             place,
             index=index,
@@ -519,9 +458,15 @@
             avoid_spot=avoid_spot,
             without=without,
             avoid_idle_on_demand=avoid_idle_on_demand,
-            reserve=None if job.kind == SERVICE or self._is_owed(job, look) else look.reserve,
+            reserve=None if job.kind == SERVICE or current.is_owed(job) else current.reserve,
+        )
+        make = partial(
+            self._make_room,
+            managed,
+            spread=spread,
+            current=current,
+            without=without,
         )
-        make = partial(self._make_room, managed, spread=spread, look=look, without=without)
         chosen: list[Room] = []
         if managed.at_fault:
             # No room is made, and no guarantee claimed, for what will hardly use it.
@@ -580,7 +525,7 @@
                 self.routines.spawn(self._claim(job, machines))
         return chosen, wanted
 
-    def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
+    def _begin(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
         """Hand what was found to the job's routine."""
         for room in chosen:
             if room.machine in managed.preempted_room:
@@ -588,7 +533,9 @@
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
         numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
         for which in account_keys(managed.job):
-            look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
+            current.granted_cpus[which] = (
+                current.granted_cpus.get(which, 0.0) + len(numbers) * managed.job.cpus
+            )
         for room in chosen[len(numbers) :]:
             room.take(managed.job, -1)  # the next transaction's
         managed.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
@@ -597,85 +544,18 @@
             self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
         self.routines.signal(managed.name)
 
-    def _order(self, managed: ManagedJob, look: Look) -> tuple[float, ...]:
+    def _order(self, managed: ManagedJob, current: SchedulingPass) -> tuple[float, ...]:
         """By rank, but for who is owed a share and hasn't had it: these come after replicas
         and before all others; then as the line says; what is owed to a team before what it
         borrows."""
         job = managed.job
-        band, (start_by, rev, _), _ = self.queue.standing(managed, look.now)
-        left = start_by - look.now if math.isfinite(start_by) else 0.0
+        band, (start_by, rev, _), _ = self.queue.standing(managed, current.now)
+        left = start_by - current.now if math.isfinite(start_by) else 0.0
         rank = float(job.rank)
-        if self._is_owed(job, look):
+        if current.is_owed(job):
             rank = RANKS["production"] - 0.5
         return (-rank, band, float(not self._in_guarantee(job)), left, rev)
 
-    def _is_owed(self, job: Job, look: Look) -> bool:
-        """Whether its class or its team lacks some of what it is owed."""
-        return job.kind != SERVICE and self._lacks(account_keys(job), look) > 0
-
-    @staticmethod
-    def _lacks(names: Iterable[AccountKey], look: Look) -> float:
-        """The CPUs that the names still lack of what they are owed."""
-        return max(
-            (
-                owed.missing - look.given.get(which, 0.0)
-                for which in names
-                if (owed := look.owed.get(which)) is not None
-            ),
-            default=0.0,
-        )
-
-    def fill_cpus(self, index: Index, rank: int) -> float:
-        """What work without any aim may still take beside work that has one and can't make
-        it stop: an array of a guest that fills the fleet for minutes would make all others
-        of its rank late. (What it is owed it may take in any case. Work of a higher rank has
-        it stopped: bound to a quarter beside that as well, 4,500 tasks waited for most of a
-        day while a third of the fleet was free. What is of the lowest rank makes way, and counts
-        only against its own.)
-        """
-        cpus = backfill_cpus = 0.0
-        for pool in index.pools.values():
-            kind = self.machines.types.get(pool.type)
-            totals = pool.count()
-            cpus += totals.machines * kind.cpus if kind is not None else 0.0
-            backfill_cpus += totals.backfill_cpus
-        return FILL * cpus - (backfill_cpus if rank == RANKS["best_effort"] else 0.0)
-
-    def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
-        """Whether there is work with an aim, up to this rank, that a job without any could
-        hinder: of its kind, with GPUs or without, since each has machines of its own.
-        (Replicas are placed ahead of all.)
-
-        Gangs on whole GPU machines once waited for hours of a day on which only arrays had
-        an aim: the arrays of the lowest rank held the quarter that all of them shared.
-        """
-
-        def same(kind: tuple[bool, int]) -> bool:
-            return kind[0] == (job.gpus > 0) and kind[1] <= most
-
-        found = [self._disturbs(name) for kind, name in self.disturbers.items() if same(kind)]
-        if any(found):
-            return True
-        now = time.monotonic()
-        if found or now >= self.looked_until:
-            # The newest of each rank is likely to stay longest.
-            self.looked_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
-            self.disturbers = {
-                (other.gpus > 0, other.rank): name
-                for name, (other, _) in self.jobs.live.items()
-                if self._disturbs(name)
-            }
-        return any(same(kind) for kind in self.disturbers)
-
-    def _disturbs(self, name: str) -> bool:
-        known = self.jobs.live.get(name)
-        return (
-            known is not None
-            and known[0].kind != SERVICE
-            and not known[0].without_objective
-            and not self.jobs.dependencies.is_waiting(name)
-        )
-
     def _in_guarantee(self, job: Job) -> bool:
         """Whether the job's team stays within its guarantee with it, as last read; true
         where that isn't counted. What is owed to a team comes before what it borrows."""
@@ -723,7 +603,7 @@
         managed: ManagedJob,
         wanted: int,
         spread: Spread,
-        look: Look,
+        current: SchedulingPass,
         grace_s: float,
         most: int,
         can_wait: bool = False,
@@ -734,7 +614,7 @@
 
         What is being made already, and doesn't show yet, is not made again elsewhere.
         """
-        job, now = managed.job, look.now
+        job, now = managed.job, current.now
         managed.preempted_room = {
             m: (n, until) for m, (n, until) in managed.preempted_room.items() if now < until
         }
@@ -745,9 +625,9 @@
         found = preempt(
             job,
             wanted,
-            look.index,
+            current.index,
             spread.copy(),
-            look.policy,
+            current.policy,
             most,
             self.objectives.avoid_spot(job, now - managed.waiting_since),
             can_wait,
@@ -782,13 +662,13 @@
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
 
-    def _spared(self, job: Job, most: int, look: Look) -> int:
+    def _spared(self, job: Job, most: int, current: SchedulingPass) -> int:
         """The same, less the ranks of those who hold no more than the share that they are
         owed: what they have been given isn't taken away again. Replicas stop them all the
         same."""
-        if job.kind == SERVICE or not look.owed:
+        if job.kind == SERVICE or not current.owed:
             return most
-        for (kind, gpus, name), owed in look.owed.items():
+        for (kind, gpus, name), owed in current.owed.items():
             if kind == "class" and gpus == (job.gpus > 0) and name != job.job_class:
                 most = min(most, owed.standing - 1)
         return most
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -16,7 +16,9 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
-from clayport.scheduling.placer import GATHER, MAX_DEMAND_ROWS, Look
+from clayport.scheduling.demand_report import MAX_DEMAND_ROWS
+from clayport.scheduling.placer import GATHER
+from clayport.scheduling.scheduling_pass import SchedulingPass
 from clayport.settings import parse
 
 from .world import TYPES
@@ -67,7 +69,7 @@
     def order(self, managed: ManagedJob) -> tuple[float, ...]:
         placer = self.c.placer
         return placer._order(
-            managed, Look(self.now, self.c.view.index, placer.policy(), {}, None, {})
+            managed, SchedulingPass(self.now, self.c.view.index, placer.policy(), {}, None, {})
         )
 
     def look(self) -> None:
@@ -237,10 +239,10 @@
     for number in range(MAX_DEMAND_ROWS + 50):
         rank = "production" if number >= MAX_DEMAND_ROWS else "normal"
         home.wait(msgspec.convert(wire_job(number, rank=rank), Job))
-    told = {row[0] for row in home.c.placer.demand()}
+    told = {row[0] for row in home.c.placer.demand_report.own_rows()}
     assert len(told) == MAX_DEMAND_ROWS
     assert {f"j-{n:06d}" for n in range(MAX_DEMAND_ROWS, MAX_DEMAND_ROWS + 50)} <= told
-    home.c.placer.demand()
+    home.c.placer.demand_report.own_rows()
     assert sum("event=demand-bounded" in r.getMessage() for r in caplog.records) == 1
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -99,7 +99,7 @@
         home.report(name, "north", "plain")
     managed = home.wait(made(1, pieces=16))
     managed.errors = {"m1": 2, "m2": 1, "m3": 1}
-    assert home.c.placer.demand() == []
+    assert home.c.placer.demand_report.own_rows() == []
     home.look()
     assert len(managed.starts) == 1 and managed.starts[0][1] != "m3"
 
@@ -653,7 +653,7 @@
     home.wait(made(2, pieces=4))  # an array with an aim
     home.look()
     assert gang.starts == []  # there is no machine for it yet
-    waiting = home.c.placer.all_demand()
+    waiting = home.c.placer.demand_report.whole_epoch()
     bought = home.c.provisioner._filling(
         waiting, 64.0, home.c.cached_state.index(), home.c.placer.policy()
     )
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -47,7 +47,7 @@
         home.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
     home.look()
     assert len(home.c.queue.entries) == MACHINES
-    rows = home.c.placer.demand()
+    rows = home.c.placer.demand_report.own_rows()
     assert {row[0] for row in rows} == {f"j-{10 + n:06d}" for n in range(len(rows))}
     frame = (home.c.membership.label, 1, True, owner.room_rev, rows)
     assert len(frames.encode(frames.PING, 1, frame)) < frames.MAX_BODY
