--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -6,8 +6,7 @@
 import logging
 import math
 import time
-from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
-from functools import partial
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from heapq import heappop, heappush
 from typing import Protocol
 
@@ -20,16 +19,14 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
-from clayport.records.errors import OutcomeUnknownError, UnavailableError
-from clayport.records.keys import is_anchor
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
-from clayport.records.values import parse_quota
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
 from clayport.scheduling.backfill import BackfillLimits
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.demand_report import DemandReport
+from clayport.scheduling.guarantees import GuaranteeClaims
 from clayport.scheduling.index import Index
 from clayport.scheduling.objectives import Objectives
 from clayport.scheduling.placement import accepts, place
@@ -39,7 +36,9 @@
 from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.requirements import shape
-from clayport.scheduling.room import Room, capacity
+from clayport.scheduling.room import Room
+from clayport.scheduling.room_finder import RoomFinder, types_fetched_within
+from clayport.scheduling.room_maker import RoomMaker
 from clayport.scheduling.scheduling_pass import (
     SHARE_UPDATES_PER_REPORT,
     Postponement,
@@ -49,13 +48,10 @@
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings, Team
-from clayport.transport import frames
-from clayport.transport.peers import Peer, PeerError
+from clayport.transport.peers import Peer
 
 log = logging.getLogger(__name__)
 
-# The standing of work of the lowest rank without any aim (`Job.standing`).
-UNAIMED = -1
 # Leases that work without any aim can wait before it is owed a share of room.
 DEFAULT_WAIT_LEASES = 40.0
 # Of the machines, how many times the share that is still owed to somebody who found no room
@@ -139,21 +135,41 @@
     ) -> None:
         self.cached_state = cached_state
         self.catalogue = catalogue
-        self.fleet = fleet
         self.jobs = jobs
         self.machines = machines
         self.membership = membership
-        self.objectives = objectives
-        self.peers = peers
         self.queue = queue
         self.quotas = quotas
         self.routines = routines
         self.settings = settings
-        self.store = store
         self.upgrade = upgrade
         self.view = view
         self.demand_report = DemandReport(jobs=jobs, membership=membership, queue=queue, view=view)
         self.backfill = BackfillLimits(jobs=jobs, machines=machines, settings=settings)
+        self.room_maker = RoomMaker(
+            cached_state=cached_state,
+            fleet=fleet,
+            jobs=jobs,
+            machines=machines,
+            membership=membership,
+            objectives=objectives,
+            peers=peers,
+            routines=routines,
+            settings=settings,
+        )
+        self.guarantees = GuaranteeClaims(
+            jobs=jobs, quotas=quotas, room_maker=self.room_maker, store=store
+        )
+        self.room_finder = RoomFinder(
+            backfill=self.backfill,
+            guarantees=self.guarantees,
+            machines=machines,
+            membership=membership,
+            objectives=objectives,
+            room_maker=self.room_maker,
+            routines=routines,
+            view=view,
+        )
         self.known: Policy | None = None
         self.known_types: object = None
         self.known_until = -1e9
@@ -375,7 +391,7 @@
         wanted = self._wanted(managed, current)
         if wanted <= 0 or (job.kind == GANG and wanted < managed.pending):
             return
-        chosen, wanted = self._seek(managed, wanted, current)
+        chosen, wanted = self.room_finder.find(managed, wanted, current)
         if job.backfill:
             current.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
@@ -420,111 +436,6 @@
             )
         return wanted
 
-    def _seek(
-        self, managed: ManagedJob, wanted: int, current: SchedulingPass
-    ) -> tuple[list[Room], int]:
-        """Room that is free, and room made by stopping others; and for how many it was
-        looked for in the end (fewer, where some is being made)."""
-        job, now, index, policy = (
-            managed.job,
-            current.now,
-            current.index,
-            current.policy,
-        )
-        without: Collection[str] = (
-            {*managed.avoided(), *managed.lost_machines}
-            if managed.errors or managed.lost_machines
-            else ()
-        )
-        age = now - managed.waiting_since
-        # Not on ordinary machines that it alone would keep rented.
-        avoid_idle_on_demand = (
-            job.backfill
-            and age < self.backfill.long_wait_s
-            and self.backfill.hinders_objectives(job)
-        )
-        can_wait, avoid_spot = (
-            self.objectives.can_wait(job, age),
-            self.objectives.avoid_spot(job, age),
-        )
-        spread = self.spread(managed)
-        limit = self.objectives.wait_limits.get(job.job_class)
-        most = self._spared(job, self._stops(job, age, can_wait), current)
-        find = partial(
-            place,
-            index=index,
-            spread=spread,
-            policy=policy,
-            avoid_spot=avoid_spot,
-            without=without,
-            avoid_idle_on_demand=avoid_idle_on_demand,
-            reserve=None if job.kind == SERVICE or current.is_owed(job) else current.reserve,
-        )
-        make = partial(
-            self._make_room,
-            managed,
-            spread=spread,
-            current=current,
-            without=without,
-        )
-        chosen: list[Room] = []
-        if managed.at_fault:
-            # No room is made, and no guarantee claimed, for what will hardly use it.
-            chosen = find(job, wanted, can_wait=True)
-            wanted = len(chosen)
-        elif limit is not None and age < limit and job.kind != GANG:
-            # Started in time only where the image is, or comes soon enough:
-            # rather than fetch it elsewhere, work of lower rank is stopped there.
-            soon = self._soon(job, limit - age)
-            chosen = find(job, wanted, uncached=soon)
-            if len(chosen) < wanted and most >= 0:
-                if now < managed.next_preempt_at:
-                    wanted = len(chosen)
-                elif not managed.preempted and make(
-                    wanted - len(chosen), grace_s=0.0, most=RANKS["best_effort"], uncached=soon
-                ):
-                    managed.preempted = True
-                    wanted = len(chosen)
-        if len(chosen) < wanted:
-            chosen += find(job, wanted - len(chosen), can_wait=can_wait or job.kind != GANG)
-        if len(chosen) < wanted and not can_wait and job.kind != GANG:
-            # Dear machines only for what work of lower rank on others can't make
-            # way for: they would be kept rented for what could run cheaply.
-            if most >= 0 and now >= managed.next_preempt_at:
-                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, can_wait=True)
-            coming = sum(n for n, until in managed.preempted_room.values() if now < until)
-            chosen += find(job, max(0, wanted - len(chosen) - coming))
-        if len(chosen) < wanted and now >= managed.next_preempt_at:
-            # What nobody waits for stops nothing but what is of a lower rank and as little
-            # waited for.
-            if not job.backfill and most >= 0:
-                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most)
-            elif job.backfill and job.standing >= 0:
-                make(wanted - len(chosen), grace_s=math.inf, most=UNAIMED)
-        if (
-            len(chosen) < wanted
-            and now >= max(managed.next_preempt_at, managed.next_claim_at)
-            and self._guaranteed(job)
-        ):
-            fitting_types = policy.fitting_types(job)
-            machines = self._claimable(
-                job,
-                [
-                    r
-                    for p in index.allowed(job)
-                    if fitting_types is None or p.type in fitting_types
-                    for r in p.rooms.values()
-                    if r.machine not in without
-                ],
-                spread,
-            )
-            # A look at all machines: not with each pass.
-            managed.next_claim_at = now + self.membership.lease_ttl_s / 6
-            if machines:
-                managed.next_preempt_at = now + self.membership.lease_ttl_s
-                self.routines.spawn(self._claim(job, machines))
-        return chosen, wanted
-
     def _begin(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
         """Hand what was found to the job's routine."""
         for room in chosen:
@@ -554,17 +465,7 @@
         rank = float(job.rank)
         if current.is_owed(job):
             rank = RANKS["production"] - 0.5
-        return (-rank, band, float(not self._in_guarantee(job)), left, rev)
-
-    def _in_guarantee(self, job: Job) -> bool:
-        """Whether the job's team stays within its guarantee with it, as last read; true
-        where that isn't counted. What is owed to a team comes before what it borrows."""
-        if not self._guaranteed(job):
-            return True
-        which = 1 if job.gpus > 0 else 0
-        used = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
-        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)[which]
-        return used + need <= self.quotas.guarantees[job.team][which] + 1e-6
+        return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
 
     def policy(self) -> Policy:
         """What keeps work off machines, from all jobs known, those just ended included.
@@ -598,184 +499,6 @@
         if self.known is not None and not self.known.covers(job):
             self.known_until = -1e9
 
-    def _make_room(
-        self,
-        managed: ManagedJob,
-        wanted: int,
-        spread: Spread,
-        current: SchedulingPass,
-        grace_s: float,
-        most: int,
-        can_wait: bool = False,
-        without: Collection[str] = (),
-        uncached: frozenset[str] | None = None,
-    ) -> bool:
-        """Have work of lower rank stopped for tasks of the job, if that helps.
-
-        What is being made already, and doesn't show yet, is not made again elsewhere.
-        """
-        job, now = managed.job, current.now
-        managed.preempted_room = {
-            m: (n, until) for m, (n, until) in managed.preempted_room.items() if now < until
-        }
-        coming = sum(n for n, _ in managed.preempted_room.values())
-        wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
-        if wanted <= 0:
-            return True
-        found = preempt(
-            job,
-            wanted,
-            current.index,
-            spread.copy(),
-            current.policy,
-            most,
-            self.objectives.avoid_spot(job, now - managed.waiting_since),
-            can_wait,
-            {*without, *managed.preempted_room} if managed.preempted_room else without,
-            uncached,
-        )
-        shows = (
-            now
-            + self.membership.lease_ttl_s / 3
-            + (0.0 if grace_s <= 0 else min(grace_s, self.settings.cluster.workers.gang_peer_s))
-        )
-        if found:
-            # Only then: where no lower rank can be stopped, a higher one, or what other
-            # teams borrow, is to be asked for in the same pass.
-            managed.next_preempt_at = now + self.membership.lease_ttl_s / 6
-        for room, count in found:
-            managed.preempted_room[room.machine] = (count, shows)
-            self.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
-        return bool(found) or coming > 0
-
-    def _stops(self, job: Job, age_s: float, can_wait: bool) -> int:
-        """The highest rank that may be stopped for the job; -1: none.
-
-        What has its rank from a job that needs it stops what its own would, and the lowest
-        rank, until it has no time left for room to become free: of the tasks on a saturated
-        fleet a tenth were stopped for pipelines that had a minute to spare. (Not even the
-        lowest was tried: they then took all free room, and made other work late.)
-        """
-        own = self.jobs.dependencies.own_rank(job)
-        limit = self.objectives.wait_limits.get(job.job_class)
-        if own < job.rank and can_wait and (limit is None or age_s < limit / 2):
-            return max(own - 1, RANKS["best_effort"])
-        return job.rank - 1
-
-    def _spared(self, job: Job, most: int, current: SchedulingPass) -> int:
-        """The same, less the ranks of those who hold no more than the share that they are
-        owed: what they have been given isn't taken away again. Replicas stop them all the
-        same."""
-        if job.kind == SERVICE or not current.owed:
-            return most
-        for (kind, gpus, name), owed in current.owed.items():
-            if kind == "class" and gpus == (job.gpus > 0) and name != job.job_class:
-                most = min(most, owed.standing - 1)
-        return most
-
-    def _grace(self, job: Job, age_s: float) -> float:
-        """How long victims may take to save: as they need, but not while it may make a
-        start late that is to be soon (six seconds of saving and a fetch did). A replica
-        that is down is missed every second."""
-        limit = self.objectives.wait_limits.get(job.job_class)
-        return 0.0 if job.kind == SERVICE or limit is not None and age_s < limit else math.inf
-
-    def _guaranteed(self, job: Job) -> bool:
-        """Whether the job's team has a guarantee that may be claimed for it."""
-        cpus, gpus = self.quotas.guarantees.get(job.team, (0.0, 0.0))
-        return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
-
-    @staticmethod
-    def _claimable(job: Job, pool: list[Room], spread: Spread) -> list[str]:
-        """Machines of which one more would do: what others run is not stopped for a gang
-        that can't start on what it would get. (Gangs of two had one task after another
-        stopped, in one zone and the next, and started nowhere.)"""
-        rooms = [r for r in pool if r.open and r.allows(job) and spread.allows(r.zone)]
-        if job.kind != GANG:
-            return [r.machine for r in rooms]
-        free: dict[str, int] = {}
-        for room in rooms:
-            zone = room.zone if job.one_zone else ""
-            free[zone] = free.get(zone, 0) + (capacity(job, room) if room.fits(job) else 0)
-        return [
-            r.machine
-            for r in rooms
-            if not r.fits(job) and free[r.zone if job.one_zone else ""] >= job.tasks - 1
-        ]
-
-    async def _claim(self, job: Job, machines: list[str]) -> None:
-        """Give a team its guarantee from what other teams run beyond theirs.
-
-        Only teams with limits have their use counted; the others can't be shown
-        to borrow, and their work is left alone.
-        """
-        try:
-            entries, _ = await self.store.scan("quota/")
-        except (UnavailableError, OutcomeUnknownError):
-            return
-        used = {
-            e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
-        }
-        own, have = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
-        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)
-        which = 1 if job.gpus > 0 else 0
-        if have[which] + need[which] > own[which] + 1e-6:
-            return
-        over = [
-            team
-            for team, use in used.items()
-            if team != job.team
-            and use[which] > self.quotas.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
-        ]
-        for machine in machines if over else ():
-            if await self._preempt(machine, job, math.inf, over):
-                return
-
-    def _fetch_from_s(self, job: Job, type: str) -> float:
-        """How long the image takes on machines without it; rates differ by up to a third."""
-        kind = self.machines.types.get(type)
-        if kind is None or kind.fetch_gb_per_s <= 0:
-            return 0.0
-        return job.image_gb / kind.fetch_gb_per_s * 4 / 3
-
-    async def _preempt(
-        self, machine: str, job: Job, grace_s: float, over: Iterable[str] = (), count: int = 1
-    ) -> bool:
-        """Ask a machine's owner to make room for tasks of the job."""
-        owner = self.membership.epoch.member_for(machine)
-        if owner == self.membership.label:
-            done = self.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
-            self.fleet.poke(machine)
-            return done
-        try:
-            done = bool(
-                (
-                    await self.peers[owner].call(
-                        frames.PREEMPT,
-                        (
-                            self.membership.epoch.number,
-                            machine,
-                            job.id,
-                            count,
-                            grace_s,
-                            [(t,) for t in over],
-                        ),
-                    )
-                )[0]
-            )
-        except (PeerError, KeyError):
-            return False
-        if done and grace_s <= 0:
-            self.routines.spawn(self.cached_state.pull_soon(owner))
-        return done
-
-    def spread(self, managed: ManagedJob) -> Spread:
-        zones = []
-        if managed.job.one_zone or managed.job.spread:
-            for _, _, machine in managed.assignments():
-                zones.append(self.view.zones.get(machine))
-        return Spread(managed.job, zones)
-
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
         """Whether a replica would find another place where it starts soon.
 
@@ -797,7 +520,9 @@
         zones = [self.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
         policy, index = self.policy(), self.cached_state.index()
         expensive = policy.expensive(managed.job, room)
-        soon = self._soon(managed.job, self.settings.cluster.workers.report_s)
+        soon = types_fetched_within(
+            self.machines.types, managed.job, self.settings.cluster.workers.report_s
+        )
         with index.trial():
             found = bool(
                 place(
@@ -834,12 +559,6 @@
         managed.last_migration_at = time.monotonic()
         return True
 
-    def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
-        """Types whose machines have the job's image in time when they begin to fetch it now;
-        None: all."""
-        found = frozenset(t for t in self.machines.types if self._fetch_from_s(job, t) < within_s)
-        return None if len(found) == len(self.machines.types) else found
-
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Tasks that the team's limit leaves room for, as far as known here.
 
--- /dev/null
+++ b/clayport/scheduling/room_finder.py
@@ -0,0 +1,226 @@
+"""Where the tasks of a waiting job find room: what is free, and what preemption will free."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Collection, Mapping
+
+from clayport.jobs.managed_job import ManagedJob
+from clayport.machines.table import MachineTable
+from clayport.membership.state import MembershipState
+from clayport.model import GANG, RANKS, SERVICE, Job, MachineType
+from clayport.routines import Routines
+from clayport.scheduling.backfill import BackfillLimits
+from clayport.scheduling.guarantees import GuaranteeClaims, claimable_machines
+from clayport.scheduling.room import Room
+from clayport.scheduling.room_maker import RoomMaker
+from clayport.scheduling.room_search import RoomSearch
+from clayport.scheduling.scheduling_pass import SchedulingPass
+from clayport.scheduling.spread import Spread
+from clayport.scheduling.urgency import SchedulingObjectives
+from clayport.scheduling.view import ClusterView
+
+# The standing of work of the lowest rank without an objective (`Job.standing`).
+NO_OBJECTIVE_STANDING = -1
+
+
+def types_fetched_within(
+    types: Mapping[str, MachineType], job: Job, within_s: float
+) -> frozenset[str] | None:
+    """Return the types whose machines have the job's image in time if they fetch it now.
+
+    Args:
+        types: All machine types by name.
+        job: The job.
+        within_s: The time, in seconds.
+
+    Returns:
+        The names of the types; None: all of them.
+    """
+    found = frozenset(name for name, kind in types.items() if _fetch_time_s(job, kind) < within_s)
+    return None if len(found) == len(types) else found
+
+
+def _fetch_time_s(job: Job, kind: MachineType) -> float:
+    """How long machines without the job's image take to fetch it; rates differ by a third."""
+    if kind.fetch_gb_per_s <= 0:
+        return 0.0
+    return job.image_gb / kind.fetch_gb_per_s * 4 / 3
+
+
+class RoomFinder:
+    """Finds room for one job at a time, or has it made."""
+
+    def __init__(
+        self,
+        *,
+        backfill: BackfillLimits,
+        guarantees: GuaranteeClaims,
+        machines: MachineTable,
+        membership: MembershipState,
+        objectives: SchedulingObjectives,
+        room_maker: RoomMaker,
+        routines: Routines,
+        view: ClusterView,
+    ) -> None:
+        self.backfill = backfill
+        self.guarantees = guarantees
+        self.machines = machines
+        self.membership = membership
+        self.objectives = objectives
+        self.room_maker = room_maker
+        self.routines = routines
+        self.view = view
+
+    def find(
+        self, managed: ManagedJob, wanted: int, current: SchedulingPass
+    ) -> tuple[list[Room], int]:
+        """Choose free rooms for tasks of a job, and have room made for those that find none.
+
+        Args:
+            managed: The job.
+            wanted: For how many of its tasks.
+            current: The pass that looks.
+
+        Returns:
+            The rooms, charged, and for how many tasks room was looked for in the end (fewer
+            than wanted, where some is being made).
+        """
+        search = self._search(managed, current)
+        job, now, age_s = managed.job, current.now, search.age_s
+        limit = self.objectives.wait_limits.get(job.job_class)
+        chosen: list[Room] = []
+        if managed.at_fault:
+            # No room is made, and no guarantee claimed, for what will hardly use it.
+            chosen = search.place(wanted, can_wait=True)
+            wanted = len(chosen)
+        elif limit is not None and age_s < limit and job.kind != GANG:
+            chosen, wanted = self._find_in_time(search, wanted, limit - age_s)
+        if len(chosen) < wanted:
+            chosen += search.place(
+                wanted - len(chosen), can_wait=search.can_wait or job.kind != GANG
+            )
+        if len(chosen) < wanted and not search.can_wait and job.kind != GANG:
+            chosen += self._find_expensive(search, wanted - len(chosen))
+        if len(chosen) < wanted and now >= managed.next_preempt_at:
+            self._make_anywhere(search, wanted - len(chosen))
+        if (
+            len(chosen) < wanted
+            and now >= max(managed.next_preempt_at, managed.next_claim_at)
+            and self.guarantees.has_guarantee(job)
+        ):
+            self._claim_guarantee(search)
+        return chosen, wanted
+
+    def _search(self, managed: ManagedJob, current: SchedulingPass) -> RoomSearch:
+        """What room for the job is looked for by in this pass."""
+        job = managed.job
+        without: Collection[str] = (
+            {*managed.avoided(), *managed.lost_machines}
+            if managed.errors or managed.lost_machines
+            else ()
+        )
+        age_s = current.now - managed.waiting_since
+        can_wait = self.objectives.can_wait(job, age_s)
+        return RoomSearch(
+            managed=managed,
+            current=current,
+            age_s=age_s,
+            without=without,
+            # Not on ordinary machines that it alone would keep rented.
+            avoid_idle_on_demand=job.backfill
+            and age_s < self.backfill.long_wait_s
+            and self.backfill.hinders_objectives(job),
+            can_wait=can_wait,
+            avoid_spot=self.objectives.avoid_spot(job, age_s),
+            spread=self._spread(managed),
+            max_rank=self.room_maker.spare_owed(
+                job, self.room_maker.max_preempted_rank(job, age_s, can_wait), current
+            ),
+            reserve=None if job.kind == SERVICE or current.is_owed(job) else current.reserve,
+        )
+
+    def _spread(self, managed: ManagedJob) -> Spread:
+        """The zones of the job's assigned tasks, where its own must keep to or off them."""
+        zones = []
+        if managed.job.one_zone or managed.job.spread:
+            for _, _, machine in managed.assignments():
+                zones.append(self.view.zones.get(machine))
+        return Spread(managed.job, zones)
+
+    def _find_in_time(
+        self, search: RoomSearch, wanted: int, left_s: float
+    ) -> tuple[list[Room], int]:
+        """Room for a job that is to start within `left_s` seconds.
+
+        It starts in time only where the image is, or comes soon enough: rather than fetch it
+        elsewhere, work of lower rank is preempted there.
+        """
+        managed = search.managed
+        uncached = types_fetched_within(self.machines.types, managed.job, left_s)
+        chosen = search.place(wanted, uncached=uncached)
+        if len(chosen) < wanted and search.max_rank >= 0:
+            if search.current.now < managed.next_preempt_at:
+                wanted = len(chosen)
+            elif not managed.preempted and self.room_maker.make(
+                search,
+                wanted - len(chosen),
+                grace_s=0.0,
+                max_rank=RANKS["best_effort"],
+                uncached=uncached,
+            ):
+                managed.preempted = True
+                wanted = len(chosen)
+        return chosen, wanted
+
+    def _find_expensive(self, search: RoomSearch, wanted: int) -> list[Room]:
+        """Room on expensive machines too, for a job that can't wait.
+
+        Only for what work of lower rank on others can't make way for: they would be kept
+        rented for what could run cheaply.
+        """
+        managed, now = search.managed, search.current.now
+        if search.max_rank >= 0 and now >= managed.next_preempt_at:
+            self.room_maker.make(
+                search,
+                wanted,
+                grace_s=self.room_maker.grace_s(managed.job, search.age_s),
+                max_rank=search.max_rank,
+                can_wait=True,
+            )
+        coming = sum(count for count, until in managed.preempted_room.values() if now < until)
+        return search.place(max(0, wanted - coming))
+
+    def _make_anywhere(self, search: RoomSearch, wanted: int) -> None:
+        """Have work of lower rank preempted on any machine.
+
+        Backfill preempts only backfill of a lower rank.
+        """
+        job = search.managed.job
+        if not job.backfill and search.max_rank >= 0:
+            grace_s = self.room_maker.grace_s(job, search.age_s)
+            self.room_maker.make(search, wanted, grace_s=grace_s, max_rank=search.max_rank)
+        elif job.backfill and job.standing >= 0:
+            self.room_maker.make(search, wanted, grace_s=math.inf, max_rank=NO_OBJECTIVE_STANDING)
+
+    def _claim_guarantee(self, search: RoomSearch) -> None:
+        """Claim the guarantee of the job's team from those who have borrowed."""
+        managed, current = search.managed, search.current
+        job = managed.job
+        fitting_types = current.policy.fitting_types(job)
+        machines = claimable_machines(
+            job,
+            [
+                room
+                for pool in current.index.allowed(job)
+                if fitting_types is None or pool.type in fitting_types
+                for room in pool.rooms.values()
+                if room.machine not in search.without
+            ],
+            search.spread,
+        )
+        # A look at all machines: not with each pass.
+        managed.next_claim_at = current.now + self.membership.lease_ttl_s / 6
+        if machines:
+            managed.next_preempt_at = current.now + self.membership.lease_ttl_s
+            self.routines.spawn(self.guarantees.claim(job, machines))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -116,7 +116,7 @@
     monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, grace: float
 ) -> None:
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert min(10.0, Home(monkeypatch).c.placer._grace(job, age)) == grace
+    assert min(10.0, Home(monkeypatch).c.placer.room_maker.grace_s(job, age)) == grace
 
 
 @pytest.mark.parametrize(
@@ -189,7 +189,7 @@
     async def claim(job: Job, machines: list[str]) -> None:
         claims.append(job.id)
 
-    monkeypatch.setattr(home.c.placer, "_claim", claim)
+    monkeypatch.setattr(home.c.placer.guarantees, "claim", claim)
     home.c.jobs.live[SMALL.id] = (SMALL, 1)
     home.report("m1", "north", "accel", "j-000001/0")
     gang = msgspec.convert(
@@ -213,10 +213,10 @@
             each.take(SMALL)
     if not busy:
         rooms = rooms[2:]  # only the one of the other zone, which is not enough
-    from clayport.scheduling.placer import Placer
+    from clayport.scheduling.guarantees import claimable_machines
     from clayport.scheduling.spread import Spread
 
-    assert Placer._claimable(PAIR, rooms, Spread(PAIR, ())) == claimed
+    assert claimable_machines(PAIR, rooms, Spread(PAIR, ())) == claimed
 
 
 def test_what_missed_its_start_comes_after_what_can_make_it(
@@ -311,14 +311,14 @@
 def looks(home: Home, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """The jobs that room is looked for from now on, in order."""
     found: list[str] = []
-    placer = home.c.placer
-    seek = placer._seek
+    room_finder = home.c.placer.room_finder
+    find = room_finder.find
 
     def noted(managed: ManagedJob, wanted: int, look: Any) -> Any:
         found.append(managed.job.id)
-        return seek(managed, wanted, look)
+        return find(managed, wanted, look)
 
-    monkeypatch.setattr(placer, "_seek", noted)
+    monkeypatch.setattr(room_finder, "find", noted)
     return found
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -625,9 +625,13 @@
     for one in (made(1, rank="best_effort"), made(2, 1, rank="high", due_s=100.0)):
         c.jobs.dependencies.add(one, home.now)
     job = c.jobs.dependencies.effective_job(name(1), {})
-    assert job.rank == 2 and c.placer._stops(job, age, c.objectives.can_wait(job, age)) == stops
+    assert (
+        job.rank == 2
+        and c.placer.room_maker.max_preempted_rank(job, age, c.objectives.can_wait(job, age))
+        == stops
+    )
     last = c.jobs.dependencies.effective_job(name(2), {})
-    assert c.placer._stops(last, 0.0, True) == 1
+    assert c.placer.room_maker.max_preempted_rank(last, 0.0, True) == 1
 
 
 @pytest.mark.parametrize(
