--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -44,7 +44,8 @@
 from clayport.scaling.renting import Provisioner
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.dependencies import DependencyGraph
-from clayport.scheduling.placer import Placer, job_queue
+from clayport.scheduling.job_queue import job_queue
+from clayport.scheduling.placer import Placer
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -1,4 +1,4 @@
-"""What waits here, and where it is to start: the placer's pass over the cached cached state."""
+"""The placer's pass over the waiting jobs: in which order they are placed, and what starts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import logging
 import math
 import time
-from collections.abc import Callable, Iterable, Iterator, Mapping
+from collections.abc import Iterator, Mapping
 from heapq import heappop, heappush
 from typing import Protocol
 
@@ -28,80 +28,40 @@
 from clayport.scheduling.demand_report import DemandReport
 from clayport.scheduling.guarantees import GuaranteeClaims
 from clayport.scheduling.index import Index
-from clayport.scheduling.objectives import Objectives
-from clayport.scheduling.placement import accepts, place
-from clayport.scheduling.policy import LargeTaskReserve, Policy
-from clayport.scheduling.preemption import preempt
-from clayport.scheduling.queueing import FairShares, Group, JobQueue
+from clayport.scheduling.placement import accepts
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.policy_cache import PolicyCache
+from clayport.scheduling.queueing import Group, JobQueue
 from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
 from clayport.scheduling.quotas import TeamQuotas
-from clayport.scheduling.requirements import shape
+from clayport.scheduling.replica_migration import ReplicaMigration
+from clayport.scheduling.reserves import Reserves
 from clayport.scheduling.room import Room
-from clayport.scheduling.room_finder import RoomFinder, types_fetched_within
+from clayport.scheduling.room_finder import RoomFinder
 from clayport.scheduling.room_maker import RoomMaker
 from clayport.scheduling.scheduling_pass import (
     SHARE_UPDATES_PER_REPORT,
     Postponement,
     SchedulingPass,
 )
-from clayport.scheduling.spread import Spread
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
-from clayport.settings import Settings, Team
+from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
 log = logging.getLogger(__name__)
 
-# Leases that work without any aim can wait before it is owed a share of room.
-DEFAULT_WAIT_LEASES = 40.0
-# Of the machines, how many times the share that is still owed to somebody who found no room
-# is kept free of smaller work, in steps of one in so many.
-STARVING_SHARE, STARVING_SHARE_STEPS = 1.0, 8
-# The share of a report's interval for which room that comes free is gathered before arrays
+# The share of a heartbeat's interval for which room that comes free is gathered before arrays
 # that had found none are looked at again. On a full fleet machines come free one by one, and
 # each task had a pass, a commit and two requests to an owner of its own.
 GATHER = 0.2
-# Passes in the time between two reports of a worker, at most.
-PASSES = 50
+# Passes in the time between two heartbeats of a worker, at most.
+PASSES_PER_REPORT = 50
 # Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
-# some ten milliseconds, in which no report is answered.
+# some ten milliseconds, in which no heartbeat is answered.
 MAX_PASS_WORK = 1000
 
 
-def job_queue(
-    managed: Callable[[], Mapping[str, ManagedJob]],
-    objectives: Objectives,
-    teams: Iterable[Team],
-    lease_s: float,
-) -> JobQueue:
-    """Build the queue of the jobs that a controller leads.
-
-    Args:
-        managed: Tells the jobs by their ids.
-        objectives: What is aimed at for each class.
-        teams: Teams with a guarantee are owed a share of room like classes.
-        lease_s: A worker's lease, in seconds.
-    """
-    wait, finish = objectives.wait_limits, objectives.finish_limits
-    tolerated_wait_s = {
-        name: min(wait.get(name, math.inf), finish.get(name, math.inf) / 2)
-        for name in {*wait, *finish}
-    }
-    guaranteed = [
-        ("team", gpus, t.name)
-        for t in teams
-        for gpus in (False, True)
-        if (t.gpus if gpus else t.cpus) > 0
-    ]
-    return JobQueue(
-        managed,
-        objectives.finish_all,
-        wait,
-        FairShares(tolerated_wait_s, DEFAULT_WAIT_LEASES * lease_s, guaranteed),
-        objectives.deadline_times,
-    )
-
-
 class TransactionBounds(Protocol):
     """Knows how much one transaction may change."""
 
@@ -112,7 +72,14 @@
 
 
 class Placer:
-    """Order, room made for others, and the starts that homes are to carry out."""
+    """Places the waiting jobs, and hands the starts to the jobs' routines.
+
+    Attributes:
+        swept_at: When the queue was last swept, in seconds.
+        owed: The fair share of each class or team that is owed one.
+        owed_until: Until when that holds, in seconds.
+        granted_cpus: The CPUs that tasks were placed on for them since it was looked up.
+    """
 
     def __init__(
         self,
@@ -134,16 +101,13 @@
         view: ClusterView,
     ) -> None:
         self.cached_state = cached_state
-        self.catalogue = catalogue
         self.jobs = jobs
-        self.machines = machines
         self.membership = membership
         self.queue = queue
         self.quotas = quotas
         self.routines = routines
         self.settings = settings
         self.upgrade = upgrade
-        self.view = view
         self.demand_report = DemandReport(jobs=jobs, membership=membership, queue=queue, view=view)
         self.backfill = BackfillLimits(jobs=jobs, machines=machines, settings=settings)
         self.room_maker = RoomMaker(
@@ -170,14 +134,19 @@
             routines=routines,
             view=view,
         )
-        self.known: Policy | None = None
-        self.known_types: object = None
-        self.known_until = -1e9
-        self.reserve: LargeTaskReserve | None = None
-        self.missed: dict[AccountKey, Job] = {}  # who is owed a share: a job that found no room
+        self.policy_cache = PolicyCache(catalogue=catalogue, jobs=jobs, settings=settings)
+        self.replica_migration = ReplicaMigration(
+            cached_state=cached_state,
+            jobs=jobs,
+            machines=machines,
+            policy_cache=self.policy_cache,
+            settings=settings,
+            view=view,
+        )
+        self.reserves = Reserves()
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[AccountKey, FairShare] = {}
-        self.given: dict[AccountKey, float] = {}  # CPUs begun for them since they were looked up
+        self.granted_cpus: dict[AccountKey, float] = {}
 
     @property
     def long_s(self) -> float:
@@ -192,22 +161,33 @@
         """Return `BackfillLimits.cpus_left`."""
         return self.backfill.cpus_left(index, rank)
 
+    def policy(self) -> Policy:
+        """Return what keeps tasks off machines, as `PolicyCache.current` does."""
+        return self.policy_cache.current()
+
+    def learn(self, job: Job) -> None:
+        """Take an accepted job into account, as `PolicyCache.learn` does."""
+        self.policy_cache.learn(job)
+
+    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+        """Whether a replica may move, as `ReplicaMigration.movable` says."""
+        return self.replica_migration.movable(job, number, machine, drain)
+
     def connect(self, *, dispatcher: TransactionBounds) -> None:
         """Set the parts that are built later than this one."""
         self.dispatcher = dispatcher
 
     def begin(self) -> None:
-        """A new epoch: other homes, and nothing told by peers."""
+        """Start an epoch: jobs have new leaders, and peers have told nothing."""
         self.demand_report.begin()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
-        self.reserve = None
-        self.missed = {}
+        self.reserves.begin()
         self.backfill.begin()
 
     async def place_all(self) -> None:
-        """The placer: one pass over the waiting jobs whenever something changed."""
-        pause_s = self.settings.cluster.workers.report_s / PASSES
+        """Make a pass over the waiting jobs whenever something changed, for as long as we run."""
+        pause_s = self.settings.cluster.workers.report_s / PASSES_PER_REPORT
         while True:
             await self.routines.wait("place", self.membership.lease_ttl_s / 2)
             if self.membership.serving:
@@ -225,7 +205,7 @@
 
         Of bounded work: what is left goes on in the next pass, when others have had their
         turn. It costs as much as has happened, however many jobs wait: groups that can find
-        nothing sleep, and of one that is awake no more is looked at once it has found less
+        nothing are postponed, and of the others no more is looked at once one has found less
         than it wants.
         """
         queue = self.queue
@@ -238,58 +218,71 @@
             self.cached_state.index(),
             self.policy(),
             self._owed_now(now),
-            self.reserve,
-            self.given,
+            self.reserves.current,
+            self.granted_cpus,
         )
-        awake: list[Group] = []
-        asleep: list[Group] = []
+        active: list[Group] = []
+        postponed: list[Group] = []
         for group in queue.groups.values():
-            (asleep if self._sleeps(group, current, True) else awake).append(group)
-        if any(g.example.job.kind != SERVICE for g in awake):
+            (postponed if self._is_postponed(group, current, True) else active).append(group)
+        if any(group.example.job.kind != SERVICE for group in active):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
-            awake += [g for g in asleep if not self._sleeps(g, current, False)]
-        for managed in self._in_order(awake, current):
+            active += [
+                group for group in postponed if not self._is_postponed(group, current, False)
+            ]
+        for managed in self._in_order(active, current):
             if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
             self._serve(managed, current)
+        self._postpone(current)
+        self.reserves.update(current)
+        if current.starved and not self.cached_state.starved:
+            self.routines.signal("starved")
+            self.routines.signal("demand")
+        self.cached_state.starved = current.starved
+
+    def _postpone(self, current: SchedulingPass) -> None:
+        """Leave groups that found less than they want alone until something has changed."""
         for key, rev in current.unsatisfied.items():
-            full = queue.groups.get(key)
+            group = self.queue.groups.get(key)
             # Replicas are missed every second: they are looked at each time.
-            if full is not None and full.example.job.kind != SERVICE:
+            if group is not None and group.example.job.kind != SERVICE:
                 gather_s = (
                     self.settings.cluster.workers.report_s * GATHER
-                    if full.example.job.kind == ARRAY
+                    if group.example.job.kind == ARRAY
                     else 0.0
                 )
-                full.postponement = Postponement(
+                group.postponement = Postponement(
                     rev,
-                    now + gather_s,
-                    now + self.membership.lease_ttl_s / 6,
+                    current.now + gather_s,
+                    current.now + self.membership.lease_ttl_s / 6,
                     current.policy,
                     current.reserve,
                 )
-                full.has_new_demand = False
-        self._keep(current)
-        if current.starved and not self.cached_state.starved:
-            self.routines.signal("starved")
-            self.routines.signal("demand")
-        self.cached_state.starved = current.starved
+                group.has_new_demand = False
 
     def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
-        """Who is owed a share, looked up anew a few times between two reports."""
+        """Who is owed a fair share, looked up anew a few times between two heartbeats."""
         if now >= self.owed_until:
             self.owed_until = (
                 now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
             )
             self.owed = self.queue.shares.owed(now)
-            self.given = {}
+            self.granted_cpus = {}
         return self.owed
 
-    def _sleeps(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
-        """Whether jobs of a group that found no room would find none now either: none has
-        come or waits for more, nothing that has changed fits one of their tasks, and it is
-        not yet time to see what else may be stopped, or who has become impatient."""
+    def _is_postponed(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
+        """Whether jobs of a group that found no room would find none now either.
+
+        None has come or waits for more, nothing that has changed fits one of their tasks, and
+        it is not yet time to see what else may be preempted, or who has become urgent.
+
+        Args:
+            group: The group.
+            current: The pass.
+            gather: Whether room that has come free is left to gather for a while.
+        """
         postponement, job = group.postponement, group.example.job
         if (
             postponement is None
@@ -312,11 +305,9 @@
             else current.reserve
         )
         for room in current.index.changed_rooms(job, postponement.rev):
-            mark = self.queue.entries.get(room.hold) if room.hold else None
-            if (
-                mark is not None
-                and mark.group is group
-                or accepts(job, room, current.policy, reserve)
+            holder = self.queue.entries.get(room.hold) if room.hold else None
+            if (holder is not None and holder.group is group) or accepts(
+                job, room, current.policy, reserve
             ):
                 group.postponement = None
                 return False
@@ -324,8 +315,10 @@
         return True
 
     def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
-        """The jobs of the groups as they are to be looked at; of a group that found less
-        than it wanted only those that room is held for."""
+        """The jobs of the groups as they are to be looked at.
+
+        Of a group that found less than it wanted only those that room is held for.
+        """
         entries, serial = self.queue.entries, itertools.count()
         heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
         held = {name: None for name in current.index.held if name in entries}
@@ -349,35 +342,6 @@
             else:
                 push(rest)
 
-    def _keep(self, current: SchedulingPass) -> None:
-        """Which machines small work keeps off until what is owed a share has found room.
-        (What needs GPUs has them kept free by the policy.)
-
-        One that takes more of a machine than the rest would wait for ever, since each
-        smaller room that comes free is taken as soon as it is there.
-        """
-        self.missed = {
-            which: job
-            for which, job in self.missed.items()
-            if which in current.owed and current.owed[which].missing > 0
-        }
-        reserve: LargeTaskReserve | None = None
-        for which, found in self.missed.items():
-            owed = current.owed[which]
-            if found.gpus == 0 and owed.total > 0:
-                share = min(1.0, STARVING_SHARE * owed.missing / owed.total)
-                steps = math.ceil(share * STARVING_SHARE_STEPS) / STARVING_SHARE_STEPS
-                if reserve is None or steps > reserve.share:
-                    reserve = LargeTaskReserve(found, steps, current.policy.fitting_types(found))
-        # Whoever sleeps is woken when it changes: it stays as it is while it says the same.
-        if (
-            reserve is None
-            or self.reserve is None
-            or reserve.share != self.reserve.share
-            or shape(reserve.job) != shape(self.reserve.job)
-        ):
-            self.reserve = reserve
-
     def _serve(self, managed: ManagedJob, current: SchedulingPass) -> None:
         """Find room for one job, or have it made; what is found is to be started."""
         job = managed.job
@@ -396,8 +360,7 @@
             current.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
             current.starved = current.starved or not job.backfill
-            for which in account_keys(job):
-                self.missed.setdefault(which, job)
+            self.reserves.note_unplaced(job)
             if (
                 job.id not in current.index.held
                 and not managed.errors
@@ -405,8 +368,7 @@
             ):
                 current.unsatisfied.setdefault(managed.group, current.index.rev)
         else:
-            for which in account_keys(job):
-                self.missed.pop(which, None)
+            self.reserves.note_placed(job)
         current.work += len(chosen)
         if chosen:
             self._begin(managed, chosen, current)
@@ -422,43 +384,41 @@
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
-        lacks = current.missing_cpus(account_keys(job))
-        if job.kind == ARRAY and lacks > 0 and job.cpus > 0:
+        missing_cpus = current.missing_cpus(account_keys(job))
+        if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
             # It goes first for what is owed, and no further: the rest would be stopped again
             # for whoever it went before.
-            wanted = min(wanted, math.ceil(lacks / job.cpus))
+            wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
         if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
-            wanted = int(
-                max(
-                    0.0,
-                    min(wanted, max(current.backfill_cpus_left[job.rank], lacks) / job.cpus),
-                )
-            )
+            cpus = max(current.backfill_cpus_left[job.rank], missing_cpus)
+            wanted = int(max(0.0, min(wanted, cpus / job.cpus)))
         return wanted
 
     def _begin(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
-        """Hand what was found to the job's routine."""
+        """Hand the rooms that were found to the job's routine, which starts the tasks there."""
         for room in chosen:
             if room.machine in managed.preempted_room:
                 left, until = managed.preempted_room[room.machine]
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
         numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
-        for which in account_keys(managed.job):
-            current.granted_cpus[which] = (
-                current.granted_cpus.get(which, 0.0) + len(numbers) * managed.job.cpus
+        for account in account_keys(managed.job):
+            current.granted_cpus[account] = (
+                current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
             )
         for room in chosen[len(numbers) :]:
             room.take(managed.job, -1)  # the next transaction's
-        managed.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
+        managed.starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
             self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
         self.routines.signal(managed.name)
 
     def _order(self, managed: ManagedJob, current: SchedulingPass) -> tuple[float, ...]:
-        """By rank, but for who is owed a share and hasn't had it: these come after replicas
-        and before all others; then as the line says; what is owed to a team before what it
-        borrows."""
+        """The sort key of a job: by rank, then as the queue orders them.
+
+        Who is owed a fair share and hasn't had it comes after replicas and before all others;
+        what is owed to a team comes before what it borrows.
+        """
         job = managed.job
         band, (start_by, rev, _), _ = self.queue.standing(managed, current.now)
         left = start_by - current.now if math.isfinite(start_by) else 0.0
@@ -467,102 +427,10 @@
             rank = RANKS["production"] - 0.5
         return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
 
-    def policy(self) -> Policy:
-        """What keeps work off machines, from all jobs known, those just ended included.
-
-        It is made anew when a job comes that it has no place for, or prices change, and
-        now and then, since jobs go; as long as it says the same, it is the same object.
-        """
-        now = time.monotonic()
-        if (
-            self.known is not None
-            and now < self.known_until
-            and self.known_types is self.catalogue.types
-        ):
-            return self.known
-        found = Policy(
-            [
-                *(j for j, _ in self.jobs.live.values()),
-                *self.jobs.ended_descriptions.values(),
-                *self.jobs.classes.values(),
-            ],
-            self.catalogue.types,
-        )
-        if self.known is None or not found.same(self.known):
-            self.known = found
-        self.known_types = self.catalogue.types
-        self.known_until = now + self.settings.cluster.workers.report_s
-        return self.known
-
-    def learn(self, job: Job) -> None:
-        """A job has been accepted."""
-        if self.known is not None and not self.known.covers(job):
-            self.known_until = -1e9
-
-    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Whether a replica would find another place where it starts soon.
-
-        It is stopped before it starts elsewhere, so its image must be there, or be
-        fetched in less time than passes between two reports.
-        """
-        managed = self.jobs.managed.get(job)
-        room = self.cached_state.rooms().get(machine)
-        if (
-            managed is None
-            or managed.pending
-            or room is None
-            or (managed.assignment(number) or (0, ""))[1] != machine
-            or time.monotonic() - managed.last_migration_at
-            < self.settings.cluster.workers.lease_s
-            * (3.0 if drain and not self.policy().expensive(managed.job, room) else 0.3)
-        ):
-            return False
-        zones = [self.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
-        policy, index = self.policy(), self.cached_state.index()
-        expensive = policy.expensive(managed.job, room)
-        soon = types_fetched_within(
-            self.machines.types, managed.job, self.settings.cluster.workers.report_s
-        )
-        with index.trial():
-            found = bool(
-                place(
-                    managed.job,
-                    1,
-                    index,
-                    Spread(managed.job, zones),
-                    policy,
-                    True,
-                    without=(machine,),
-                    uncached=soon,
-                )
-            )
-        if not found and (
-            drain
-            and not expensive
-            or not preempt(
-                managed.job,
-                1,
-                index,
-                Spread(managed.job, zones),
-                policy,
-                RANKS["best_effort"] if drain else None,
-                False,
-                True,
-                (machine,),
-                soon,
-            )
-        ):
-            # To free GPUs, or a dear machine, work of lower rank may have to make way
-            # elsewhere.
-            return False
-        # Not again soon: a move costs a moment each time.
-        managed.last_migration_at = time.monotonic()
-        return True
-
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Tasks that the team's limit leaves room for, as far as known here.
 
-        What was read long ago is not believed: other homes may have released
+        What was read long ago is not believed: other controllers may have released
         some since, and nothing else would ever make us look again.
         """
         limit = self.quotas.limits.get(job.team, (0.0, 0.0))
