--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import itertools
-import logging
 import math
 import time
 from collections.abc import Iterator, Mapping
@@ -28,11 +27,11 @@
 from clayport.scheduling.demand_report import DemandReport
 from clayport.scheduling.guarantees import GuaranteeClaims
 from clayport.scheduling.index import Index
-from clayport.scheduling.placement import accepts
 from clayport.scheduling.policy import Policy
 from clayport.scheduling.policy_cache import PolicyCache
+from clayport.scheduling.postponement import Postponements
 from clayport.scheduling.queueing import Group, JobQueue
-from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
+from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.replica_migration import ReplicaMigration
 from clayport.scheduling.reserves import Reserves
@@ -41,7 +40,6 @@
 from clayport.scheduling.room_maker import RoomMaker
 from clayport.scheduling.scheduling_pass import (
     SHARE_UPDATES_PER_REPORT,
-    Postponement,
     SchedulingPass,
 )
 from clayport.scheduling.urgency import SchedulingObjectives
@@ -49,12 +47,6 @@
 from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
-log = logging.getLogger(__name__)
-
-# The share of a heartbeat's interval for which room that comes free is gathered before arrays
-# that had found none are looked at again. On a full fleet machines come free one by one, and
-# each task had a pass, a commit and two requests to an owner of its own.
-GATHER = 0.2
 # Passes in the time between two heartbeats of a worker, at most.
 PASSES_PER_REPORT = 50
 # Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
@@ -143,6 +135,7 @@
             settings=settings,
             view=view,
         )
+        self.postponements = Postponements(membership=membership, queue=queue, settings=settings)
         self.reserves = Reserves()
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[AccountKey, FairShare] = {}
@@ -224,44 +217,28 @@
         active: list[Group] = []
         postponed: list[Group] = []
         for group in queue.groups.values():
-            (postponed if self._is_postponed(group, current, True) else active).append(group)
+            (postponed if self.postponements.is_postponed(group, current, True) else active).append(
+                group
+            )
         if any(group.example.job.kind != SERVICE for group in active):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
             active += [
-                group for group in postponed if not self._is_postponed(group, current, False)
+                group
+                for group in postponed
+                if not self.postponements.is_postponed(group, current, False)
             ]
         for managed in self._in_order(active, current):
             if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
             self._serve(managed, current)
-        self._postpone(current)
+        self.postponements.postpone(current)
         self.reserves.update(current)
         if current.starved and not self.cached_state.starved:
             self.routines.signal("starved")
             self.routines.signal("demand")
         self.cached_state.starved = current.starved
 
-    def _postpone(self, current: SchedulingPass) -> None:
-        """Leave groups that found less than they want alone until something has changed."""
-        for key, rev in current.unsatisfied.items():
-            group = self.queue.groups.get(key)
-            # Replicas are missed every second: they are looked at each time.
-            if group is not None and group.example.job.kind != SERVICE:
-                gather_s = (
-                    self.settings.cluster.workers.report_s * GATHER
-                    if group.example.job.kind == ARRAY
-                    else 0.0
-                )
-                group.postponement = Postponement(
-                    rev,
-                    current.now + gather_s,
-                    current.now + self.membership.lease_ttl_s / 6,
-                    current.policy,
-                    current.reserve,
-                )
-                group.has_new_demand = False
-
     def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
         """Who is owed a fair share, looked up anew a few times between two heartbeats."""
         if now >= self.owed_until:
@@ -272,48 +249,6 @@
             self.granted_cpus = {}
         return self.owed
 
-    def _is_postponed(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
-        """Whether jobs of a group that found no room would find none now either.
-
-        None has come or waits for more, nothing that has changed fits one of their tasks, and
-        it is not yet time to see what else may be preempted, or who has become urgent.
-
-        Args:
-            group: The group.
-            current: The pass.
-            gather: Whether room that has come free is left to gather for a while.
-        """
-        postponement, job = group.postponement, group.example.job
-        if (
-            postponement is None
-            or group.has_new_demand
-            or current.now >= postponement.until
-            or postponement.policy is not current.policy
-            or postponement.reserve is not current.reserve
-        ):
-            group.postponement = None
-            return False
-        if gather and current.now < postponement.least:
-            current.starved = current.starved or not job.backfill
-            return True
-        reserve = (
-            None
-            if job.kind == SERVICE
-            or any(
-                current.missing_cpus(names(job.gpus > 0, *which)) > 0 for which in group.subqueues
-            )
-            else current.reserve
-        )
-        for room in current.index.changed_rooms(job, postponement.rev):
-            holder = self.queue.entries.get(room.hold) if room.hold else None
-            if (holder is not None and holder.group is group) or accepts(
-                job, room, current.policy, reserve
-            ):
-                group.postponement = None
-                return False
-        current.starved = current.starved or not job.backfill
-        return True
-
     def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
         """The jobs of the groups as they are to be looked at.
 
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Iterable, Mapping
 
+from clayport.jobs.managed_job import ManagedJob
 from clayport.jobs.registry import JobRegistry
 from clayport.machines.fleet import Fleet
 from clayport.machines.table import MachineTable
@@ -22,6 +23,15 @@
 from clayport.transport.peers import Peer, PeerError
 
 
+def _forget_shown(managed: ManagedJob, now: float) -> None:
+    """Forget room that was made for a job and shows in the tables by now."""
+    managed.preempted_room = {
+        machine: (count, until)
+        for machine, (count, until) in managed.preempted_room.items()
+        if now < until
+    }
+
+
 class RoomMaker:
     """Decides which tasks may be preempted for a job, and asks their machines' owners."""
 
@@ -74,11 +84,7 @@
         """
         managed, current, without = search.managed, search.current, search.without
         job, now = managed.job, current.now
-        managed.preempted_room = {
-            machine: (count, until)
-            for machine, (count, until) in managed.preempted_room.items()
-            if now < until
-        }
+        _forget_shown(managed, now)
         coming = sum(count for count, _ in managed.preempted_room.values())
         wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
         if wanted <= 0:
--- a/clayport/scheduling/scheduling_pass.py
+++ b/clayport/scheduling/scheduling_pass.py
@@ -1,10 +1,9 @@
-"""What one pass of the placer goes by, and when a group without room is looked at again."""
+"""What one pass of the placer goes by, and what it has found out so far."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import NamedTuple
 
 from clayport.model import SERVICE, Job
 from clayport.scheduling.index import Index
@@ -60,21 +59,3 @@
     def is_owed(self, job: Job) -> bool:
         """Whether the job's class or team lacks some of its fair share."""
         return job.kind != SERVICE and self.missing_cpus(account_keys(job)) > 0
-
-
-class Postponement(NamedTuple):
-    """Why a group of waiting jobs need not be looked at: it has found no room.
-
-    Attributes:
-        rev: The index's revision at which it found none.
-        least: Until when room that has come free since is left to gather, in seconds.
-        until: When it is looked at again in any case, in seconds.
-        policy: The policy under which it found none.
-        reserve: The machines that were kept for others.
-    """
-
-    rev: int
-    least: float
-    until: float
-    policy: Policy
-    reserve: LargeTaskReserve | None
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -17,7 +17,7 @@
 from clayport.membership.epoch import Epoch
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
 from clayport.scheduling.demand_report import MAX_DEMAND_ROWS
-from clayport.scheduling.placer import GATHER
+from clayport.scheduling.postponement import GATHER_SHARE
 from clayport.scheduling.scheduling_pass import SchedulingPass
 from clayport.settings import parse
 
@@ -352,7 +352,7 @@
     assert not first.starts and not second.starts
     found = looks(home, monkeypatch)
     if happens != "a machine has room, a moment ago":
-        home.now += GATHER * home.c.settings.cluster.workers.report_s
+        home.now += GATHER_SHARE * home.c.settings.cluster.workers.report_s
     if happens == "an equal job":
         home.wait(msgspec.convert(wire_job(3, **big), Job))
     elif happens == "another job":
