--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -6,7 +6,7 @@
 import math
 import time
 from collections.abc import Iterable, Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
 import curio
 
@@ -24,75 +24,63 @@
 
 log = logging.getLogger(__name__)
 
-
 # What is taken on a machine: priority rank, whether without GPUs, CPUs, GPUs, memory (GB).
 Usage = tuple[int, bool, float, float, float]
-
-
-class MachineRow(NamedTuple):
-    """One machine in a table of free room, in the order of `frames.MACHINE`.
-
-    Attributes:
-        machine: Its name.
-        address: Where its worker is reached.
-        type: Its machine type.
-        zone: Its zone.
-        spot: Whether it is a spot instance.
-        open: Whether it takes new tasks.
-        cpus: Free CPUs; `gpus` likewise.
-        gpus: Free GPUs.
-        memory_gb: Free memory, in GB.
-        tasks: How many tasks it has.
-        images: The images that it has cached, separated by spaces.
-        idle_s: For how long it has been idle, in seconds; negative while it is not.
-        hold: The job that its room is kept for ("": none).
+# One machine in a table of free room, as `frames.MACHINE` lists it: name, address, machine type,
+# zone, whether a spot instance, whether it takes new tasks, free CPUs, GPUs and memory (GB), number
+# of tasks, cached images (separated by spaces), for how long it has been idle (s; negative while
+# it is not), the job that its room is kept for ("": none). A plain tuple, since tables of thousands
+# of machines are pulled: as named ones, rows took half as long again to read.
+MachineRow = tuple[str, str, str, str, bool, bool, float, float, float, int, str, float, str]
+
+
+def room_from_row(row: MachineRow, owner: str, usage: Iterable[Usage], now: float) -> Room:
+    """Return the room that a row describes.
+
+    Args:
+        row: The row.
+        owner: The controller that sent it.
+        usage: What is taken on the machine.
+        now: The monotonic time, in seconds.
     """
-
-    machine: str
-    address: str
-    type: str
-    zone: str
-    spot: bool
-    open: bool
-    cpus: float
-    gpus: float
-    memory_gb: float
-    tasks: int
-    images: str
-    idle_s: float
-    hold: str
-
-    def room(self, owner: str, usage: Iterable[Usage], now: float) -> Room:
-        """Return the room that the row describes.
-
-        Args:
-            owner: The controller that sent the row.
-            usage: What is taken on the machine.
-            now: The monotonic time, in seconds.
-        """
-        room = Room(
-            self.machine,
-            self.address,
-            self.type,
-            self.zone,
-            self.spot,
-            self.open,
-            self.cpus,
-            self.gpus,
-            self.memory_gb,
-            self.tasks,
-            self.images.split(" ") if self.images else (),
-            now - self.idle_s if self.idle_s >= 0 else math.inf,
-            owner,
-            usage,
-        )
-        room.hold = self.hold
-        return room
+    (
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        open,
+        cpus,
+        gpus,
+        memory_gb,
+        tasks,
+        images,
+        idle_s,
+        hold,
+    ) = row
+    room = Room(
+        machine,
+        address,
+        type,
+        zone,
+        spot,
+        open,
+        cpus,
+        gpus,
+        memory_gb,
+        tasks,
+        images.split(" ") if images else (),
+        now - idle_s if idle_s >= 0 else math.inf,
+        owner,
+        usage,
+    )
+    room.hold = hold
+    return room
 
 
 def machine_row(room: Room, now: float) -> MachineRow:
     """Return the row that tells peers of a room; `now` is the monotonic time in seconds."""
-    return MachineRow(
+    return (
         room.machine,
         room.address,
         room.type,
@@ -246,9 +234,7 @@
         usage: dict[str, list[Usage]] = {}
         for machine, rank, without_gpus, cpus, gpus, memory_gb in taken:
             usage.setdefault(machine, []).append((rank, without_gpus, cpus, gpus, memory_gb))
-        pulled = [
-            row.room(label, usage.get(row.machine, ()), now) for row in map(MachineRow._make, rows)
-        ]
+        pulled = [room_from_row(row, label, usage.get(row[0], ()), now) for row in rows]
         self._update(label, pulled, whole, [name for (name,) in removed])
 
     async def pull_soon(self, label: str) -> None:
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -214,19 +214,14 @@
             self.reserves.current,
             self.granted_cpus,
         )
+        is_postponed = self.postponements.is_postponed
         active: list[Group] = []
         postponed: list[Group] = []
         for group in queue.groups.values():
-            (postponed if self.postponements.is_postponed(group, current, True) else active).append(
-                group
-            )
+            (postponed if is_postponed(group, current, True) else active).append(group)
         if any(group.example.job.kind != SERVICE for group in active):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
-            active += [
-                group
-                for group in postponed
-                if not self.postponements.is_postponed(group, current, False)
-            ]
+            active += [group for group in postponed if not is_postponed(group, current, False)]
         for managed in self._in_order(active, current):
             if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
