--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -22,6 +22,7 @@
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
 from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.demand_report import DemandRow
 from clayport.scheduling.placer import Placer
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
@@ -35,9 +36,6 @@
 ISOLATION_LEASES = 1.5
 STARTUP_LEASES = 2
 
-# A job, its pending tasks, since when (s) and the zones of its other tasks.
-DemandRecord = tuple[str, int, float, str]
-
 
 class HeartbeatStatus(NamedTuple):
     """What a heartbeat and its answer begin with, in the order of the frame.
@@ -143,7 +141,7 @@
             self.routines.signal("lease")
 
     def receive(
-        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRecord]
+        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> bool:
         """Take in a heartbeat that a peer has sent.
 
@@ -161,8 +159,8 @@
         if peer is None:
             return False
         self._note_heard(peer, epoch, state_ok, room_rev)
-        before = self.placer.demands.get(label)
-        self.placer.demands[label] = demand
+        before = self.placer.demand_report.peer_rows.get(label)
+        self.placer.demand_report.peer_rows[label] = demand
         if demand and not before:
             self.routines.signal("demand")
         return True
@@ -187,10 +185,10 @@
             self.machines.room_rev,
         )
 
-    def _demand_for(self, label: str) -> list[DemandRecord]:
+    def _demand_for(self, label: str) -> list[DemandRow]:
         """Return what waits here, for the one member that rents by it; nobody else asks."""
         return (
-            self.placer.demand()
+            self.placer.demand_report.own_rows()
             if self.membership.serving and label == self.membership.epoch.provisioner
             else []
         )
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -20,13 +20,14 @@
 from clayport.machines.fleet import Fleet
 from clayport.machines.removal import MachineRemoval
 from clayport.machines.table import MachineTable
-from clayport.membership.heartbeats import DemandRecord, Heartbeats
+from clayport.membership.heartbeats import Heartbeats
 from clayport.membership.state import MembershipState
 from clayport.model import WorkerHeartbeat
 from clayport.rebuild.support import RebuildSupport
 from clayport.routines import Routines
 from clayport.scaling.cloud import CloudError
 from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.demand_report import DemandRow
 from clayport.scheduling.placer import Placer
 from clayport.transport import frames
 
@@ -117,7 +118,7 @@
     # -- requests of any epoch --------------------------------------
 
     async def ping(
-        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRecord]
+        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> Answer:
         """PING, a heartbeat without promises."""
         heartbeats = self.heartbeats
@@ -130,7 +131,7 @@
         epoch: int,
         state_ok: bool,
         room_rev: int,
-        demand: list[DemandRecord],
+        demand: list[DemandRow],
         _incarnation: str,
         known_rev: int,
     ) -> Answer:
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -160,7 +160,7 @@
         index, policy = self.cached_state.index(), self.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
             self._describe(list(index.rooms.values()), types)
-        waiting = self.placer.all_demand()
+        waiting = self.placer.demand_report.whole_epoch()
         demand = [need for need in waiting if not need.job.backfill]
         observed = self.machine_list.observed_types(now)
         spare = spare_room(
@@ -234,7 +234,7 @@
                 row[1] += types[room.type].cpus
                 row[2] += types[room.type].cpus - room.cpus
         waiting: dict[str, int] = {}
-        for need in self.placer.all_demand():
+        for need in self.placer.demand_report.whole_epoch():
             name = need.job.job_class
             waiting[name] = waiting.get(name, 0) + need.tasks
         log.debug(
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -1,15 +1,13 @@
-"""What waits here, and where it is to start: the placer's pass over the cached cached state."""
+"""The placer's pass over the waiting jobs: in which order they are placed, and what starts."""
 
 from __future__ import annotations
 
 import itertools
-import logging
 import math
 import time
-from collections.abc import Callable, Collection, Iterable, Iterator, Mapping
-from functools import partial
+from collections.abc import Iterator, Mapping
 from heapq import heappop, heappush
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 import curio
 
@@ -20,129 +18,42 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, GANG, RANKS, SERVICE, Job
-from clayport.records.errors import OutcomeUnknownError, UnavailableError
-from clayport.records.keys import is_anchor
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
-from clayport.records.values import parse_quota
 from clayport.routines import Routines
 from clayport.scaling.catalogue import Catalogue
-from clayport.scaling.demand import Demand
+from clayport.scheduling.backfill import BackfillLimits
 from clayport.scheduling.cached_state import CachedState
+from clayport.scheduling.demand_report import DemandReport
+from clayport.scheduling.guarantees import GuaranteeClaims
 from clayport.scheduling.index import Index
-from clayport.scheduling.objectives import Objectives
-from clayport.scheduling.placement import accepts, place
-from clayport.scheduling.policy import LargeTaskReserve, Policy
-from clayport.scheduling.preemption import preempt
-from clayport.scheduling.queueing import FairShares, Group, JobQueue
-from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys, names
+from clayport.scheduling.policy import Policy
+from clayport.scheduling.policy_cache import PolicyCache
+from clayport.scheduling.postponement import Postponements
+from clayport.scheduling.queueing import Group, JobQueue
+from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys
 from clayport.scheduling.quotas import TeamQuotas
-from clayport.scheduling.requirements import shape
-from clayport.scheduling.room import Room, capacity
-from clayport.scheduling.spread import Spread
+from clayport.scheduling.replica_migration import ReplicaMigration
+from clayport.scheduling.reserves import Reserves
+from clayport.scheduling.room import Room
+from clayport.scheduling.room_finder import RoomFinder
+from clayport.scheduling.room_maker import RoomMaker
+from clayport.scheduling.scheduling_pass import (
+    SHARE_UPDATES_PER_REPORT,
+    SchedulingPass,
+)
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
-from clayport.settings import Settings, Team
-from clayport.transport import frames
-from clayport.transport.peers import Peer, PeerError
-
-log = logging.getLogger(__name__)
-
-# The share of the fleet's CPUs that work without any aim may hold beside work that has one.
-FILL = 0.25
-# The standing of work of the lowest rank without any aim (`Job.standing`).
-UNAIMED = -1
-# Demand told to peers: enough jobs to fill any fleet, and a bounded frame.
-MAX_DEMAND_ROWS = 500
-# Leases that work without any aim can wait before it is owed a share of room.
-DEFAULT_WAIT_LEASES = 40.0
-# Of the machines, how many times the share that is still owed to somebody who found no room
-# is kept free of smaller work, in steps of one in so many.
-STARVING_SHARE, STARVING_SHARE_STEPS = 1.0, 8
-# The share of a report's interval for which room that comes free is gathered before arrays
-# that had found none are looked at again. On a full fleet machines come free one by one, and
-# each task had a pass, a commit and two requests to an owner of its own.
-GATHER = 0.2
-# Looks at the shares in the time between two reports.
-OWED_LOOKS = 10
-# Passes in the time between two reports of a worker, at most.
-PASSES = 50
+from clayport.settings import Settings
+from clayport.transport.peers import Peer
+
+# Passes in the time between two heartbeats of a worker, at most.
+PASSES_PER_REPORT = 50
 # Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
-# some ten milliseconds, in which no report is answered.
+# some ten milliseconds, in which no heartbeat is answered.
 MAX_PASS_WORK = 1000
 
 
-class Look:
-    """What one pass goes by, and what it has found out on its way."""
-
-    def __init__(
-        self,
-        now: float,
-        index: Index,
-        policy: Policy,
-        owed: dict[AccountKey, FairShare],
-        reserve: LargeTaskReserve | None,
-        given: dict[AccountKey, float],
-    ) -> None:
-        self.now, self.index, self.policy = now, index, policy
-        # Who is owed a share of room, and what they have been given of late.
-        self.owed, self.reserve = owed, reserve
-        self.given = given
-        # What work without any aim, by its rank, may take beside work that can't make it stop:
-        # only looked up once such work waits.
-        self.fill: dict[int, float] = {}
-        # Groups that found less than they want, and the index's revision at that time.
-        self.full: dict[tuple[object, ...], int] = {}
-        self.starved = False
-        self.work = 0  # jobs looked at and tasks placed
-
-
-class Postponement(NamedTuple):
-    """Why a group of waiting jobs need not be looked at: it found no room at the index's
-    revision `rev`, under the policy and with those machines kept for others. Before `least`
-    what has come free since is left to be more."""
-
-    rev: int
-    least: float
-    until: float
-    policy: Policy
-    reserve: LargeTaskReserve | None
-
-
-def job_queue(
-    managed: Callable[[], Mapping[str, ManagedJob]],
-    objectives: Objectives,
-    teams: Iterable[Team],
-    lease_s: float,
-) -> JobQueue:
-    """Build the queue of the jobs that a controller leads.
-
-    Args:
-        managed: Tells the jobs by their ids.
-        objectives: What is aimed at for each class.
-        teams: Teams with a guarantee are owed a share of room like classes.
-        lease_s: A worker's lease, in seconds.
-    """
-    wait, finish = objectives.wait_limits, objectives.finish_limits
-    tolerated_wait_s = {
-        name: min(wait.get(name, math.inf), finish.get(name, math.inf) / 2)
-        for name in {*wait, *finish}
-    }
-    guaranteed = [
-        ("team", gpus, t.name)
-        for t in teams
-        for gpus in (False, True)
-        if (t.gpus if gpus else t.cpus) > 0
-    ]
-    return JobQueue(
-        managed,
-        objectives.finish_all,
-        wait,
-        FairShares(tolerated_wait_s, DEFAULT_WAIT_LEASES * lease_s, guaranteed),
-        objectives.deadline_times,
-    )
-
-
 class TransactionBounds(Protocol):
     """Knows how much one transaction may change."""
 
@@ -153,7 +64,14 @@
 
 
 class Placer:
-    """Order, room made for others, and the starts that homes are to carry out."""
+    """Places the waiting jobs, and hands the starts to the jobs' routines.
+
+    Attributes:
+        swept_at: When the queue was last swept, in seconds.
+        owed: The fair share of each class or team that is owed one.
+        owed_until: Until when that holds, in seconds.
+        granted_cpus: The CPUs that tasks were placed on for them since it was looked up.
+    """
 
     def __init__(
         self,
@@ -175,112 +93,94 @@
         view: ClusterView,
     ) -> None:
         self.cached_state = cached_state
-        self.catalogue = catalogue
-        self.fleet = fleet
         self.jobs = jobs
-        self.machines = machines
         self.membership = membership
-        self.objectives = objectives
-        self.peers = peers
         self.queue = queue
         self.quotas = quotas
         self.routines = routines
         self.settings = settings
-        self.store = store
         self.upgrade = upgrade
-        self.view = view
-        self.demands: dict[str, list[tuple[str, int, float, str]]] = {}  # what peers told
-        self.cut_logged_at = -1e9
-        self.known: Policy | None = None
-        self.known_types: object = None
-        self.known_until = -1e9
-        self.reserve: LargeTaskReserve | None = None
-        self.missed: dict[AccountKey, Job] = {}  # who is owed a share: a job that found no room
+        self.demand_report = DemandReport(jobs=jobs, membership=membership, queue=queue, view=view)
+        self.backfill = BackfillLimits(jobs=jobs, machines=machines, settings=settings)
+        self.room_maker = RoomMaker(
+            cached_state=cached_state,
+            fleet=fleet,
+            jobs=jobs,
+            machines=machines,
+            membership=membership,
+            objectives=objectives,
+            peers=peers,
+            routines=routines,
+            settings=settings,
+        )
+        self.guarantees = GuaranteeClaims(
+            jobs=jobs, quotas=quotas, room_maker=self.room_maker, store=store
+        )
+        self.room_finder = RoomFinder(
+            backfill=self.backfill,
+            guarantees=self.guarantees,
+            machines=machines,
+            membership=membership,
+            objectives=objectives,
+            room_maker=self.room_maker,
+            routines=routines,
+            view=view,
+        )
+        self.policy_cache = PolicyCache(catalogue=catalogue, jobs=jobs, settings=settings)
+        self.replica_migration = ReplicaMigration(
+            cached_state=cached_state,
+            jobs=jobs,
+            machines=machines,
+            policy_cache=self.policy_cache,
+            settings=settings,
+            view=view,
+        )
+        self.postponements = Postponements(membership=membership, queue=queue, settings=settings)
+        self.reserves = Reserves()
         self.swept_at = self.owed_until = -math.inf
         self.owed: dict[AccountKey, FairShare] = {}
-        self.given: dict[AccountKey, float] = {}  # CPUs begun for them since they were looked up
-        # A job of each kind (with GPUs, without) and rank that work without any aim could
-        # hinder, as last looked for.
-        self.disturbers: dict[tuple[bool, int], str] = {}
-        self.looked_until = -math.inf
-        # Work without any aim that has waited so long is placed, and has machines rented,
-        # like any other (within its share).
-        self.long_s = 20 * settings.cluster.workers.lease_s
+        self.granted_cpus: dict[AccountKey, float] = {}
+
+    @property
+    def long_s(self) -> float:
+        """Return `BackfillLimits.long_wait_s`."""
+        return self.backfill.long_wait_s
+
+    def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
+        """Return `BackfillLimits.hinders_objectives`."""
+        return self.backfill.hinders_objectives(job, most)
+
+    def fill_cpus(self, index: Index, rank: int) -> float:
+        """Return `BackfillLimits.cpus_left`."""
+        return self.backfill.cpus_left(index, rank)
+
+    def policy(self) -> Policy:
+        """Return what keeps tasks off machines, as `PolicyCache.current` does."""
+        return self.policy_cache.current()
+
+    def learn(self, job: Job) -> None:
+        """Take an accepted job into account, as `PolicyCache.learn` does."""
+        self.policy_cache.learn(job)
+
+    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+        """Whether a replica may move, as `ReplicaMigration.movable` says."""
+        return self.replica_migration.movable(job, number, machine, drain)
 
     def connect(self, *, dispatcher: TransactionBounds) -> None:
         """Set the parts that are built later than this one."""
         self.dispatcher = dispatcher
 
     def begin(self) -> None:
-        """A new epoch: other homes, and nothing told by peers."""
-        self.demands.clear()
+        """Start an epoch: jobs have new leaders, and peers have told nothing."""
+        self.demand_report.begin()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
-        self.reserve = None
-        self.missed = {}
-        self.looked_until = -math.inf
-
-    # -- demand ----------------------------------------------------------
-
-    def demand(self) -> list[tuple[str, int, float, str]]:
-        """What waits here: (job, tasks, since, zones of its other tasks), bounded: the most
-        urgent is told, the rest when that has been served."""
-        now = time.monotonic()
-        queue = self.queue
-        queue.catch_up(now)
-        found = [
-            self._row(managed, now)
-            for managed, _ in queue.in_flight.values()
-            if now >= managed.not_before and not managed.at_fault
-        ]
-        groups = sorted(
-            queue.groups.values(), key=lambda g: (g.example.job.backfill, -g.example.job.rank)
-        )
-        for name in (n for g in groups for subqueue in g.subqueues.values() for n in subqueue):
-            if len(found) >= MAX_DEMAND_ROWS:
-                if now >= self.cut_logged_at:
-                    self.cut_logged_at = now + 20 * self.membership.lease_ttl_s
-                    log.info(
-                        "event=demand-bounded told=%d jobs=%d",
-                        MAX_DEMAND_ROWS,
-                        len(queue.entries) + len(queue.in_flight),
-                    )
-                break
-            managed = queue.entries[name].managed
-            if not managed.at_fault:
-                found.append(self._row(managed, now))
-        return found[:MAX_DEMAND_ROWS]
-
-    def _row(self, managed: ManagedJob, now: float) -> tuple[str, int, float, str]:
-        zones = ""
-        if managed.job.spread or managed.job.one_zone:
-            zones = " ".join(self.view.zones.get(m, "") for _, _, m in managed.assignments())
-        return (
-            managed.job.id,
-            managed.pending + len(managed.being_placed),
-            now - managed.waiting_since,
-            zones,
-        )
-
-    def all_demand(self) -> list[Demand]:
-        """Demand of the whole epoch, most urgent first."""
-        rows = self.demand()
-        for label in self.membership.epoch.members:
-            if label != self.membership.label:
-                rows += self.demands.get(label, [])
-        found = [
-            Demand(self.jobs.live[job][0], count, age, tuple(zones.split()))
-            for job, count, age, zones in rows
-            if job in self.jobs.live
-        ]
-        found.sort(key=lambda need: (need.job.backfill, -need.job.rank, -need.age_s))
-        return found
-
-    # -- placing ---------------------------------------------------------
+        self.reserves.begin()
+        self.backfill.begin()
 
     async def place_all(self) -> None:
-        """The placer: one pass over the waiting jobs whenever something changed."""
-        pause_s = self.settings.cluster.workers.report_s / PASSES
+        """Make a pass over the waiting jobs whenever something changed, for as long as we run."""
+        pause_s = self.settings.cluster.workers.report_s / PASSES_PER_REPORT
         while True:
             await self.routines.wait("place", self.membership.lease_ttl_s / 2)
             if self.membership.serving:
@@ -298,7 +198,7 @@
 
         Of bounded work: what is left goes on in the next pass, when others have had their
         turn. It costs as much as has happened, however many jobs wait: groups that can find
-        nothing sleep, and of one that is awake no more is looked at once it has found less
+        nothing are postponed, and of the others no more is looked at once one has found less
         than it wants.
         """
         queue = self.queue
@@ -306,100 +206,58 @@
         if not queue.entries:
             self.cached_state.starved = False
             return
-        look = Look(
+        current = SchedulingPass(
             now,
             self.cached_state.index(),
             self.policy(),
             self._owed_now(now),
-            self.reserve,
-            self.given,
+            self.reserves.current,
+            self.granted_cpus,
         )
-        awake: list[Group] = []
-        asleep: list[Group] = []
+        is_postponed = self.postponements.is_postponed
+        active: list[Group] = []
+        postponed: list[Group] = []
         for group in queue.groups.values():
-            (asleep if self._sleeps(group, look, True) else awake).append(group)
-        if any(g.example.job.kind != SERVICE for g in awake):
+            (postponed if is_postponed(group, current, True) else active).append(group)
+        if any(group.example.job.kind != SERVICE for group in active):
             # Then nobody gathers: what has come free is not left to those of a lower rank.
-            awake += [g for g in asleep if not self._sleeps(g, look, False)]
-        for managed in self._in_order(awake, look):
-            if look.work >= MAX_PASS_WORK:
+            active += [group for group in postponed if not is_postponed(group, current, False)]
+        for managed in self._in_order(active, current):
+            if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
-            self._serve(managed, look)
-        for key, rev in look.full.items():
-            full = queue.groups.get(key)
-            # Replicas are missed every second: they are looked at each time.
-            if full is not None and full.example.job.kind != SERVICE:
-                gather_s = (
-                    self.settings.cluster.workers.report_s * GATHER
-                    if full.example.job.kind == ARRAY
-                    else 0.0
-                )
-                full.postponement = Postponement(
-                    rev,
-                    now + gather_s,
-                    now + self.membership.lease_ttl_s / 6,
-                    look.policy,
-                    look.reserve,
-                )
-                full.has_new_demand = False
-        self._keep(look)
-        if look.starved and not self.cached_state.starved:
+            self._serve(managed, current)
+        self.postponements.postpone(current)
+        self.reserves.update(current)
+        if current.starved and not self.cached_state.starved:
             self.routines.signal("starved")
             self.routines.signal("demand")
-        self.cached_state.starved = look.starved
+        self.cached_state.starved = current.starved
 
     def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
-        """Who is owed a share, looked up anew a few times between two reports."""
+        """Who is owed a fair share, looked up anew a few times between two heartbeats."""
         if now >= self.owed_until:
-            self.owed_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
+            self.owed_until = (
+                now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
+            )
             self.owed = self.queue.shares.owed(now)
-            self.given = {}
+            self.granted_cpus = {}
         return self.owed
 
-    def _sleeps(self, group: Group, look: Look, gather: bool) -> bool:
-        """Whether jobs of a group that found no room would find none now either: none has
-        come or waits for more, nothing that has changed fits one of their tasks, and it is
-        not yet time to see what else may be stopped, or who has become impatient."""
-        postponement, job = group.postponement, group.example.job
-        if (
-            postponement is None
-            or group.has_new_demand
-            or look.now >= postponement.until
-            or postponement.policy is not look.policy
-            or postponement.reserve is not look.reserve
-        ):
-            group.postponement = None
-            return False
-        if gather and look.now < postponement.least:
-            look.starved = look.starved or not job.backfill
-            return True
-        reserve = (
-            None
-            if job.kind == SERVICE
-            or any(self._lacks(names(job.gpus > 0, *which), look) > 0 for which in group.subqueues)
-            else look.reserve
-        )
-        for room in look.index.changed_rooms(job, postponement.rev):
-            mark = self.queue.entries.get(room.hold) if room.hold else None
-            if mark is not None and mark.group is group or accepts(job, room, look.policy, reserve):
-                group.postponement = None
-                return False
-        look.starved = look.starved or not job.backfill
-        return True
-
-    def _in_order(self, groups: list[Group], look: Look) -> Iterator[ManagedJob]:
-        """The jobs of the groups as they are to be looked at; of a group that found less
-        than it wanted only those that room is held for."""
+    def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
+        """The jobs of the groups as they are to be looked at.
+
+        Of a group that found less than it wanted only those that room is held for.
+        """
         entries, serial = self.queue.entries, itertools.count()
         heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
-        held = {name: None for name in look.index.held if name in entries}
+        held = {name: None for name in current.index.held if name in entries}
 
         def push(rest: Iterator[str]) -> None:
             name = next(rest, None)
             if name is not None:
                 managed = entries[name].managed
-                heappush(heap, (self._order(managed, look), next(serial), managed, rest))
+                heappush(heap, (self._order(managed, current), next(serial), managed, rest))
 
         for name in held:
             push(iter((name,)))
@@ -409,70 +267,43 @@
         while heap:
             _, _, managed, rest = heappop(heap)
             yield managed
-            if managed.group in look.full:
-                look.starved = look.starved or not managed.job.backfill
+            if managed.group in current.unsatisfied:
+                current.starved = current.starved or not managed.job.backfill
             else:
                 push(rest)
 
-    def _keep(self, look: Look) -> None:
-        """Which machines small work keeps off until what is owed a share has found room.
-        (What needs GPUs has them kept free by the policy.)
-
-        One that takes more of a machine than the rest would wait for ever, since each
-        smaller room that comes free is taken as soon as it is there.
-        """
-        self.missed = {
-            which: job
-            for which, job in self.missed.items()
-            if which in look.owed and look.owed[which].missing > 0
-        }
-        reserve: LargeTaskReserve | None = None
-        for which, found in self.missed.items():
-            owed = look.owed[which]
-            if found.gpus == 0 and owed.total > 0:
-                share = min(1.0, STARVING_SHARE * owed.missing / owed.total)
-                steps = math.ceil(share * STARVING_SHARE_STEPS) / STARVING_SHARE_STEPS
-                if reserve is None or steps > reserve.share:
-                    reserve = LargeTaskReserve(found, steps, look.policy.fitting_types(found))
-        # Whoever sleeps is woken when it changes: it stays as it is while it says the same.
-        if (
-            reserve is None
-            or self.reserve is None
-            or reserve.share != self.reserve.share
-            or shape(reserve.job) != shape(self.reserve.job)
-        ):
-            self.reserve = reserve
-
-    def _serve(self, managed: ManagedJob, look: Look) -> None:
+    def _serve(self, managed: ManagedJob, current: SchedulingPass) -> None:
         """Find room for one job, or have it made; what is found is to be started."""
         job = managed.job
-        if job.backfill and job.rank not in look.fill:
-            look.fill[job.rank] = self.fill_cpus(look.index, job.rank)
+        if job.backfill and job.rank not in current.backfill_cpus_left:
+            current.backfill_cpus_left[job.rank] = self.backfill.cpus_left(current.index, job.rank)
         if managed.at_fault and managed.assigned > managed.running:
             # One trial at a time. (Not none while others of it run: a replica that had
             # failed on three sick machines would have been missing for good.)
             return
-        look.work += 1
-        wanted = self._wanted(managed, look)
+        current.work += 1
+        wanted = self._wanted(managed, current)
         if wanted <= 0 or (job.kind == GANG and wanted < managed.pending):
             return
-        chosen, wanted = self._seek(managed, wanted, look)
+        chosen, wanted = self.room_finder.find(managed, wanted, current)
         if job.backfill:
-            look.fill[job.rank] -= len(chosen) * job.cpus
+            current.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
-            look.starved = look.starved or not job.backfill
-            for which in account_keys(job):
-                self.missed.setdefault(which, job)
-            if job.id not in look.index.held and not managed.errors and not managed.lost_machines:
-                look.full.setdefault(managed.group, look.index.rev)
+            current.starved = current.starved or not job.backfill
+            self.reserves.note_unplaced(job)
+            if (
+                job.id not in current.index.held
+                and not managed.errors
+                and not managed.lost_machines
+            ):
+                current.unsatisfied.setdefault(managed.group, current.index.rev)
         else:
-            for which in account_keys(job):
-                self.missed.pop(which, None)
-        look.work += len(chosen)
+            self.reserves.note_placed(job)
+        current.work += len(chosen)
         if chosen:
-            self._begin(managed, chosen, look)
+            self._begin(managed, chosen, current)
 
-    def _wanted(self, managed: ManagedJob, look: Look) -> int:
+    def _wanted(self, managed: ManagedJob, current: SchedulingPass) -> int:
         """Tasks to look for: what one transaction holds, and the job may have."""
         job = managed.job
         wanted = min(
@@ -483,487 +314,53 @@
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
-        lacks = self._lacks(account_keys(job), look)
-        if job.kind == ARRAY and lacks > 0 and job.cpus > 0:
+        missing_cpus = current.missing_cpus(account_keys(job))
+        if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
             # It goes first for what is owed, and no further: the rest would be stopped again
             # for whoever it went before.
-            wanted = min(wanted, math.ceil(lacks / job.cpus))
-        if job.backfill and job.cpus > 0 and self.hinders(job, job.rank):
-            wanted = int(max(0.0, min(wanted, max(look.fill[job.rank], lacks) / job.cpus)))
+            wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
+        if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
+            cpus = max(current.backfill_cpus_left[job.rank], missing_cpus)
+            wanted = int(max(0.0, min(wanted, cpus / job.cpus)))
         return wanted
 
-    def _seek(self, managed: ManagedJob, wanted: int, look: Look) -> tuple[list[Room], int]:
-        """Room that is free, and room made by stopping others; and for how many it was
-        looked for in the end (fewer, where some is being made)."""
-        job, now, index, policy = managed.job, look.now, look.index, look.policy
-        without: Collection[str] = (
-            {*managed.avoided(), *managed.lost_machines}
-            if managed.errors or managed.lost_machines
-            else ()
-        )
-        age = now - managed.waiting_since
-        # Not on ordinary machines that it alone would keep rented.
-        avoid_idle_on_demand = job.backfill and age < self.long_s and self.hinders(job)
-        can_wait, avoid_spot = (
-            self.objectives.can_wait(job, age),
-            self.objectives.avoid_spot(job, age),
-        )
-        spread = self.spread(managed)
-        limit = self.objectives.wait_limits.get(job.job_class)
-        most = self._spared(job, self._stops(job, age, can_wait), look)
-        find = partial(
-            place,
-            index=index,
-            spread=spread,
-            policy=policy,
-            avoid_spot=avoid_spot,
-            without=without,
-            avoid_idle_on_demand=avoid_idle_on_demand,
-            reserve=None if job.kind == SERVICE or self._is_owed(job, look) else look.reserve,
-        )
-        make = partial(self._make_room, managed, spread=spread, look=look, without=without)
-        chosen: list[Room] = []
-        if managed.at_fault:
-            # No room is made, and no guarantee claimed, for what will hardly use it.
-            chosen = find(job, wanted, can_wait=True)
-            wanted = len(chosen)
-        elif limit is not None and age < limit and job.kind != GANG:
-            # Started in time only where the image is, or comes soon enough:
-            # rather than fetch it elsewhere, work of lower rank is stopped there.
-            soon = self._soon(job, limit - age)
-            chosen = find(job, wanted, uncached=soon)
-            if len(chosen) < wanted and most >= 0:
-                if now < managed.next_preempt_at:
-                    wanted = len(chosen)
-                elif not managed.preempted and make(
-                    wanted - len(chosen), grace_s=0.0, most=RANKS["best_effort"], uncached=soon
-                ):
-                    managed.preempted = True
-                    wanted = len(chosen)
-        if len(chosen) < wanted:
-            chosen += find(job, wanted - len(chosen), can_wait=can_wait or job.kind != GANG)
-        if len(chosen) < wanted and not can_wait and job.kind != GANG:
-            # Dear machines only for what work of lower rank on others can't make
-            # way for: they would be kept rented for what could run cheaply.
-            if most >= 0 and now >= managed.next_preempt_at:
-                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most, can_wait=True)
-            coming = sum(n for n, until in managed.preempted_room.values() if now < until)
-            chosen += find(job, max(0, wanted - len(chosen) - coming))
-        if len(chosen) < wanted and now >= managed.next_preempt_at:
-            # What nobody waits for stops nothing but what is of a lower rank and as little
-            # waited for.
-            if not job.backfill and most >= 0:
-                make(wanted - len(chosen), grace_s=self._grace(job, age), most=most)
-            elif job.backfill and job.standing >= 0:
-                make(wanted - len(chosen), grace_s=math.inf, most=UNAIMED)
-        if (
-            len(chosen) < wanted
-            and now >= max(managed.next_preempt_at, managed.next_claim_at)
-            and self._guaranteed(job)
-        ):
-            fitting_types = policy.fitting_types(job)
-            machines = self._claimable(
-                job,
-                [
-                    r
-                    for p in index.allowed(job)
-                    if fitting_types is None or p.type in fitting_types
-                    for r in p.rooms.values()
-                    if r.machine not in without
-                ],
-                spread,
-            )
-            # A look at all machines: not with each pass.
-            managed.next_claim_at = now + self.membership.lease_ttl_s / 6
-            if machines:
-                managed.next_preempt_at = now + self.membership.lease_ttl_s
-                self.routines.spawn(self._claim(job, machines))
-        return chosen, wanted
-
-    def _begin(self, managed: ManagedJob, chosen: list[Room], look: Look) -> None:
-        """Hand what was found to the job's routine."""
+    def _begin(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
+        """Hand the rooms that were found to the job's routine, which starts the tasks there."""
         for room in chosen:
             if room.machine in managed.preempted_room:
                 left, until = managed.preempted_room[room.machine]
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
         numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
-        for which in account_keys(managed.job):
-            look.given[which] = look.given.get(which, 0.0) + len(numbers) * managed.job.cpus
+        for account in account_keys(managed.job):
+            current.granted_cpus[account] = (
+                current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
+            )
         for room in chosen[len(numbers) :]:
             room.take(managed.job, -1)  # the next transaction's
-        managed.starts = [(n, r.machine) for n, r in zip(numbers, chosen)]
+        managed.starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
             self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
         self.routines.signal(managed.name)
 
-    def _order(self, managed: ManagedJob, look: Look) -> tuple[float, ...]:
-        """By rank, but for who is owed a share and hasn't had it: these come after replicas
-        and before all others; then as the line says; what is owed to a team before what it
-        borrows."""
+    def _order(self, managed: ManagedJob, current: SchedulingPass) -> tuple[float, ...]:
+        """The sort key of a job: by rank, then as the queue orders them.
+
+        Who is owed a fair share and hasn't had it comes after replicas and before all others;
+        what is owed to a team comes before what it borrows.
+        """
         job = managed.job
-        band, (start_by, rev, _), _ = self.queue.standing(managed, look.now)
-        left = start_by - look.now if math.isfinite(start_by) else 0.0
+        band, (start_by, rev, _), _ = self.queue.standing(managed, current.now)
+        left = start_by - current.now if math.isfinite(start_by) else 0.0
         rank = float(job.rank)
-        if self._is_owed(job, look):
+        if current.is_owed(job):
             rank = RANKS["production"] - 0.5
-        return (-rank, band, float(not self._in_guarantee(job)), left, rev)
-
-    def _is_owed(self, job: Job, look: Look) -> bool:
-        """Whether its class or its team lacks some of what it is owed."""
-        return job.kind != SERVICE and self._lacks(account_keys(job), look) > 0
-
-    @staticmethod
-    def _lacks(names: Iterable[AccountKey], look: Look) -> float:
-        """The CPUs that the names still lack of what they are owed."""
-        return max(
-            (
-                owed.missing - look.given.get(which, 0.0)
-                for which in names
-                if (owed := look.owed.get(which)) is not None
-            ),
-            default=0.0,
-        )
-
-    def fill_cpus(self, index: Index, rank: int) -> float:
-        """What work without any aim may still take beside work that has one and can't make
-        it stop: an array of a guest that fills the fleet for minutes would make all others
-        of its rank late. (What it is owed it may take in any case. Work of a higher rank has
-        it stopped: bound to a quarter beside that as well, 4,500 tasks waited for most of a
-        day while a third of the fleet was free. What is of the lowest rank makes way, and counts
-        only against its own.)
-        """
-        cpus = backfill_cpus = 0.0
-        for pool in index.pools.values():
-            kind = self.machines.types.get(pool.type)
-            totals = pool.count()
-            cpus += totals.machines * kind.cpus if kind is not None else 0.0
-            backfill_cpus += totals.backfill_cpus
-        return FILL * cpus - (backfill_cpus if rank == RANKS["best_effort"] else 0.0)
-
-    def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
-        """Whether there is work with an aim, up to this rank, that a job without any could
-        hinder: of its kind, with GPUs or without, since each has machines of its own.
-        (Replicas are placed ahead of all.)
-
-        Gangs on whole GPU machines once waited for hours of a day on which only arrays had
-        an aim: the arrays of the lowest rank held the quarter that all of them shared.
-        """
-
-        def same(kind: tuple[bool, int]) -> bool:
-            return kind[0] == (job.gpus > 0) and kind[1] <= most
-
-        found = [self._disturbs(name) for kind, name in self.disturbers.items() if same(kind)]
-        if any(found):
-            return True
-        now = time.monotonic()
-        if found or now >= self.looked_until:
-            # The newest of each rank is likely to stay longest.
-            self.looked_until = now + self.settings.cluster.workers.report_s / OWED_LOOKS
-            self.disturbers = {
-                (other.gpus > 0, other.rank): name
-                for name, (other, _) in self.jobs.live.items()
-                if self._disturbs(name)
-            }
-        return any(same(kind) for kind in self.disturbers)
-
-    def _disturbs(self, name: str) -> bool:
-        known = self.jobs.live.get(name)
-        return (
-            known is not None
-            and known[0].kind != SERVICE
-            and not known[0].without_objective
-            and not self.jobs.dependencies.is_waiting(name)
-        )
-
-    def _in_guarantee(self, job: Job) -> bool:
-        """Whether the job's team stays within its guarantee with it, as last read; true
-        where that isn't counted. What is owed to a team comes before what it borrows."""
-        if not self._guaranteed(job):
-            return True
-        which = 1 if job.gpus > 0 else 0
-        used = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))[0][which]
-        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)[which]
-        return used + need <= self.quotas.guarantees[job.team][which] + 1e-6
-
-    def policy(self) -> Policy:
-        """What keeps work off machines, from all jobs known, those just ended included.
-
-        It is made anew when a job comes that it has no place for, or prices change, and
-        now and then, since jobs go; as long as it says the same, it is the same object.
-        """
-        now = time.monotonic()
-        if (
-            self.known is not None
-            and now < self.known_until
-            and self.known_types is self.catalogue.types
-        ):
-            return self.known
-        found = Policy(
-            [
-                *(j for j, _ in self.jobs.live.values()),
-                *self.jobs.ended_descriptions.values(),
-                *self.jobs.classes.values(),
-            ],
-            self.catalogue.types,
-        )
-        if self.known is None or not found.same(self.known):
-            self.known = found
-        self.known_types = self.catalogue.types
-        self.known_until = now + self.settings.cluster.workers.report_s
-        return self.known
-
-    def learn(self, job: Job) -> None:
-        """A job has been accepted."""
-        if self.known is not None and not self.known.covers(job):
-            self.known_until = -1e9
-
-    def _make_room(
-        self,
-        managed: ManagedJob,
-        wanted: int,
-        spread: Spread,
-        look: Look,
-        grace_s: float,
-        most: int,
-        can_wait: bool = False,
-        without: Collection[str] = (),
-        uncached: frozenset[str] | None = None,
-    ) -> bool:
-        """Have work of lower rank stopped for tasks of the job, if that helps.
-
-        What is being made already, and doesn't show yet, is not made again elsewhere.
-        """
-        job, now = managed.job, look.now
-        managed.preempted_room = {
-            m: (n, until) for m, (n, until) in managed.preempted_room.items() if now < until
-        }
-        coming = sum(n for n, _ in managed.preempted_room.values())
-        wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
-        if wanted <= 0:
-            return True
-        found = preempt(
-            job,
-            wanted,
-            look.index,
-            spread.copy(),
-            look.policy,
-            most,
-            self.objectives.avoid_spot(job, now - managed.waiting_since),
-            can_wait,
-            {*without, *managed.preempted_room} if managed.preempted_room else without,
-            uncached,
-        )
-        shows = (
-            now
-            + self.membership.lease_ttl_s / 3
-            + (0.0 if grace_s <= 0 else min(grace_s, self.settings.cluster.workers.gang_peer_s))
-        )
-        if found:
-            # Only then: where no lower rank can be stopped, a higher one, or what other
-            # teams borrow, is to be asked for in the same pass.
-            managed.next_preempt_at = now + self.membership.lease_ttl_s / 6
-        for room, count in found:
-            managed.preempted_room[room.machine] = (count, shows)
-            self.routines.spawn(self._preempt(room.machine, job, grace_s, (), count))
-        return bool(found) or coming > 0
-
-    def _stops(self, job: Job, age_s: float, can_wait: bool) -> int:
-        """The highest rank that may be stopped for the job; -1: none.
-
-        What has its rank from a job that needs it stops what its own would, and the lowest
-        rank, until it has no time left for room to become free: of the tasks on a saturated
-        fleet a tenth were stopped for pipelines that had a minute to spare. (Not even the
-        lowest was tried: they then took all free room, and made other work late.)
-        """
-        own = self.jobs.dependencies.own_rank(job)
-        limit = self.objectives.wait_limits.get(job.job_class)
-        if own < job.rank and can_wait and (limit is None or age_s < limit / 2):
-            return max(own - 1, RANKS["best_effort"])
-        return job.rank - 1
-
-    def _spared(self, job: Job, most: int, look: Look) -> int:
-        """The same, less the ranks of those who hold no more than the share that they are
-        owed: what they have been given isn't taken away again. Replicas stop them all the
-        same."""
-        if job.kind == SERVICE or not look.owed:
-            return most
-        for (kind, gpus, name), owed in look.owed.items():
-            if kind == "class" and gpus == (job.gpus > 0) and name != job.job_class:
-                most = min(most, owed.standing - 1)
-        return most
-
-    def _grace(self, job: Job, age_s: float) -> float:
-        """How long victims may take to save: as they need, but not while it may make a
-        start late that is to be soon (six seconds of saving and a fetch did). A replica
-        that is down is missed every second."""
-        limit = self.objectives.wait_limits.get(job.job_class)
-        return 0.0 if job.kind == SERVICE or limit is not None and age_s < limit else math.inf
-
-    def _guaranteed(self, job: Job) -> bool:
-        """Whether the job's team has a guarantee that may be claimed for it."""
-        cpus, gpus = self.quotas.guarantees.get(job.team, (0.0, 0.0))
-        return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
-
-    @staticmethod
-    def _claimable(job: Job, pool: list[Room], spread: Spread) -> list[str]:
-        """Machines of which one more would do: what others run is not stopped for a gang
-        that can't start on what it would get. (Gangs of two had one task after another
-        stopped, in one zone and the next, and started nowhere.)"""
-        rooms = [r for r in pool if r.open and r.allows(job) and spread.allows(r.zone)]
-        if job.kind != GANG:
-            return [r.machine for r in rooms]
-        free: dict[str, int] = {}
-        for room in rooms:
-            zone = room.zone if job.one_zone else ""
-            free[zone] = free.get(zone, 0) + (capacity(job, room) if room.fits(job) else 0)
-        return [
-            r.machine
-            for r in rooms
-            if not r.fits(job) and free[r.zone if job.one_zone else ""] >= job.tasks - 1
-        ]
-
-    async def _claim(self, job: Job, machines: list[str]) -> None:
-        """Give a team its guarantee from what other teams run beyond theirs.
-
-        Only teams with limits have their use counted; the others can't be shown
-        to borrow, and their work is left alone.
-        """
-        try:
-            entries, _ = await self.store.scan("quota/")
-        except (UnavailableError, OutcomeUnknownError):
-            return
-        used = {
-            e.key.partition("/")[2]: parse_quota(e.value) for e in entries if not is_anchor(e.key)
-        }
-        own, have = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
-        need = quota_usage(job, 1 if job.kind != GANG else job.tasks)
-        which = 1 if job.gpus > 0 else 0
-        if have[which] + need[which] > own[which] + 1e-6:
-            return
-        over = [
-            team
-            for team, use in used.items()
-            if team != job.team
-            and use[which] > self.quotas.guarantees.get(team, (0.0, 0.0))[which] + 1e-6
-        ]
-        for machine in machines if over else ():
-            if await self._preempt(machine, job, math.inf, over):
-                return
-
-    def _fetch_from_s(self, job: Job, type: str) -> float:
-        """How long the image takes on machines without it; rates differ by up to a third."""
-        kind = self.machines.types.get(type)
-        if kind is None or kind.fetch_gb_per_s <= 0:
-            return 0.0
-        return job.image_gb / kind.fetch_gb_per_s * 4 / 3
-
-    async def _preempt(
-        self, machine: str, job: Job, grace_s: float, over: Iterable[str] = (), count: int = 1
-    ) -> bool:
-        """Ask a machine's owner to make room for tasks of the job."""
-        owner = self.membership.epoch.member_for(machine)
-        if owner == self.membership.label:
-            done = self.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
-            self.fleet.poke(machine)
-            return done
-        try:
-            done = bool(
-                (
-                    await self.peers[owner].call(
-                        frames.PREEMPT,
-                        (
-                            self.membership.epoch.number,
-                            machine,
-                            job.id,
-                            count,
-                            grace_s,
-                            [(t,) for t in over],
-                        ),
-                    )
-                )[0]
-            )
-        except (PeerError, KeyError):
-            return False
-        if done and grace_s <= 0:
-            self.routines.spawn(self.cached_state.pull_soon(owner))
-        return done
-
-    def spread(self, managed: ManagedJob) -> Spread:
-        zones = []
-        if managed.job.one_zone or managed.job.spread:
-            for _, _, machine in managed.assignments():
-                zones.append(self.view.zones.get(machine))
-        return Spread(managed.job, zones)
-
-    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Whether a replica would find another place where it starts soon.
-
-        It is stopped before it starts elsewhere, so its image must be there, or be
-        fetched in less time than passes between two reports.
-        """
-        managed = self.jobs.managed.get(job)
-        room = self.cached_state.rooms().get(machine)
-        if (
-            managed is None
-            or managed.pending
-            or room is None
-            or (managed.assignment(number) or (0, ""))[1] != machine
-            or time.monotonic() - managed.last_migration_at
-            < self.settings.cluster.workers.lease_s
-            * (3.0 if drain and not self.policy().expensive(managed.job, room) else 0.3)
-        ):
-            return False
-        zones = [self.view.zones.get(m) for n, _, m in managed.assignments() if n != number]
-        policy, index = self.policy(), self.cached_state.index()
-        expensive = policy.expensive(managed.job, room)
-        soon = self._soon(managed.job, self.settings.cluster.workers.report_s)
-        with index.trial():
-            found = bool(
-                place(
-                    managed.job,
-                    1,
-                    index,
-                    Spread(managed.job, zones),
-                    policy,
-                    True,
-                    without=(machine,),
-                    uncached=soon,
-                )
-            )
-        if not found and (
-            drain
-            and not expensive
-            or not preempt(
-                managed.job,
-                1,
-                index,
-                Spread(managed.job, zones),
-                policy,
-                RANKS["best_effort"] if drain else None,
-                False,
-                True,
-                (machine,),
-                soon,
-            )
-        ):
-            # To free GPUs, or a dear machine, work of lower rank may have to make way
-            # elsewhere.
-            return False
-        # Not again soon: a move costs a moment each time.
-        managed.last_migration_at = time.monotonic()
-        return True
-
-    def _soon(self, job: Job, within_s: float) -> frozenset[str] | None:
-        """Types whose machines have the job's image in time when they begin to fetch it now;
-        None: all."""
-        found = frozenset(t for t in self.machines.types if self._fetch_from_s(job, t) < within_s)
-        return None if len(found) == len(self.machines.types) else found
+        return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
 
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Tasks that the team's limit leaves room for, as far as known here.
 
-        What was read long ago is not believed: other homes may have released
+        What was read long ago is not believed: other controllers may have released
         some since, and nothing else would ever make us look again.
         """
         limit = self.quotas.limits.get(job.team, (0.0, 0.0))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -16,7 +16,9 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.epoch import Epoch
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
-from clayport.scheduling.placer import GATHER, MAX_DEMAND_ROWS, Look
+from clayport.scheduling.demand_report import MAX_DEMAND_ROWS
+from clayport.scheduling.postponement import GATHER_SHARE
+from clayport.scheduling.scheduling_pass import SchedulingPass
 from clayport.settings import parse
 
 from .world import TYPES
@@ -67,7 +69,7 @@
     def order(self, managed: ManagedJob) -> tuple[float, ...]:
         placer = self.c.placer
         return placer._order(
-            managed, Look(self.now, self.c.view.index, placer.policy(), {}, None, {})
+            managed, SchedulingPass(self.now, self.c.view.index, placer.policy(), {}, None, {})
         )
 
     def look(self) -> None:
@@ -114,7 +116,7 @@
     monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, grace: float
 ) -> None:
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert min(10.0, Home(monkeypatch).c.placer._grace(job, age)) == grace
+    assert min(10.0, Home(monkeypatch).c.placer.room_maker.grace_s(job, age)) == grace
 
 
 @pytest.mark.parametrize(
@@ -187,7 +189,7 @@
     async def claim(job: Job, machines: list[str]) -> None:
         claims.append(job.id)
 
-    monkeypatch.setattr(home.c.placer, "_claim", claim)
+    monkeypatch.setattr(home.c.placer.guarantees, "claim", claim)
     home.c.jobs.live[SMALL.id] = (SMALL, 1)
     home.report("m1", "north", "accel", "j-000001/0")
     gang = msgspec.convert(
@@ -211,10 +213,10 @@
             each.take(SMALL)
     if not busy:
         rooms = rooms[2:]  # only the one of the other zone, which is not enough
-    from clayport.scheduling.placer import Placer
+    from clayport.scheduling.guarantees import claimable_machines
     from clayport.scheduling.spread import Spread
 
-    assert Placer._claimable(PAIR, rooms, Spread(PAIR, ())) == claimed
+    assert claimable_machines(PAIR, rooms, Spread(PAIR, ())) == claimed
 
 
 def test_what_missed_its_start_comes_after_what_can_make_it(
@@ -237,10 +239,10 @@
     for number in range(MAX_DEMAND_ROWS + 50):
         rank = "production" if number >= MAX_DEMAND_ROWS else "normal"
         home.wait(msgspec.convert(wire_job(number, rank=rank), Job))
-    told = {row[0] for row in home.c.placer.demand()}
+    told = {row[0] for row in home.c.placer.demand_report.own_rows()}
     assert len(told) == MAX_DEMAND_ROWS
     assert {f"j-{n:06d}" for n in range(MAX_DEMAND_ROWS, MAX_DEMAND_ROWS + 50)} <= told
-    home.c.placer.demand()
+    home.c.placer.demand_report.own_rows()
     assert sum("event=demand-bounded" in r.getMessage() for r in caplog.records) == 1
 
 
@@ -309,14 +311,14 @@
 def looks(home: Home, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """The jobs that room is looked for from now on, in order."""
     found: list[str] = []
-    placer = home.c.placer
-    seek = placer._seek
+    room_finder = home.c.placer.room_finder
+    find = room_finder.find
 
     def noted(managed: ManagedJob, wanted: int, look: Any) -> Any:
         found.append(managed.job.id)
-        return seek(managed, wanted, look)
+        return find(managed, wanted, look)
 
-    monkeypatch.setattr(placer, "_seek", noted)
+    monkeypatch.setattr(room_finder, "find", noted)
     return found
 
 
@@ -350,7 +352,7 @@
     assert not first.starts and not second.starts
     found = looks(home, monkeypatch)
     if happens != "a machine has room, a moment ago":
-        home.now += GATHER * home.c.settings.cluster.workers.report_s
+        home.now += GATHER_SHARE * home.c.settings.cluster.workers.report_s
     if happens == "an equal job":
         home.wait(msgspec.convert(wire_job(3, **big), Job))
     elif happens == "another job":
