--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -35,7 +35,7 @@
 from clayport.machines.table import MachineTable
 from clayport.membership.failover import Failover
 from clayport.membership.heartbeats import Heartbeats
-from clayport.membership.registration import MembershipDuties
+from clayport.membership.registration import MembershipRegistration
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
 from clayport.membership.transition import EpochTransition
@@ -61,7 +61,7 @@
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings, endpoint
 from clayport.transport import http, peers
-from clayport.user_api import POLL_S, Api
+from clayport.user_api import POLL_S, UserApi
 
 if TYPE_CHECKING:
     from clayport.rebuild.recovery import Recovery
@@ -337,7 +337,7 @@
             stalls=self.stalls,
             view=self.view,
         )
-        self.user_api = Api(
+        self.user_api = UserApi(
             catalogue=self.catalogue,
             disclosure=self.disclosure,
             dispatcher=self.dispatcher,
@@ -376,7 +376,7 @@
             upgrade=self.upgrade,
             watermark=self.watermark,
         )
-        self.registration = MembershipDuties(
+        self.registration = MembershipRegistration(
             membership=self.membership,
             rebuild=self.rebuild,
             routines=self.routines,
@@ -452,8 +452,8 @@
             *((recovery.recorder.run,) if recovery is not None and recovery.recorder else ()),
             self.stalls.detect_stalls,
             self.record_replica.follow,
-            self.registration.keep_lease,
-            self.registration.keep_members,
+            self.registration.maintain_lease,
+            self.registration.propose_epochs,
             self.prerequisites.keep_prereqs,
             self.catalogue.keep_current,
             self.cached_state.refresh,
@@ -483,7 +483,7 @@
                 w.lease_s,
             )
             for peer in self.peers.values():
-                await group.spawn(duty, self.heartbeats.keep_peers, peer)
+                await group.spawn(duty, self.heartbeats.exchange_heartbeats, peer)
             for label in s.labels:
                 await group.spawn(duty, self.fleet.tell, label)
             for routine in self.duties():
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -144,7 +144,9 @@
                 )
                 if unreported:
                     # Of what nobody says anything, the owner may have lost track.
-                    log.info("job=%s event=unheard tasks=%d", managed.job.id, len(unreported))
+                    log.info(
+                        "job=%s event=tasks-unreported tasks=%d", managed.job.id, len(unreported)
+                    )
                     await self.owner_requests.adopt(managed, unreported)
         except EpochEndedError:
             pass
@@ -353,9 +355,7 @@
         if ends_job:
             managed.ended = "done"
             self.lifecycle.note_end(managed.job.id, "done", at)
-            log.info(
-                "job=%s generation=%d event=done", managed.job.id, self.membership.epoch.number
-            )
+            log.info("job=%s epoch=%d event=done", managed.job.id, self.membership.epoch.number)
         await self.owner_requests.stop(
             managed,
             [
--- a/clayport/jobs/job_records.py
+++ b/clayport/jobs/job_records.py
@@ -62,7 +62,7 @@
         fence = self.commits.fence(managed)
         written: set[int] = set()
         log.info(
-            "job=%s generation=%d event=narrow chunks=%d size=%d",
+            "job=%s epoch=%d event=chunks-split chunks=%d size=%d",
             managed.job.id,
             managed.epoch,
             len(managed.chunks),
@@ -122,7 +122,7 @@
             rev = await self.commits.commit(txn, self.commits.fence(managed), CANCEL_PRIORITY_S)
         except ConflictError:
             return
-        log.info("job=%s generation=%d event=cancelled cause=prereq", job, managed.epoch)
+        log.info("job=%s epoch=%d event=cancelled cause=prereq", job, managed.epoch)
         self.lifecycle.note_end(job, "cancelled", time.time(), rev)
 
     async def resolve_conflict(
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -189,7 +189,7 @@
             managed.waiting_since = self.jobs.dependencies.nodes[name].ready_at
             managed.blocked = False
             self.queue.touch(name)
-            log.info("job=%s event=ready", name)
+            log.info("job=%s event=prerequisites-done", name)
             self.routines.signal("place")
 
     async def _remember_class(self, job: Job) -> None:
--- a/clayport/jobs/owner_requests.py
+++ b/clayport/jobs/owner_requests.py
@@ -88,7 +88,7 @@
             EpochEndedError: The epoch has ended.
         """
         log.info(
-            "job=%s generation=%d event=launch tasks=%d attempt=%d",
+            "job=%s epoch=%d event=launch tasks=%d attempt=%d",
             managed.job.id,
             self.membership.epoch.number,
             len(items),
--- a/clayport/machines/health.py
+++ b/clayport/machines/health.py
@@ -70,5 +70,8 @@
 def log_unhealthy(machine: Machine, job: str) -> None:
     """Log that a machine is found unhealthy, with the job whose error has shown it."""
     log.info(
-        "machine=%s job=%s event=sick errors=%d", machine.name, job, sum(machine.errors.values())
+        "machine=%s job=%s event=machine-unhealthy errors=%d",
+        machine.name,
+        job,
+        sum(machine.errors.values()),
     )
--- a/clayport/machines/report_answers.py
+++ b/clayport/machines/report_answers.py
@@ -151,7 +151,7 @@
         if room is not None:
             machine.images.update({image: 0.0 for image in room.images})
         log.info(
-            "machine=%s generation=%d event=owned type=%s zone=%s spot=%s",
+            "machine=%s epoch=%d event=owned type=%s zone=%s spot=%s",
             machine.name,
             self.membership.epoch.number,
             machine.type,
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -148,7 +148,7 @@
             ):
                 return
             log.info(
-                "machine=%s generation=%d event=fence cause=silent tasks=%d",
+                "machine=%s epoch=%d event=fence cause=silent tasks=%d",
                 machine.name,
                 epoch.number,
                 len(machine.desired),
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -217,7 +217,7 @@
         sound ones.
         """
         if self.faults.record(job, at_fault):
-            log.info("job=%s event=at-fault", job)
+            log.info("job=%s event=job-failing", job)
             self._forgive(job)
         machine = self.machines.get(name)
         if (
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -131,7 +131,7 @@
             self.jobs.ended_descriptions[job_id] = job
             self.lead(job, 0, shard.chunks[job_id], status)
         self.membership.serving = True
-        log.info("generation=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
+        log.info("epoch=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
             self.routines.signal(name)
         await self.routines.flush()
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -89,7 +89,7 @@
         self.upgrade = upgrade
         self.watermark = watermark
 
-    async def keep_peers(self, peer: Peer) -> None:
+    async def exchange_heartbeats(self, peer: Peer) -> None:
         """Exchange heartbeats with one peer, several in the time of a controller's lease."""
         while True:
             self.stalls.check(time.monotonic())
@@ -136,7 +136,7 @@
             and now - self.membership.started_at > STARTUP_LEASES * self.membership.lease_ttl_s
         )
         if away != self.membership.away:
-            log.info("event=%s cause=peers", "away" if away else "back")
+            log.info("event=%s cause=peers", "isolated" if away else "reachable")
             self.membership.away = away
             self.routines.signal("lease")
 
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -42,7 +42,7 @@
 MIN_PAUSE_S = 0.001
 
 
-class MembershipDuties:
+class MembershipRegistration:
     """The routines that keep a controller among the members.
 
     Attributes:
@@ -72,7 +72,7 @@
         workers = settings.cluster.workers
         self.flap_damping = FlapDamping(4 * workers.lease_s, workers.report_s, 4 * workers.lease_s)
 
-    async def keep_lease(self) -> None:
+    async def maintain_lease(self) -> None:
         """Hold our key in the state service while we can serve."""
         while True:
             pause_s = self.membership.lease_ttl_s / RENEWALS_PER_LEASE
@@ -149,7 +149,7 @@
                         raise
                     self.versions.note_version(self.membership.label, entry.value, entry.rev)
 
-    async def keep_members(self) -> None:
+    async def propose_epochs(self) -> None:
         """Propose the next epoch when those present differ from its members."""
         while True:
             await self.routines.wait("members", self.membership.lease_ttl_s / CHECKS_PER_LEASE)
@@ -183,7 +183,7 @@
         now = time.monotonic()
         for label in self.flap_damping.observe(self.membership.present, now):
             log.info(
-                "event=left-out label=%s seconds=%.1f",
+                "event=flap-damped label=%s seconds=%.1f",
                 label,
                 self.flap_damping.paused_until[label] - now,
             )
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -103,7 +103,7 @@
 
     def _note_stall(self, gap_s: float, now: float) -> None:
         """Shift what is judged by elapsed time by the gap, and look at the records again."""
-        log.info("event=stood-still seconds=%.1f", gap_s)
+        log.info("event=stalled seconds=%.1f", gap_s)
         self.count += 1
         self.membership.rescan = True
         # Not known to answer until it has; a lease may have ended meanwhile.
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -50,7 +50,7 @@
         self.membership.epoch, self.membership.epoch_started_at = epoch, time.monotonic()
         self.membership.serving = False
         log.info(
-            "generation=%d event=begin members=%s",
+            "epoch=%d event=epoch-started members=%s",
             epoch.number,
             ",".join(sorted(epoch.members)),
         )
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -173,7 +173,7 @@
             except CloudError as exc:
                 log.info("event=not-fenced machines=%d cause=%s", len(names), exc)
                 return
-            log.info("event=returned machines=%s cause=silent", names)
+            log.info("event=scaled-in machines=%s cause=silent", names)
             self.returned.update(names)
             for name in names:
                 silent.pop(name, None)
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -83,7 +83,7 @@
         self.loaded, self.since = ports.membership.serving, time.monotonic()
         ports.membership.serving = False
         self.packed = ("", [])
-        log.info("event=doubt cause=%r", self.history.suspicion)
+        log.info("event=records-suspect cause=%r", self.history.suspicion)
         ports.routines.signal("history")
 
     async def check_in(self) -> None:
--- a/clayport/rebuild/support.py
+++ b/clayport/rebuild/support.py
@@ -80,7 +80,7 @@
         if self.recovery is None:
             # Not switched on here; but whoever changes records without naming their history
             # may change what is not there any more.
-            log.info("event=rebuilds cause='the records have a history'")
+            log.info("event=rebuild-enabled cause='the records have a history'")
             self.enable()
             assert self.recovery is not None
             self.routines.spawn(self.routines.duty(self.recovery.run))
--- a/clayport/scaling/machine_list.py
+++ b/clayport/scaling/machine_list.py
@@ -143,7 +143,7 @@
             and now - boot.since > GIVE_UP_FACTOR * types[boot.kind[0]].boot_s
         ]
         if late:
-            log.info("event=never-up machines=%s", late)
+            log.info("event=boot-timeout machines=%s", late)
             for name in late:
                 if name in self._rented_here:
                     self._note_boot_time(self.booting[name], now)
--- a/clayport/scaling/rental_plan.py
+++ b/clayport/scaling/rental_plan.py
@@ -198,16 +198,20 @@
         for need in waiting:
             if not need.job.backfill:
                 continue
-            beside, tasks, rank = placer.hinders(need.job), need.tasks, need.job.rank
+            beside, tasks, rank = (
+                placer.backfill.hinders_objectives(need.job),
+                need.tasks,
+                need.job.rank,
+            )
             if beside:
                 if rank not in left:
-                    left[rank] = placer.fill_cpus(index, rank)
+                    left[rank] = placer.backfill.cpus_left(index, rank)
                 if left[rank] < need.job.cpus:
                     continue
                 tasks = int(min(tasks, left[rank] / max(need.job.cpus, MIN_JOB_CPUS)))
                 left[rank] -= tasks * need.job.cpus
             refused, avoid_idle_on_demand = set(self.refused), False
-            if beside and need.age_s < placer.long_s:
+            if beside and need.age_s < placer.backfill.long_wait_s:
                 if need.job.spot:
                     refused |= on_demand
                 avoid_idle_on_demand = True
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -263,7 +263,7 @@
                 got = await self.cloud.rent(name, *kind, min(count, MAX_RENTED_AT_ONCE))
             except NoCapacityError:
                 got = []
-            log.info("event=rented kind=%s wanted=%d got=%d", kind, count, len(got))
+            log.info("event=scaled-out kind=%s wanted=%d got=%d", kind, count, len(got))
             if len(got) < min(count, MAX_RENTED_AT_ONCE):
                 self.planner.refused[kind] = now + REFUSED_BOOTS * types[kind[0]].boot_s
                 self.routines.signal("demand")
@@ -315,7 +315,7 @@
                 # Four that are never closed would keep all others rented.
                 self._not_closed[room.machine] = now + self.settings.cluster.workers.lease_s / 2
         if names:
-            log.info("event=returned machines=%s cause=idle", names)
+            log.info("event=scaled-in machines=%s cause=idle", names)
             await self.machine_list.give_back(names, now)
 
     def _idle(self, index: Index, types: dict[str, MachineType], now: float) -> list[Room]:
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -26,7 +26,6 @@
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.demand_report import DemandReport
 from clayport.scheduling.guarantees import GuaranteeClaims
-from clayport.scheduling.index import Index
 from clayport.scheduling.policy import Policy
 from clayport.scheduling.policy_cache import PolicyCache
 from clayport.scheduling.postponement import Postponements
@@ -141,19 +140,6 @@
         self.owed: dict[AccountKey, FairShare] = {}
         self.granted_cpus: dict[AccountKey, float] = {}
 
-    @property
-    def long_s(self) -> float:
-        """Return `BackfillLimits.long_wait_s`."""
-        return self.backfill.long_wait_s
-
-    def hinders(self, job: Job, most: int = RANKS["production"]) -> bool:
-        """Return `BackfillLimits.hinders_objectives`."""
-        return self.backfill.hinders_objectives(job, most)
-
-    def fill_cpus(self, index: Index, rank: int) -> float:
-        """Return `BackfillLimits.cpus_left`."""
-        return self.backfill.cpus_left(index, rank)
-
     def policy(self) -> Policy:
         """Return what keeps tasks off machines, as `PolicyCache.current` does."""
         return self.policy_cache.current()
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -70,7 +70,7 @@
 NO_SUCH_JOB = Response(404, {"error": "no such job"})
 
 
-class Api:
+class UserApi:
     """Requests on the address that users, workers and health checks share."""
 
     def __init__(
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -208,14 +208,18 @@
     ]
     live.update({job.id: (job, 1) for job in jobs})
     cpu, gpu = made(8, jobclass="unnamed"), made(9, jobclass="unnamed", cards=1.0)
-    found = [(placer.hinders(cpu, 0), placer.hinders(cpu))]
+    found = [(placer.backfill.hinders_objectives(cpu, 0), placer.backfill.hinders_objectives(cpu))]
     for job in jobs[1::-1] + jobs[2:]:
         del live[job.id]
-        found.append((placer.hinders(cpu, 0), placer.hinders(cpu)))
+        found.append(
+            (placer.backfill.hinders_objectives(cpu, 0), placer.backfill.hinders_objectives(cpu))
+        )
     assert found == [(True, True)] * 2 + [(False, True), (False, False)] + [(False, False)] * 2
     live[jobs[0].id] = (jobs[0], 1)
     home.now += home.c.settings.cluster.workers.report_s
-    assert placer.hinders(cpu, 0) and not placer.hinders(gpu)
+    assert placer.backfill.hinders_objectives(cpu, 0) and not placer.backfill.hinders_objectives(
+        gpu
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 from clayport.controller import Controller
 from clayport.settings import ConfigError, parse
 from clayport.transport import frames, http
-from clayport.user_api import Api
+from clayport.user_api import UserApi
 
 from .world import SETTINGS, TYPES, ZONES, State, World, job
 
@@ -212,7 +212,7 @@
 # -- what users send -------------------------------------------------------
 
 
-def api() -> tuple[Api, Controller]:
+def api() -> tuple[UserApi, Controller]:
     c = Controller(parse(json.dumps(GOOD).encode()))
     import msgspec
 
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -99,7 +99,7 @@
         """The controller's duties without its listeners. Its crash cancels them all."""
         duties: list[Any] = [await curio.spawn(c.routines.duty, r, daemon=True) for r in c.duties()]
         duties += [
-            await curio.spawn(c.routines.duty, c.heartbeats.keep_peers, peer, daemon=True)
+            await curio.spawn(c.routines.duty, c.heartbeats.exchange_heartbeats, peer, daemon=True)
             for peer in c.peers.values()
         ]
         duties += [
