--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -101,8 +101,13 @@
         self._build_clients()
         self._build_state()
         self._build_machine_routines()
-        self._build_job_routines()
-        self._build_membership_routines()
+        self._build_replica()
+        self._build_placement()
+        self._build_dispatch()
+        self._build_scaling()
+        self._build_user_api()
+        self._build_membership()
+        self._build_peer_requests()
         self._connect()
         if rebuild:
             self.rebuild.enable(snapshots, second_copy)
@@ -209,6 +214,13 @@
 
     def _build_replica(self) -> None:
         """The replica of the records, and what follows from their changes."""
+        self.disclosure = CancellationDisclosure(
+            membership=self.membership,
+            peers=self.peers,
+            promises=self.promises,
+            routines=self.routines,
+            cancel_s=self.settings.cluster.workers.cancel_s,
+        )
         self.progress = ReadProgress(self.watermark)
         self.versions = VersionTracker(
             jobs=self.jobs,
@@ -255,16 +267,8 @@
             versions=self.versions,
         )
 
-    def _build_job_routines(self) -> None:
-        """The replica of the records, placement, dispatch, scaling and the users' API."""
-        self.disclosure = CancellationDisclosure(
-            membership=self.membership,
-            peers=self.peers,
-            promises=self.promises,
-            routines=self.routines,
-            cancel_s=self.settings.cluster.workers.cancel_s,
-        )
-        self._build_replica()
+    def _build_placement(self) -> None:
+        """The placer of waiting tasks."""
         self.placer = Placer(
             cached_state=self.cached_state,
             catalogue=self.catalogue,
@@ -282,6 +286,9 @@
             upgrade=self.upgrade,
             view=self.view,
         )
+
+    def _build_dispatch(self) -> None:
+        """The routines of the jobs that this controller leads."""
         self.owner_requests = OwnerRequests(
             fleet=self.fleet,
             machines=self.machines,
@@ -320,6 +327,9 @@
             upgrade=self.upgrade,
             view=self.view,
         )
+
+    def _build_scaling(self) -> None:
+        """Renting and returning machines."""
         self.provisioner = Provisioner(
             arrivals=self.arrivals,
             cached_state=self.cached_state,
@@ -337,6 +347,9 @@
             stalls=self.stalls,
             view=self.view,
         )
+
+    def _build_user_api(self) -> None:
+        """Requests of users."""
         self.user_api = UserApi(
             catalogue=self.catalogue,
             disclosure=self.disclosure,
@@ -358,8 +371,8 @@
             upgrade=self.upgrade,
         )
 
-    def _build_membership_routines(self) -> None:
-        """Heartbeats, registration, failover, and what peers are answered."""
+    def _build_membership(self) -> None:
+        """Heartbeats, registration and failover."""
         self.heartbeats = Heartbeats(
             cached_state=self.cached_state,
             disclosure=self.disclosure,
@@ -410,6 +423,9 @@
             rebuild=self.rebuild,
             routines=self.routines,
         )
+
+    def _build_peer_requests(self) -> None:
+        """Requests of other controllers."""
         self.peer_requests = PeerRequests(
             cached_state=self.cached_state,
             dispatcher=self.dispatcher,
