--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from . import known_red
+from tests import known_red
 
 FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
--- a/tests/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -20,9 +20,8 @@
 from clayport.scheduling.postponement import GATHER_SHARE
 from clayport.scheduling.scheduling_pass import SchedulingPass
 from clayport.settings import parse
-
-from .world import TYPES
-from .world import job as wire_job
+from tests.world import TYPES
+from tests.world import job as wire_job
 
 SMALL, PAIR, LOW = (
     msgspec.convert(wire_job(n, **fields), Job)
@@ -38,7 +37,7 @@
     """One controller that is home and owner of everything, in time that stands still."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        from .test_program import GOOD
+        from tests.test_program import GOOD
 
         self.now = 1000.0
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
@@ -205,7 +204,7 @@
     busy: list[str], claimed: list[str]
 ) -> None:
     """Gangs of two had one task after another stopped and started nowhere."""
-    from .test_placement import ACCEL, room
+    from tests.scheduling.test_placement import ACCEL, room
 
     rooms = [room("m1", ACCEL), room("m2", ACCEL), room("m3", ACCEL, zone="south")]
     for each in rooms:
--- a/tests/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -16,8 +16,7 @@
 from clayport.model import MAX_TASKS, Job
 from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.keys import chunk_key, end_key, live_key
-
-from .world import job as wire_job
+from tests.world import job as wire_job
 
 
 def home(**fields: Any) -> ManagedJob:
--- a/tests/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -22,9 +22,8 @@
 from clayport.scheduling.dependencies import DependencyGraph
 from clayport.settings import ConfigError, parse
 from clayport.transport import frames
-
-from .test_dispatch import Home
-from .world import SETTINGS, Clock, World, job, simulate
+from tests.jobs.test_dispatch import Home
+from tests.world import SETTINGS, Clock, World, job, simulate
 
 
 def made(number: int, *needs: int, **fields: Any) -> Job:
--- a/tests/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -19,8 +19,7 @@
     RetryPolicy,
 )
 from clayport.limits.inflight import DECREASE_FACTOR
-
-from .world import Clock, simulate
+from tests.world import Clock, simulate
 
 
 def retries(budget: RetryBudget, seed: int = 1) -> RetryPolicy:
--- a/tests/test_fencing.py
+++ b/tests/machines/test_fencing.py
@@ -11,8 +11,7 @@
 from clayport.machines.silence import SilenceWatch
 from clayport.scaling.cloud import CloudError
 from clayport.transport.peers import PeerError
-
-from .world import Clock, simulate
+from tests.world import Clock, simulate
 
 
 class Core:
--- a/tests/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -12,9 +12,8 @@
 from clayport.membership.isolation import should_leave
 from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
-
-from .world import TYPES
-from .world import job as wire_job
+from tests.world import TYPES
+from tests.world import job as wire_job
 
 JOB = msgspec.convert(wire_job(1, pieces=9), Job)
 KEY = ("j-000001/0", 1)
--- a/tests/test_merge.py
+++ b/tests/rebuild/test_merge.py
@@ -15,8 +15,7 @@
 from clayport.records.chunk import Chunk
 from clayport.records.keys import chunk_key, parse_chunk_key
 from clayport.records.values import end_value
-
-from .world import job as wire_job
+from tests.world import job as wire_job
 
 LABELS = ["c0", "c1", "c2"]
 JOBS = [wire_job(n, pieces=4, owner="tight", cards=1.0) for n in range(4)]
--- a/tests/test_rebuild.py
+++ b/tests/rebuild/test_rebuild.py
@@ -11,8 +11,8 @@
 import curio
 import pytest
 
-from .test_model import JOBS, JOBS_A_DAY, until_over, work
-from .world import Clock, World, job, simulate
+from tests.system.test_model import JOBS, JOBS_A_DAY, until_over, work
+from tests.world import Clock, World, job, simulate
 
 Loss = Callable[[World], Any]
 
--- a/tests/test_snapshots.py
+++ b/tests/rebuild/test_snapshots.py
@@ -29,9 +29,8 @@
     check_allowed,
 )
 from clayport.records.store import StateStore
-
-from .test_model import JOBS
-from .world import Clock, World, job, simulate
+from tests.system.test_model import JOBS
+from tests.world import Clock, World, job, simulate
 
 LABELS = ["c0", "c1"]
 RECORDS = {f"c/live/j-{n:06d}": ({"j": {"id": n}, "t": 1.5 * n}, n + 1) for n in range(40)}
--- a/tests/test_stored_data.py
+++ b/tests/records/test_stored_data.py
@@ -35,10 +35,9 @@
 from clayport.records import values as record_values
 from clayport.records.chunk import Chunk
 from clayport.transport import frames
+from tests.world import Clock, World, simulate
 
-from .world import Clock, World, simulate
-
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parents[1] / "data"
 
 
 def load(name: str) -> Any:
--- a/tests/test_index.py
+++ b/tests/scheduling/test_index.py
@@ -18,10 +18,9 @@
 from clayport.scheduling.preemption import preempt
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
-
-from . import plain
-from .world import TYPES, ZONES
-from .world import job as wire_job
+from tests import plain
+from tests.world import TYPES, ZONES
+from tests.world import job as wire_job
 
 KINDS = msgspec.convert(TYPES, list[MachineType])
 BY_NAME = {k.name: k for k in KINDS}
--- a/tests/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -17,9 +17,8 @@
 from clayport.scheduling.preemption import preempt
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
-
-from .world import TYPES
-from .world import job as wire_job
+from tests.world import TYPES
+from tests.world import job as wire_job
 
 KINDS = msgspec.convert(TYPES, list[MachineType])
 PLAIN, ACCEL = KINDS
--- a/tests/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -18,9 +18,8 @@
 from clayport.scheduling.queueing.queue import IN_TIME, LATE, LATE_STEP, STARTS_LATE
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
-
-from .test_dispatch import Home
-from .world import job as wire_job
+from tests.jobs.test_dispatch import Home
+from tests.world import job as wire_job
 
 
 def made(number: int, **fields: Any) -> Job:
--- a/tests/test_answers.py
+++ b/tests/system/test_answers.py
@@ -7,10 +7,10 @@
 import curio
 import pytest
 
-from .test_meetings import Scene, cut_leader, held_up, late_writes, there_and_back
-from .test_model import until_over, work
-from .test_restarts import again
-from .world import Clock, World, simulate
+from tests.system.test_meetings import Scene, cut_leader, held_up, late_writes, there_and_back
+from tests.system.test_model import until_over, work
+from tests.system.test_restarts import again
+from tests.world import Clock, World, simulate
 
 OUTAGE_S = 12.0
 # From a little before a job's last task ends until its final record has been written.
--- a/tests/test_faults.py
+++ b/tests/system/test_faults.py
@@ -31,11 +31,10 @@
 from clayport.scaling.provisioning import plan_rentals
 from clayport.scheduling.policy import NO_POLICY
 from clayport.scheduling.queueing.shares import FairShare
-
-from .test_dispatch import Home
-from .test_workers import JOB, KEY, Bench
-from .world import TYPES, Clock, simulate
-from .world import job as wire_job
+from tests.jobs.test_dispatch import Home
+from tests.machines.test_workers import JOB, KEY, Bench
+from tests.world import TYPES, Clock, simulate
+from tests.world import job as wire_job
 
 
 def made(number: int, **fields: Any) -> Job:
--- a/tests/test_meetings.py
+++ b/tests/system/test_meetings.py
@@ -10,11 +10,10 @@
 import pytest
 
 from clayport.machines.machine import SENT
-
-from .test_model import JOBS_A_DAY, until_over, work
-from .test_restarts import again
-from .troubles import CANCEL_S, LEASE_S, LONG_S, busiest, last_missed_s
-from .world import Clock, World, job, simulate
+from tests.system.test_model import JOBS_A_DAY, until_over, work
+from tests.system.test_restarts import again
+from tests.troubles import CANCEL_S, LEASE_S, LONG_S, busiest, last_missed_s
+from tests.world import Clock, World, job, simulate
 
 KINDS: dict[str, dict[str, Any]] = {
     "sweep": {"pieces": 3},
--- a/tests/test_meetings_page.py
+++ b/tests/system/test_meetings_page.py
@@ -10,9 +10,9 @@
 import curio
 import pytest
 
-from .test_model import work
-from .test_restarts import again
-from .troubles import (
+from tests.system.test_model import work
+from tests.system.test_restarts import again
+from tests.troubles import (
     CANCEL_S,
     FIRST_EXTRA,
     LEASE_S,
@@ -29,7 +29,7 @@
     until_finished,
     watch_waiting,
 )
-from .world import ZONES, Clock, World, job, simulate
+from tests.world import ZONES, Clock, World, job, simulate
 
 Scene = Callable[[World], Coroutine[Any, Any, None]]
 
--- a/tests/test_model.py
+++ b/tests/system/test_model.py
@@ -12,8 +12,7 @@
 import pytest
 
 from clayport.transport import frames
-
-from .world import SETTINGS, ZONES, Clock, World, job, simulate
+from tests.world import SETTINGS, ZONES, Clock, World, job, simulate
 
 JOBS: list[tuple[dict[str, Any], float]] = [
     ({"pieces": 6}, 6.0),
--- a/tests/test_orders_of_events.py
+++ b/tests/system/test_orders_of_events.py
@@ -5,9 +5,9 @@
 import curio
 import pytest
 
-from .test_meetings import fill, launching
-from .troubles import CANCEL_S, LEASE_S, busiest, calm, last_missed_s, long_jobs
-from .world import Clock, World, simulate
+from tests.system.test_meetings import fill, launching
+from tests.troubles import CANCEL_S, LEASE_S, busiest, calm, last_missed_s, long_jobs
+from tests.world import Clock, World, simulate
 
 
 async def launch_outlives_its_sender(clock: Clock, arrives_s: float) -> World:
--- a/tests/test_requests.py
+++ b/tests/system/test_requests.py
@@ -12,9 +12,8 @@
 from clayport.jobs import eligibility
 from clayport.model import Job
 from clayport.records.keys import live_key
-
-from .test_program import api
-from .world import TYPES, job
+from tests.test_program import api
+from tests.world import TYPES, job
 
 RAW = json.dumps(job(1))
 DEEP = "[" * 40_000 + "]" * 40_000
--- a/tests/test_restarts.py
+++ b/tests/system/test_restarts.py
@@ -11,9 +11,8 @@
 
 from clayport.membership.epoch import Epoch, may_propose, successor
 from clayport.membership.flap_damping import FlapDamping
-
-from .test_model import JOBS, JOBS_A_DAY, held, until_over
-from .world import Clock, World, job, simulate
+from tests.system.test_model import JOBS, JOBS_A_DAY, held, until_over
+from tests.world import Clock, World, job, simulate
 
 QUICK_S = (0.05, 0.5)
 Scene = Callable[[World], Coroutine[Any, Any, None]]
--- a/tests/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -11,9 +11,8 @@
 from clayport.model import Job
 from clayport.scaling.arrivals import Arrivals
 from clayport.transport import frames
-
-from .test_dispatch import Home
-from .world import job as wire_job
+from tests.jobs.test_dispatch import Home
+from tests.world import job as wire_job
 
 MACHINES = 3 * 639
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,8 +18,7 @@
 from clayport.settings import ConfigError, parse
 from clayport.transport import frames, http
 from clayport.user_api import UserApi
-
-from .world import SETTINGS, TYPES, ZONES, State, World, job
+from tests.world import SETTINGS, TYPES, ZONES, State, World, job
 
 ROOT = Path(__file__).parent.parent
 GOOD: dict[str, Any] = {
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -24,9 +24,8 @@
 import pytest
 
 from clayport.transport import http as ours
-
-from .test_program import GOOD
-from .world import State, World
+from tests.test_program import GOOD
+from tests.world import State, World
 
 # Ports that were free a moment ago are used: by one process of the run at a time.
 LOOPBACK = pytest.mark.xdist_group("loopback")
--- a/tests/test_peer_requests.py
+++ b/tests/transport/test_peer_requests.py
@@ -14,8 +14,7 @@
 from clayport.peer_requests import HANDLERS
 from clayport.settings import parse
 from clayport.transport import frames
-
-from .test_program import GOOD
+from tests.test_program import GOOD
 
 ANSWERS = {
     frames.PONG,
--- a/tests/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -9,8 +9,7 @@
 import pytest
 
 from clayport.transport import frames, peers
-
-from .world import Clock, simulate
+from tests.world import Clock, simulate
 
 FRAME = frames.encode(frames.PING, 1, ("c1", 1, True, 1, []))
 
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -7,8 +7,8 @@
 
 import curio
 
-from .test_restarts import again
-from .world import SETTINGS, TYPES, ZONES, Worker, World, job
+from tests.system.test_restarts import again
+from tests.world import SETTINGS, TYPES, ZONES, Worker, World, job
 
 CANCEL_S = SETTINGS["workers"]["cancel_s"]
 LEASE_S = SETTINGS["workers"]["lease_s"]
