--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -1,4 +1,4 @@
-"""A job at its home, the controller that schedules it: the state of its tasks, and events.
+"""A job at its leader, the controller that schedules it: the state of its tasks, and events.
 
 State only, without I/O: `jobs.dispatcher` sends what this decides, and `jobs.transactions` builds
 the commits.
@@ -26,7 +26,7 @@
 
 
 class ManagedJob(CommittedTasks):
-    """A job at its home.
+    """A job at its leader.
 
     Args:
         job: The job's description.
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -30,7 +30,7 @@
     """Finds a job's state, and describes it in the bodies of answers to users.
 
     Attributes:
-        counts_timeout_s: How long a job's home is waited for when it is asked for counts.
+        counts_timeout_s: How long a job's leader is waited for when it is asked for counts.
     """
 
     def __init__(
@@ -129,9 +129,9 @@
         if counts is None and leader in self.peers and self.membership.is_member:
             counts = await self._ask_counts(self.peers[leader], job)
         if job in self.jobs.ended:
-            # It ended while the home was asked: that has been told to somebody by now.
+            # It ended while the leader was asked: that has been told to somebody by now.
             return await self.describe(job, self.jobs.ended[job], deadline)
-        # For display only: a home out of reach must not cost the user its answer.
+        # For display only: a leader out of reach must not cost the user its answer.
         done, running = counts or (0, 0)
         return {
             "id": job,
@@ -141,7 +141,7 @@
         }
 
     async def _ask_counts(self, home: Peer, job: str) -> tuple[int, int] | None:
-        """Ask the job's home for its tasks done and running; None if it doesn't tell."""
+        """Ask the job's leader for its tasks done and running; None if it doesn't tell."""
         try:
             ok, done, running = await home.call(
                 frames.COUNTS, (self.membership.epoch.number, job), self.counts_timeout_s
--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -1,4 +1,4 @@
-"""The transactions by which a job's home commits starts, outcomes and changes of layout.
+"""The transactions by which a job's leader commits starts, outcomes and changes of layout.
 
 They are only built here; `jobs.commits` sends them. Each is conditional on the record of the
 epoch and on the revision of every chunk that it changes, so that it fails where another controller
--- a/clayport/jobs/verdicts.py
+++ b/clayport/jobs/verdicts.py
@@ -1,4 +1,4 @@
-"""What a job's home answers to an owner that tells it about a task."""
+"""What a job's leader answers to an owner that tells it about a task."""
 
 from __future__ import annotations
 
--- a/clayport/membership/epoch.py
+++ b/clayport/membership/epoch.py
@@ -1,4 +1,4 @@
-"""Epochs: numbered member lists, which also say who is home to a job and who owns a machine.
+"""Epochs: numbered member lists, which also say who leads a job and who owns a machine.
 
 One record holds the epoch, and every commit that assigns or ends work is conditional on its
 revision. Safety does not depend on what a controller believes: one that is no longer a member
@@ -56,7 +56,7 @@
         return self.number << TOKEN_COUNTER_BITS
 
     def member_for(self, key: str) -> str:
-        """Return the member that a job (its home) or a machine (its owner) belongs to.
+        """Return the member that a job (its leader) or a machine (its owner) belongs to.
 
         Args:
             key: The id of the job, or the name of the machine.
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -137,7 +137,7 @@
                 await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
             except ConflictError as exc:
-                # Written by a process before this one: the mirror has not been read yet.
+                # Written by a process before this one: the replica has not been read yet.
                 if node_key in exc.failed:
                     entry = await self.store.get(node_key, allow_in_doubt=True)
                     node_rev = entry.rev if entry is not None else 0
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -189,7 +189,7 @@
         status, value = self.fleet.own_report(report, now)
         return frames.REPORTED, (status, msgspec.json.encode(value))
 
-    # -- requests to the home of a job -----------------------------------
+    # -- requests to the leader of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
         """COUNTS: how many tasks of a job are done and how many run."""
--- a/clayport/rebuild/chunk_merge.py
+++ b/clayport/rebuild/chunk_merge.py
@@ -96,7 +96,7 @@
 
 
 def _chunks_by_job(rows: Iterable[tuple[str, Any]], first_size: int) -> dict[str, Chunks]:
-    """Read chunks as the home of their job would read them."""
+    """Read chunks as the leader of their job would read them."""
     raw: dict[str, dict[tuple[int, int], Chunk]] = {}
     keys: dict[str, set[str]] = {}
     for key, value in rows:
@@ -114,7 +114,7 @@
 def merge_chunks(name: str, sources: ChunkSources, first_size: int, has_ended: bool) -> Chunks:
     """Merge a job's chunks from all sources.
 
-    What machines list counts only where the job's home has given no evidence.
+    What machines list counts only where the job's leader has given no evidence.
 
     Args:
         name: The job.
@@ -163,7 +163,7 @@
 def _add_stored(
     chunks: dict[int, Chunk], size: int, stored: Chunks, layout: int, has_ended: bool
 ) -> None:
-    """Add to the home's chunks what the state service has of them."""
+    """Add to the leader's chunks what the state service has of them."""
     for chunk in stored.chunks.values():
         for number in chunk.done:
             mine = _chunk_with(chunks, size, number)
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -15,8 +15,8 @@
 class Evidence(msgspec.Struct, rename={"epoch": "generation"}):
     """One controller's word, from when it had come to stand still.
 
-    Its homes' chunks are complete if it had taken over its share of its epoch
-    (`loaded`): a machine and attempt are known to the home before anything is launched.
+    Its leaders' chunks are complete if it had taken over its share of its epoch
+    (`loaded`): a machine and attempt are known to the leader before anything is launched.
     """
 
     label: str
@@ -27,7 +27,7 @@
     live: dict[str, tuple[Any, float]] = {}  # description, time of day of the submission
     # status, time of day (0: not known), description (None: not known)
     ended: dict[str, tuple[str, float, Any]] = {}
-    chunks: dict[str, Any] = {}  # key: value, of the jobs at home there
+    chunks: dict[str, Any] = {}  # key: value, of the jobs led there
     versions: dict[str, int] = {}
     classes: dict[str, Any] = {}
     machines: dict[str, str] = {}  # name: address
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -1,16 +1,16 @@
 """Merge the evidence of controllers and machines into the records that have to be written.
 
-Pure: no I/O, no clock. The home of a job is the controller that manages it in the last epoch
+Pure: no I/O, no clock. The leader of a job is the controller that manages it in the last epoch
 (by rendezvous hashing over the members). The rules, each with its reason:
 
 - An end beats a live record: final records never change, and a user has been told.
 - A live record that anybody has seen is restored: its user has been answered 201.
 - A task is done if any source says so: that source has seen its result.
-- The home's evidence decides on the job's tasks, if the home is there: no machine is told
-  to start anything before the home knows of it. A task that is free for the home and
+- The leader's evidence decides on the job's tasks, if the leader is there: no machine is told
+  to start anything before the leader knows of it. A task that is free for the leader and
   assigned in the state service stays assigned until its machine has reported: it may be a
   commit whose answer was lost.
-- Where the home is not there, each task that a machine lists is assigned to it, if its record
+- Where the leader is not there, each task that a machine lists is assigned to it, if its record
   names no other machine that lists it: it runs there.
 - Attempts are never below the highest that was seen anywhere.
 - A quota is the sum of what is assigned after the merge, no less.
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -1,4 +1,4 @@
-"""The jobs that wait at a home, in the order in which they are to be looked at.
+"""The jobs that wait at a leader, in the order in which they are to be looked at.
 
 A pass of the placer must not cost more with more waiting jobs: on a flooded fleet thousands
 wait, and hardly any of them finds room. So nothing here walks all of them. A change of a job is
@@ -103,10 +103,10 @@
 
 
 class JobQueue:
-    """All waiting jobs of a home.
+    """All waiting jobs of a leader.
 
     Args:
-        managed_jobs: Returns the home's jobs by id.
+        managed_jobs: Returns the leader's jobs by id.
         finish_limits: By class, the times in seconds within which jobs should be done.
         wait_limits: By class, the time in seconds within which jobs should start.
         shares: The accounts, which are told of each change.
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -7,8 +7,8 @@
 work be run; the rest stays with the order of ranks. Whoever holds less than it is owed goes
 before the others, and isn't stopped for them; nobody is stopped for it.
 
-The accounts are those of one home. Jobs are spread over homes by a hash of their ids, so
-each home has a fair sample, and needs nobody's word.
+The accounts are those of one leader. Jobs are spread over leaders by a hash of their ids, so
+each leader has a fair sample, and needs nobody's word.
 """
 
 from __future__ import annotations
