--- a/clayport/jobs/commits.py
+++ b/clayport/jobs/commits.py
@@ -1,4 +1,4 @@
-"""Committing the transactions of jobs under the epoch that the jobs were loaded under."""
+"""Commits the transactions of jobs, fenced by the epoch under which each job was loaded."""
 
 from __future__ import annotations
 
@@ -24,42 +24,44 @@
         self.store = store
 
     def fence(self, managed: ManagedJob) -> int:
-        """The condition of the job's commits: the epoch that it was loaded under.
+        """Return the fencing token of the job's commits: the revision of its epoch's record.
 
-        Not whichever holds now. The routine of the epoch before, delayed by a peer
-        that had crashed, once went on under the next one beside its successor; both used
-        the same attempt number, and tasks ran twice.
+        The epoch is the one that the job was loaded under, not the current one. Otherwise a
+        routine of an earlier epoch that is delayed by a crashed peer would go on committing
+        beside its successor, both with the same attempt number, and tasks would run twice.
 
         Raises:
-            EpochEndedError: That epoch has ended.
+            EpochEndedError: The epoch that the job was loaded under has ended.
         """
         if not self.membership.serving or self.membership.epoch.number != managed.epoch:
             raise EpochEndedError
         return self.membership.epoch.rev
 
     async def commit(self, txn: Txn, fence: int, priority_s: float = 0.0) -> int:
-        """Commit until the outcome is certain.
+        """Send a transaction until its outcome is certain.
 
-        An unanswered transaction may still be applied: it is sent again until
-        an answer tells, since either copy makes the other fail. One that has become too
-        large meanwhile will never tell: what holds now has to be read.
+        An unanswered transaction may still be applied, so it is sent again until there is an
+        answer. At most one copy is applied, because each copy invalidates the conditions of the
+        other. If the limits shrink meanwhile and the repeated copy is refused as too large, the
+        outcome of the first one stays unknown, and the caller has to read the records.
 
         Args:
             txn: The transaction.
             fence: The revision of the record of the epoch.
-            priority_s: How far it goes ahead of others that wait for the state service, in
-                seconds.
+            priority_s: By how many seconds the transaction is advanced in the queue for the
+                state service.
 
         Returns:
-            The revision that it was committed at.
+            The revision of the commit.
 
         Raises:
-            ConflictError: A condition doesn't hold, or the outcome can't be learnt this way.
+            ConflictError: A condition doesn't hold, or the outcome can't be determined by
+                sending the transaction again.
             EpochEndedError: The epoch has ended.
-            TransactionTooLargeError: It is too large, and was not applied.
-            UnavailableError: It was never sent.
+            TransactionTooLargeError: The transaction is too large, and was not applied.
+            UnavailableError: The transaction was never sent.
         """
-        unsure = False
+        may_be_applied = False
         attempt = self.store.begin()
         while True:
             if self.membership.epoch.rev != fence:
@@ -67,12 +69,12 @@
             try:
                 return await self.store.commit(txn, priority_s=priority_s)
             except OutcomeUnknownError:
-                unsure = True
+                may_be_applied = True
             except TransactionTooLargeError:
-                if unsure:
+                if may_be_applied:
                     raise ConflictError([k for k in txn.when if k != EPOCH_KEY]) from None
                 raise
             except UnavailableError:
-                if not unsure:
+                if not may_be_applied:
                     raise
             await self.store.back_off(attempt)
--- a/clayport/jobs/committed_tasks.py
+++ b/clayport/jobs/committed_tasks.py
@@ -1,4 +1,4 @@
-"""What is committed of a job's tasks, in the layout of its chunks."""
+"""The committed assignments and outcomes of a job's tasks, as recorded in its chunks."""
 
 from __future__ import annotations
 
@@ -15,42 +15,41 @@
 class CommittedTasks:
     """The committed assignments and outcomes of a job's tasks.
 
-    They are recorded in chunks of equal numbers of consecutive tasks. When the state service
-    comes to accept less in a value than it did, the job goes over to narrower chunks: first in
-    memory (`split_chunks`), then in the records, one transaction after the other
-    (`transactions.split_txn`). Until the last of the wider chunks has been deleted, these hold
-    the truth, and nothing else of the job may be committed.
+    A chunk records a fixed number of consecutive tasks. When the state service lowers its limit
+    on the size of a value, the job is migrated to narrower chunks: first in memory
+    (`split_chunks`), then in the records, over several transactions (`transactions.split_txn`).
+    Until the last wider chunk has been deleted, the wider chunks are authoritative, and nothing
+    else of the job may be committed.
 
     Args:
         job: The job's description.
-        size: How many tasks a chunk holds, where the records do not tell.
+        size: How many tasks a chunk holds if the keys of the job's chunks do not say.
     """
 
     def __init__(self, job: Job, size: int) -> None:
         self.job, self.chunk_size = job, size
         self.default_size = size
         self.chunks: dict[int, Chunk] = {}
-        # The chunk size that is part of the chunks' keys. The keys of the first versions had
-        # none: for these it is 0.
+        # The chunk size in the chunks' keys; 0 for keys without one, as early versions wrote.
         self.layout = 0
-        # Keys and revisions of wider chunks that are still recorded.
+        # The wider chunks that are still recorded: their keys and revisions.
         self.wider_chunks: dict[str, int] = {}
-        # The highest attempt number in use, and how many tasks are done and assigned.
+        # The highest attempt number used so far, and the counts of done and assigned tasks.
         self.attempt = 0
         self.done = 0
         self.assigned = 0
 
     def load(self, chunks: dict[int, Chunk]) -> None:
-        """Take over what is committed in one layout, as chunks by index."""
+        """Replace the chunks, given by index, with those recorded in one layout."""
         self.chunks = chunks
         self.attempt = max([self.attempt, *(c.last_attempt for c in chunks.values())])
         self.recount()
 
     def load_all(self, found: dict[tuple[int, int], Chunk]) -> None:
-        """Take over what is committed, in whichever layouts it is.
+        """Replace the chunks with the recorded ones, which may be in several layouts.
 
-        Narrower chunks beside wider ones are drafts of a split that has not been completed: the
-        wider ones hold the truth, and the split goes on before anything else.
+        Chunks of several sizes mean that a split was interrupted. The wider chunks are
+        authoritative, and the split has to be completed before any other commit of the job.
 
         Args:
             found: All recorded chunks, by layout and index.
@@ -81,15 +80,16 @@
 
     @staticmethod
     def _split_chunk(wider: Chunk, span: range, chunks: dict[int, Chunk], size: int) -> None:
-        """Put what a wider chunk says of its tasks into narrower ones.
+        """Copy the state of a wider chunk's tasks into narrower chunks.
 
         Args:
-            wider: The chunk that holds the truth.
-            span: The numbers of its tasks.
+            wider: The wider chunk, which is authoritative.
+            span: The numbers of the wider chunk's tasks.
             chunks: The narrower chunks by index; changed in place.
-            size: How many tasks each of them holds.
+            size: How many tasks a narrower chunk holds.
         """
-        # Even an empty chunk has to leave one behind: attempt numbers must never fall.
+        # An empty chunk also leaves a narrower one, because its last attempt number must be
+        # kept: attempt numbers are never used again.
         chunks.setdefault(span.start // size, Chunk())
         for index in range(span.start // size, (span.stop - 1) // size + 1):
             chunk = chunks.get(index)
@@ -108,10 +108,10 @@
                 chunks[index].assigned[number] = wider.assigned[number]
 
     def split_chunks(self, size: int) -> bool:
-        """Go over to chunks of `size` tasks, where the present ones hold more.
+        """Split the chunks in memory if they hold more than `size` tasks.
 
-        In memory at once; the records have to follow (`transactions.split_txn`) before anything
-        else of the job is committed.
+        The records have to be split too (`transactions.split_txn`) before anything else of the
+        job is committed.
 
         Returns:
             Whether any wider chunk is still recorded.
@@ -130,11 +130,11 @@
         return bool(self.wider_chunks)
 
     def key(self, index: int) -> str:
-        """The key under which a chunk is recorded."""
+        """Return the key of the record of a chunk."""
         return chunk_key(self.job.id, index, self.layout)
 
     def recount(self) -> None:
-        """Derive anew what follows from the chunks."""
+        """Recompute everything that is derived from the chunks."""
         self._count()
 
     def _count(self) -> None:
@@ -142,10 +142,10 @@
         self.assigned = sum(len(c.assigned) for c in self.chunks.values())
 
     def apply_commit(self, chunks: dict[int, Chunk], rev: int) -> None:
-        """Take over the chunks that a transaction has changed.
+        """Replace the chunks that a committed transaction has changed.
 
         Args:
-            chunks: The chunks by index, as they were written.
+            chunks: The written chunks by index.
             rev: The revision of the commit.
         """
         for index, chunk in chunks.items():
@@ -154,10 +154,10 @@
         self._count()
 
     def assignment(self, number: int) -> tuple[int, str] | None:
-        """The committed attempt and machine of a task; None if it is not assigned."""
+        """Return the committed attempt and machine of a task, or None if it is not assigned."""
         chunk = self.chunks.get(number // self.chunk_size)
         return chunk.assigned.get(number) if chunk else None
 
     def assignments(self) -> list[Assignment]:
-        """(task, attempt, machine) of everything that may be on a machine."""
+        """Return the assignments of all tasks that may be on a machine."""
         return [(n, a, m) for c in self.chunks.values() for n, (a, m) in c.assigned.items()]
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -1,7 +1,7 @@
-"""The routine of each job that this controller leads.
+"""The routine that leads one job: it commits the job's starts, its outcomes and its end.
 
-It commits starts, outcomes and the end of the job, and keeps at what is left to do until the epoch
-ends: `jobs.transactions` builds what it commits, `jobs.owner_requests` asks the owners of machines.
+The routine runs until the epoch ends. `jobs.transactions` builds the transactions, and
+`jobs.owner_requests` sends requests to the owners of machines.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 
 log = logging.getLogger(__name__)
 
-# The share of a report's interval for which done tasks wait for others of their array.
+# How long the outcomes of an array's done tasks are batched, as a share of the report interval.
 OUTCOME_BATCH_SHARE = 0.2
 
-# The longest that a routine with nothing to do waits, and the time after which it asks for tasks
-# that nobody has reported, in lifetimes of a controller's lease.
-IDLE_LEASES = 4
+# The longest wait of an idle routine, and the interval of its checks for tasks that no owner has
+# reported, in lifetimes of a controller's lease.
+MAX_IDLE_LEASES = 4
 
 # The shortest wait for more outcomes, in seconds.
 MIN_WAIT_S = 0.001
 
 
 class Dispatcher:
-    """Leads jobs: one routine for each, for as long as an epoch lasts."""
+    """Leads jobs, with one routine for each job and epoch."""
 
     def __init__(
         self,
@@ -90,21 +90,25 @@
 
     @property
     def start_chunks(self) -> int:
-        """Chunks that a transaction of starts may change, beside the quota."""
+        """The most chunks that a transaction of starts may change beside the quota's record."""
         ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(3, ops - 1))
 
     @property
-    def outcome_chunks(self) -> int:
-        """The same for outcomes: also the quota, the live and the final record."""
+    def max_outcome_chunks(self) -> int:
+        """The most chunks that a transaction of outcomes may change.
+
+        Such a transaction may also write the quota's record, the live record and the final
+        record.
+        """
         ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(2, ops - 3))
 
     async def drive(self, managed: ManagedJob) -> None:
-        """The routine of one job, for as long as this epoch lasts."""
-        # A name of this epoch's own: the previous routine of the same job may
-        # end later, and must neither take our signals nor remove what we wait for
-        # (a cancelled job's kill was once never sent because of that).
+        """Lead one job until the current epoch ends."""
+        # The signal's name contains the epoch, because the routine of an earlier epoch may still
+        # be running. With a shared name it could consume this routine's signals or remove its
+        # event, and the kills of a cancelled job would never be sent.
         name = managed.name
         epoch = self.membership.epoch
         attempt = self.store.begin()
@@ -120,30 +124,30 @@
                     await self.store.back_off(attempt)
                     continue
                 except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
-                    # A malformed value of the state service: the job waits, and tries
+                    # A value in the state service is malformed: the job waits, and tries
                     # again, instead of losing its routine for this epoch.
                     log.error("job=%s event=malformed cause=%r", managed.job.id, exc)
                     await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s))
                     continue
-                if managed.closed:
+                if managed.cleaned_up:
                     self.jobs.managed.pop(managed.job.id, None)
                     self.queue.touch(managed.job.id)
                     self.jobs.ended_descriptions.pop(managed.job.id, None)
                     return
                 await self.routines.flush()
-                patience_s = (
+                idle_wait_s = (
                     self.membership.lease_ttl_s
                     if managed.ended or managed.attempt_failed
-                    else IDLE_LEASES * self.membership.lease_ttl_s
+                    else MAX_IDLE_LEASES * self.membership.lease_ttl_s
                 )
                 if managed.batch_outcomes_until and managed.outcomes:
-                    patience_s = max(MIN_WAIT_S, managed.batch_outcomes_until - time.monotonic())
-                await self.routines.wait(name, patience_s)
+                    idle_wait_s = max(MIN_WAIT_S, managed.batch_outcomes_until - time.monotonic())
+                await self.routines.wait(name, idle_wait_s)
                 unreported = managed.find_unreported(
-                    time.monotonic(), IDLE_LEASES * self.membership.lease_ttl_s
+                    time.monotonic(), MAX_IDLE_LEASES * self.membership.lease_ttl_s
                 )
                 if unreported:
-                    # Of what nobody says anything, the owner may have lost track.
+                    # The owner may have lost these tasks, so it is asked to adopt them again.
                     log.info(
                         "job=%s event=tasks-unreported tasks=%d", managed.job.id, len(unreported)
                     )
@@ -154,10 +158,10 @@
             self.routines.events.pop(name, None)
 
     async def _step(self, managed: ManagedJob) -> bool:
-        """Do one thing that is due, and have the queue catch up with whatever it changed.
+        """Do the next due action, then update the job's entry in the queue.
 
         Returns:
-            Whether there may be more to do; False when nothing was due.
+            Whether there may be more to do; False if nothing was due.
         """
         try:
             return await self._do_next(managed)
@@ -166,7 +170,7 @@
                 self.queue.touch(managed.job.id)
 
     async def _do_next(self, managed: ManagedJob) -> bool:
-        """Do the first thing that is due, as `_step`."""
+        """Do the first due action in order of precedence, and return the result of `_step`."""
         if (
             self.upgrade.complete and managed.split_chunks(self.upgrade.chunk_size)
         ) or managed.wider_chunks:
@@ -186,11 +190,11 @@
             await self._stop_due(managed, now)
         if managed.ended and not managed.assigned:
             await self.records.delete_chunks(managed)
-            managed.closed = True
+            managed.cleaned_up = True
         return False
 
     async def _start_placed(self, managed: ManagedJob) -> None:
-        """Start what the placer has chosen machines for; what isn't started waits again."""
+        """Start the tasks that the placer has chosen machines for, and requeue the others."""
         starts, managed.starts = managed.starts, []
         try:
             await self._start(managed, starts)
@@ -202,7 +206,7 @@
         self.routines.signal("place")
 
     async def _stop_due(self, managed: ManagedJob, now: float) -> None:
-        """Stop what is to stop: all tasks of an ended job, else those that the job gives up."""
+        """Stop all tasks of an ended job, or the remaining tasks of a gang's failed attempt."""
         if managed.ended:
             left, grace_s = managed.assignments(), 0.0
         else:
@@ -221,11 +225,13 @@
             )
 
     def _waits_for_more_outcomes(self, managed: ManagedJob, now: float) -> bool:
-        """Whether what ended may wait a moment for more to be committed with it.
+        """Return whether outcomes may wait until more of them can be committed together.
 
-        Tasks of an array end one by one: each had a commit of its own, and a request to its
-        machine's owner. Only where nobody waits for it: the job goes on in any case, all of
-        it is done, and no quota is given back. (Room is free as soon as a task has exited.)
+        The tasks of an array end one by one, and without batching each one would cost a commit
+        and a request to the owner of its machine. Outcomes wait only where the delay affects
+        nothing else: the array has other unfinished tasks, all the outcomes are successes, and
+        the team has no quota to be given back. The room of a task is free as soon as the task
+        has exited, whether or not its outcome is committed.
         """
         job = managed.job
         if (
@@ -243,9 +249,10 @@
         return now < managed.batch_outcomes_until
 
     async def _start(self, managed: ManagedJob, starts: list[Start]) -> None:
-        """Reserve room with the owners, commit the starts that they grant, and launch these.
+        """Reserve room with the owners, commit the granted starts, and launch them.
 
-        What isn't committed is released. No task is launched before its start is committed.
+        Reservations whose starts are not committed are released. No task is launched before its
+        start is committed.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
@@ -291,10 +298,10 @@
         )
 
     def _note_answers(self, granted: list[Start], declined: list[Start]) -> None:
-        """Learn from what owners have granted and declined how good the cached state is."""
+        """Update the cached state by what the owners have granted and declined."""
         self.cached_state.adaptive_interval.count(len(granted), len(declined))
         for _, machine in declined:
-            # Not tried again before the cached state of it is renewed.
+            # The machine is not tried again until its cached state has been refreshed.
             room = self.view.rooms.get(machine)
             if room is not None and room.owner != self.membership.label:
                 room.close()
@@ -305,10 +312,10 @@
     async def _commit_starts(
         self, managed: ManagedJob, starts: list[Start], attempt: int, fence: int
     ) -> bool:
-        """Commit machines and attempt of tasks, and charge the quota for them.
+        """Commit the machines and the attempt of tasks, and charge the quota for them.
 
         Returns:
-            False, with nothing committed, if the tasks would exceed the team's quota.
+            Whether the starts were committed; False if they would exceed the team's quota.
 
         Raises:
             ConflictError: Another controller has changed a record.
@@ -326,7 +333,7 @@
         return True
 
     async def _commit_outcomes(self, managed: ManagedJob) -> None:
-        """Commit how tasks ended, then have the owners forget those that have exited.
+        """Commit outcomes of tasks, then have the owners clear the tasks that have exited.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
@@ -335,7 +342,7 @@
         managed.batch_outcomes_until = 0.0
         fence = self.commits.fence(managed)
         at = time.time()
-        txn, chunks, covered, ends_job = outcome_txn(managed, fence, self.outcome_chunks, at)
+        txn, chunks, covered, ends_job = outcome_txn(managed, fence, self.max_outcome_chunks, at)
         released = sum(1 for number in covered if managed.assignment(number) is not None)
         charges = await self.quota_charger.charge(managed.job, -released) or {}
         add_charges(txn, charges)
@@ -367,7 +374,10 @@
         self.routines.signal("place")
 
     def counts(self, job: str) -> tuple[int, int] | None:
-        """How many tasks of a job are done and how many run; None if it isn't led from here."""
+        """Return how many tasks of a job are done and running.
+
+        None means that this controller doesn't lead the job. A service never has done tasks.
+        """
         managed = self.jobs.managed.get(job)
         if managed is None:
             return None
--- a/clayport/jobs/eligibility.py
+++ b/clayport/jobs/eligibility.py
@@ -1,4 +1,4 @@
-"""Whether a job can ever run, and what it uses of its team's quota."""
+"""Checks whether a job can ever run, and computes its use of its team's quota."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from clayport.model import ARRAY, GANG, Job, MachineType, fits
 
-# By how much an amount may exceed a limit through the rounding of floats.
+# By how much an amount may exceed a limit, so that rounding errors of floats don't matter.
 TOLERANCE = 1e-6
 
 
 def quota_usage(job: Job, count: int) -> tuple[float, float]:
-    """The CPUs and GPUs that `count` tasks of a job use of their team's quota."""
+    """Return the CPUs and GPUs that `count` tasks of a job take of their team's quota."""
     return job.cpus * count, job.gpus * count
 
 
 def is_metered(limit: tuple[float, float], cpus: float, gpus: float) -> bool:
-    """Whether a team's usage is recorded for such amounts.
+    """Return whether a team's quota usage has to be recorded for an amount.
 
     Args:
         limit: The team's limits in CPUs and GPUs; 0 means that there is none.
-        cpus: The CPUs in question.
-        gpus: The GPUs in question.
+        cpus: The CPUs of the amount.
+        gpus: The GPUs of the amount.
     """
     return bool((limit[0] > 0 and cpus) or (limit[1] > 0 and gpus))
 
 
 def can_be_placed(job: Job, types: Iterable[MachineType]) -> bool:
-    """Whether there can be machines for the job.
+    """Return whether machines of the given types can run the job.
 
-    A task has to fit a machine type in a zone that the job allows. A gang that has to be
-    spread needs more than one such zone, since all its tasks run at once.
+    A task has to fit a machine type in a zone that the job allows. A gang that must be
+    spread over zones needs more than one such zone, because all its tasks run at once.
     """
     zones = {
         zone for kind in types if fits(job, kind) for zone in kind.zones if job.zone in (None, zone)
@@ -41,9 +41,9 @@
 
 
 def can_ever_run(job: Job, limit: tuple[float, float]) -> bool:
-    """Whether the team's limits allow the job at all.
+    """Return whether the team's limits allow the job to run at all.
 
-    An array needs room for one task at a time, a gang or service for all of its tasks.
+    An array needs quota for one task at a time, a gang or a service for all of its tasks.
 
     Args:
         job: The job's description.
--- a/clayport/jobs/errors.py
+++ b/clayport/jobs/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the routines that lead jobs."""
+"""Errors raised by the routines that lead jobs."""
 
 from __future__ import annotations
 
 
 class EpochEndedError(Exception):
-    """The epoch that a job was loaded under has ended, and with it the right to lead the job."""
+    """The epoch under which a job was loaded has ended, so its routine has to stop."""
--- a/clayport/jobs/job_records.py
+++ b/clayport/jobs/job_records.py
@@ -1,4 +1,4 @@
-"""A job's records beside those of its starts and outcomes: layout, conflicts and the end."""
+"""Maintains a job's records: splits of chunks, conflicts, and the records of ended jobs."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class JobRecords:
-    """Splits, reloads and deletes the chunks of jobs, and cancels jobs that can't start."""
+    """Splits, reloads and deletes the chunks of jobs, and cancels jobs that can never start."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         self.upgrade = upgrade
 
     async def split_chunks(self, managed: ManagedJob) -> None:
-        """Write the job's narrower chunks, then remove the wider ones they come from.
+        """Write the job's narrower chunks, then delete the wider chunks.
 
-        Nothing else of the job is committed meanwhile, so that after an end in the middle
-        the wider ones still hold all of it. (Tasks found under the wrong key would be
-        started again while they run.)
+        Nothing else of the job is committed meanwhile, so that the wider chunks are still
+        complete if this controller ends during the split. Otherwise the next leader would miss
+        assignments, and start tasks again while they run.
         """
         fence = self.commits.fence(managed)
         written: set[int] = set()
@@ -81,13 +81,13 @@
                 del managed.wider_chunks[key]
 
     async def delete_chunks(self, managed: ManagedJob) -> None:
-        """Remove what is left of an ended job's records."""
-        left = [index for index, chunk in sorted(managed.chunks.items()) if chunk.rev]
+        """Delete the remaining chunks of an ended job."""
+        remaining = [index for index, chunk in sorted(managed.chunks.items()) if chunk.rev]
         limit = max(1, self.upgrade.limits.txn_ops - 2)
-        while left:
-            part, left = left[:limit], left[limit:]
+        while remaining:
+            batch, remaining = remaining[:limit], remaining[limit:]
             txn = Txn().require(EPOCH_KEY, self.commits.fence(managed))
-            for index in part:
+            for index in batch:
                 txn.delete(managed.key(index))
             try:
                 await self.commits.commit(txn, self.membership.epoch.rev)
@@ -95,19 +95,20 @@
                 return
 
     async def cancel_for_prerequisite(self, managed: ManagedJob) -> None:
-        """Cancel the job, since a job that it needs was cancelled.
+        """Cancel the job because one of its prerequisites was cancelled.
 
-        From the records alone, by whichever controller leads it: the one that told the
-        user may be gone. No task of it has ever started.
+        The job's leader does so from the records alone, because the controller that cancelled
+        the prerequisite for its user may have ended. No task of the job has ever started.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
-            UnavailableError: The state service doesn't answer, or the record is changing.
+            UnavailableError: The state service doesn't answer, or the live record is gone and
+                there is no final record.
         """
         job = managed.job.id
         entry = await self.store.get(live_key(job))
         if entry is None:
-            await self._learn_end(job)
+            await self._read_end(job)
             if not managed.ended:
                 raise UnavailableError("the record is just changing")
             return
@@ -128,7 +129,7 @@
     async def resolve_conflict(
         self, managed: ManagedJob, conflict: ConflictError, fence: int
     ) -> None:
-        """Somebody else changed something: read what holds now.
+        """Read the records that another controller has changed.
 
         Raises:
             EpochEndedError: The epoch has ended.
@@ -141,17 +142,18 @@
             await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 12))
             return
         if live_key(job) in conflict.failed and not managed.ended:
-            await self._learn_end(job)
+            await self._read_end(job)
         if any(key.startswith(f"run/{job}/") for key in conflict.failed):
             await self._reload_chunks(managed, fence)
 
     async def _reload_chunks(self, managed: ManagedJob, fence: int) -> None:
-        """Read the job's chunks again, and have its assignments judged by their owners."""
+        """Read the job's chunks again, and have the owners adopt its assignments."""
         entries, _ = await self.store.scan(f"run/{managed.job.id}/")
         if self.membership.epoch.rev != fence:
             raise EpochEndedError
         revs = {entry.key: entry.rev for entry in entries}
-        # Nobody but this routine writes them, or removes them while the job is live.
+        # Only this routine writes the chunks, or deletes them while the job is live, so a lower
+        # revision means that the state service has lost writes.
         if (
             not managed.ended
             and any(
@@ -174,8 +176,8 @@
         }
         await self.owner_requests.adopt(managed)
 
-    async def _learn_end(self, job: str) -> None:
-        """Read how a job ended whose live record is gone.
+    async def _read_end(self, job: str) -> None:
+        """Read the final record of a job whose live record has been deleted.
 
         Raises:
             UnavailableError: The state service doesn't answer.
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -1,4 +1,4 @@
-"""What follows from the beginning and the end of a job, as the records say it."""
+"""Handles accepted and ended jobs: updates the registry and informs the other components."""
 
 from __future__ import annotations
 
@@ -31,53 +31,54 @@
 log = logging.getLogger(__name__)
 
 
-# Ended jobs kept in memory so that polls for them need no read.
+# Ended jobs that are kept in memory, so that users' polls for them need no read.
 MAX_ENDED_JOBS = 20_000
-# Descriptions kept of them, for tasks of theirs that are still on machines.
+# Descriptions of ended jobs that are kept, because their tasks may still be on machines.
 MAX_ENDED_DESCRIPTIONS = MAX_ENDED_JOBS // 10
+# Job classes of which an example is recorded.
 MAX_REMEMBERED_CLASSES = 100
 
 
 class ArrivalListener(Protocol):
-    """Counts the work that arrives."""
+    """Measures the rate at which work arrives."""
 
     def note(self, job: Job, now: float) -> None:
-        """A job can start from now on, on the steady clock."""
+        """Note that a job became ready to start at `now` (monotonic clock)."""
         ...
 
 
 class JobListener(Protocol):
-    """Is told of accepted jobs, since what keeps work off machines depends on them."""
+    """Is informed of accepted jobs, because the placement policy depends on them."""
 
     def learn(self, job: Job) -> None:
-        """A job has been accepted."""
+        """Note that a job has been accepted."""
         ...
 
 
 class JobLeader(Protocol):
-    """Schedules the jobs that are this controller's."""
+    """Schedules the jobs that this controller leads."""
 
     def lead(self, job: Job, rev: int, chunks: dict[tuple[int, int], Chunk], ended: str) -> None:
-        """Become the leader of a job."""
+        """Start leading a job."""
         ...
 
 
 class JobLifecycle:
-    """Enters accepted and ended jobs, and tells the parts that they concern.
+    """Registers accepted and ended jobs, and informs the components that depend on them.
 
     Args:
-        arrivals: Is told of work that can start.
-        jobs: The jobs that are kept here.
-        machines: Has the tasks of ended jobs killed.
+        arrivals: Is informed of jobs that become ready to start.
+        jobs: The registry of jobs.
+        machines: Kills the tasks of ended jobs.
         membership: Says which jobs this controller leads.
-        objectives: How urgent jobs are.
-        progress: Held back while the end of a job is unknown.
-        promises: Is told of cancellations.
+        objectives: Determines the urgency of jobs.
+        progress: Does not advance past a job whose end has not been read yet.
+        promises: Is informed of cancellations.
         queue: The jobs that wait for machines.
-        rebuild: Is told of jobs that are gone without an end.
+        rebuild: Is informed of jobs that have lost their live record and have no final record.
         routines: The signals and short-lived routines of this process.
-        settings: The bound on the error of the clocks.
-        store: Where the ends of jobs are read.
+        settings: Has the bound on the error of the nodes' clocks.
+        store: The store from which final records are read.
     """
 
     def __init__(
@@ -110,15 +111,19 @@
         self.store = store
 
     def connect(self, *, failover: JobLeader, placer: JobListener) -> None:
-        """Set the parts that are built later than this one."""
+        """Set the components that are built after this object."""
         self.failover = failover
         self.placer = placer
 
     def since(self, at: float | None) -> float:
-        """A time of day in a record as this process's clock has it; now where it says none.
+        """Convert a recorded wall-clock time to this process's monotonic clock.
 
-        As the nodes' times of day differ by up to the settings' bound, what may have been
-        now was now: a start that is due within two seconds must not be a second late by it.
+        The nodes' clocks differ by up to the bound in the settings, so a time within that bound
+        counts as the present. Otherwise clock error alone could make a start that is due within
+        two seconds a second late.
+
+        Args:
+            at: The wall-clock time in seconds; None for now.
         """
         now = time.monotonic()
         if at is None:
@@ -126,15 +131,15 @@
         return now - max(0.0, time.time() - at - self.settings.cluster.clock_error_ms / 500)
 
     def note_live(self, job: Job, rev: int, submitted: float) -> None:
-        """Enter an accepted job; its leader begins to work on it.
+        """Register an accepted job, and start to lead it if this controller is its leader.
 
         Args:
             job: The job.
             rev: The revision of its live record.
-            submitted: When it was submitted, on the steady clock.
+            submitted: When it was submitted, on the monotonic clock.
         """
         if job.id in self.jobs.live and rev > self.jobs.live[job.id][1]:
-            self.jobs.live[job.id] = (self.jobs.live[job.id][0], rev)  # written anew by a rebuild
+            self.jobs.live[job.id] = (self.jobs.live[job.id][0], rev)  # rewritten by a rebuild
             if job.id in self.jobs.managed:
                 self.jobs.managed[job.id].live_rev = rev
         if job.id in self.jobs.live or job.id in self.jobs.ended:
@@ -158,7 +163,7 @@
             and job.job_class.replace("-", "").replace("_", "").isalnum()
         ):
             self.jobs.classes[job.job_class] = job
-            self.routines.spawn(self._remember_class(job))
+            self.routines.spawn(self._record_class_example(job))
         if (
             self.membership.serving
             and self.membership.epoch.member_for(job.id) == self.membership.label
@@ -168,7 +173,7 @@
             self.routines.signal("place")
 
     def _update_urgency(self, changed: Iterable[str]) -> None:
-        """Take in that the urgency of jobs has changed with the jobs that need them."""
+        """Recompute the urgency of jobs whose dependents have changed."""
         for name in changed:
             if name in self.jobs.live:
                 job = self.jobs.dependencies.effective_job(name, self.objectives.finish_limits)
@@ -179,8 +184,8 @@
                     self.queue.touch(name)
                     self.routines.signal("place")
 
-    def _ready(self, name: str) -> None:
-        """Let a job start: all that it needs are done, as their final records say."""
+    def _unblock(self, name: str) -> None:
+        """Make a job eligible to start, because all its prerequisites are done."""
         job = self.jobs.live[name][0]
         if self.membership.records_loaded:
             self.arrivals.note(job, time.monotonic())
@@ -192,8 +197,8 @@
             log.info("job=%s event=prerequisites-done", name)
             self.routines.signal("place")
 
-    async def _remember_class(self, job: Job) -> None:
-        """Record a job as the example of its class, which outlasts restarts."""
+    async def _record_class_example(self, job: Job) -> None:
+        """Record a job as the example of its class, so that it is known after a restart."""
         key = CLASS_PREFIX + job.job_class
         try:
             await self.store.commit(
@@ -202,22 +207,22 @@
                 .put(key, {"j": msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))})
             )
         except (ConflictError, UnavailableError, OutcomeUnknownError):
-            pass  # a hint only
+            pass  # the example only serves as a hint
 
     def note_gone(self, job: str) -> None:
-        """The live record of a job is gone: read how the job ended."""
+        """Start to read how a job ended, because its live record has been deleted."""
         if job in self.jobs.live and job not in self.jobs.ended:
             self.progress.note_unresolved(job)
             self.routines.spawn(self.learn(job))
 
     async def learn(self, job: str) -> None:
-        """Read how a job ended whose live record is gone."""
+        """Read the final record of a job whose live record has been deleted."""
         try:
-            await self._learn(job)
+            await self._read_end(job)
         finally:
             self.progress.note_resolved(job)
 
-    async def _learn(self, job: str) -> None:
+    async def _read_end(self, job: str) -> None:
         while job in self.jobs.live:
             try:
                 entry = await self.store.get(end_key(job))
@@ -231,37 +236,39 @@
             return
 
     def note_end_record(self, job: str, record: Any, rev: int) -> None:
-        """Enter the end of a job as its record has it; a malformed record is logged."""
+        """Register the end of a job from its final record; log the record if it is malformed."""
         try:
             self.note_end(job, *parse_end(record), rev)
         except (KeyError, TypeError, ValueError, AttributeError) as exc:
             log.error("key=%s event=malformed-value cause=%r", end_key(job), exc)
 
     def update_dependents(self, job: str, status: str, at: float) -> None:
-        """Take in what the end of a job means for those that need it, and for what it needed.
+        """Update the dependents and the prerequisites of a job that has ended.
+
+        Dependents become ready or have to be cancelled, and the urgency of prerequisites changes.
 
         Args:
             job: The ended job.
             status: Its final state.
-            at: When it ended, on the steady clock.
+            at: When it ended, on the monotonic clock.
         """
         ready, doomed, changed = self.jobs.dependencies.end(job, status, at)
         self._update_urgency(changed)
         for name in ready:
-            self._ready(name)
+            self._unblock(name)
         for name in doomed:
             managed = self.jobs.managed.get(name)
             if managed is not None:
                 self.routines.signal(managed.name)
 
     def note_end(self, job: str, status: str, at: float | None = None, rev: int = 0) -> None:
-        """Enter the committed end of a job.
+        """Register the committed end of a job.
 
         Args:
             job: The job.
             status: Its final state.
-            at: The time of day of its end; None for now.
-            rev: The revision of its final record; 0 where it is not known.
+            at: The wall-clock time of its end; None for now.
+            rev: The revision of its final record; 0 if it is not known.
         """
         if status == "cancelled":
             self.promises.note_end(job, rev)
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -1,7 +1,7 @@
-"""A job at its leader, the controller that schedules it: the state of its tasks, and events.
+"""The state of a job and its tasks at the job's leader, and its changes by task events.
 
-State only, without I/O: `jobs.dispatcher` sends what this decides, and `jobs.transactions` builds
-the commits.
+This module does no I/O: `jobs.dispatcher` carries out the decisions made here, and
+`jobs.transactions` builds the commits.
 """
 
 from __future__ import annotations
@@ -17,26 +17,28 @@
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
 from clayport.scheduling.requirements import shape
 
-# Machines on which a job has to have failed before it is taken to be at fault itself.
+# The number of machines on which a job must have failed to be considered at fault itself.
 FAULT_MACHINES = 3
-# The exponent beyond which the pause of a job at fault grows no further.
+# The largest exponent of the exponential backoff of a job at fault.
 MAX_BACKOFF_EXPONENT = 16
-# How many chunks one transaction of starts may change where the caller sets no limit.
+# The most chunks that a transaction of starts may change if the caller sets no limit.
 UNLIMITED_CHUNKS = 1_000_000
 
 
 class ManagedJob(CommittedTasks):
-    """A job at its leader.
+    """The state of a job at its leader.
+
+    All times are seconds on the monotonic clock.
 
     Args:
         job: The job's description.
-        live_rev: The revision of its live record, 0 if that is gone.
-        size: How many tasks a chunk holds, where the records do not tell.
-        now: The time on the monotonic clock, in seconds, as of all times here.
-        ended: Its final state, if it has one: "cancelled" or "done".
-        epoch: The number of the epoch under which it was loaded.
+        live_rev: The revision of its live record; 0 if there is none.
+        size: How many tasks a chunk holds if the keys of the job's chunks do not say.
+        now: The present time.
+        ended: "cancelled" or "done" if the job has ended, else empty.
+        epoch: The number of the epoch under which the job was loaded.
         pause_s: The first pause of a job that is at fault itself.
-        pause_most_s: The longest one.
+        pause_most_s: The longest pause of such a job.
     """
 
     def __init__(
@@ -55,41 +57,42 @@
         self.epoch = epoch
         self.live_rev = live_rev
         self.ended = ended
-        self.closed = False  # ended, and nothing of it is left to do
-        # Whether jobs that it names are not known to be done yet.
+        self.cleaned_up = False  # ended, and all its tasks and chunks have been removed
+        # Whether some of its prerequisites are not known to be done.
         self.blocked = bool(job.prereqs)
 
-        # What owners tell of assigned tasks, by number: (state, cause) while one is on its
-        # machine, then (attempt, whether done) until that is committed.
+        # Reports of owners on assigned tasks, by task number: (state, cause) of a task on its
+        # machine, and (attempt, whether done) of an ended task until its outcome is committed.
         self.states: dict[int, tuple[str, str]] = {}
         self.outcomes: dict[int, tuple[int, bool]] = {}
-        self.exited_on: dict[int, str] = {}  # task that exited: the machine still listing it
-        self.started = False  # a task of it has been seen running
-        self.unreported: set[tuple[int, int]] = set()  # (task, attempt), as of the last check
+        self.exited_on: dict[int, str] = {}  # exited task: the machine that still lists it
+        self.started = False  # whether a task has been reported as running
+        self.unreported: set[tuple[int, int]] = set()  # (task, attempt) found by the last check
         self.next_report_check = now
 
-        # Tasks without a machine: those from `cursor` on that are neither assigned nor done, and
-        # those in `requeued`. Chosen ones are in `being_placed` until they are committed.
+        # Tasks without a machine are those from `cursor` on that are neither assigned nor done,
+        # and those in `requeued`. Tasks being placed are in `being_placed` until their starts are
+        # committed.
         self.cursor = 0
         self.requeued: deque[int] = deque()
         self.being_placed: set[int] = set()
-        self.starts: list[tuple[int, str]] = []  # placed, to be reserved and committed
-        self.waiting_since = now  # when it began to wait
-        self.not_before = 0.0  # when it may next be placed
-        self.next_preempt_at = 0.0  # when it may next have others preempted
-        self.next_claim_at = 0.0  # when it may next look for machines for itself alone
+        self.starts: list[tuple[int, str]] = []  # placed, but not reserved and committed yet
+        self.waiting_since = now  # when the job began to wait
+        self.not_before = 0.0  # the earliest time of the next placement
+        self.next_preempt_at = 0.0  # the earliest time of the next preemption
+        self.next_claim_at = 0.0  # the earliest time of the next claim on guaranteed quota
         self.preempted = False
-        # Machine: how many tasks room is being made for by preemption, and until when.
+        # By machine: for how many tasks preemption is making room there, and until when.
         self.preempted_room: dict[str, tuple[int, float]] = {}
-        self.last_migration_at = now  # when a task of it was last moved to another machine
-        self._group: tuple[Job, tuple[Any, ...]] | None = None
+        self.last_migration_at = now  # when one of its tasks was last migrated
+        self._placement_key: tuple[Job, tuple[Any, ...]] | None = None
 
-        self.batch_outcomes_until = 0.0  # done tasks wait to be committed with others
-        self.next_stop_at = 0.0  # when tasks that are to be stopped are next told so
-        self.attempt_failed = False  # a gang that lost a task and is being stopped
-        self.lost_machines: set[str] = set()  # machines that a gang's present attempt has lost
+        self.batch_outcomes_until = 0.0  # until when outcomes are batched
+        self.next_stop_at = 0.0  # when tasks are next told to stop
+        self.attempt_failed = False  # whether a gang's attempt has failed and is being stopped
+        self.lost_machines: set[str] = set()  # machines lost in a gang's current attempt
 
-        self.errors: dict[str, int] = {}  # machine: failures of this job there, the latest last
+        self.errors: dict[str, int] = {}  # failures by machine, the latest last
         self.has_completed_task = False
         self.suspected = False  # found to be at fault under an earlier epoch
         self.failed_retries = 0  # since the job was found to be at fault
@@ -97,22 +100,23 @@
 
     @property
     def group(self) -> tuple[Any, ...]:
-        """Equal for jobs that can use the same room: what one found no room for, none does.
+        """A key that is equal for jobs with the same placement requirements.
 
-        A job that is bound to where its other tasks are is alone in its group.
+        If one job finds no room, no other job with an equal key does. A job whose placement
+        depends on the zones of its assigned tasks has a key of its own.
         """
-        if self._group is None or self._group[0] is not self.job:
+        if self._placement_key is None or self._placement_key[0] is not self.job:
             job = self.job
-            self._group = (
+            self._placement_key = (
                 job,
                 (*shape(job), job.one_zone, job.spread, job.tasks if job.kind == GANG else 0),
             )
         if self.assigned and (self.job.one_zone or self.job.spread):
             return (self.job.id,)
-        return self._group[1]
+        return self._placement_key[1]
 
     def recount(self) -> None:
-        """Derive anew what follows from the chunks, after others were loaded."""
+        """Recompute everything that is derived from the chunks, after these were replaced."""
         super().recount()
         self.has_completed_task = self.has_completed_task or self.done > 0
         self.requeued.clear()
@@ -122,7 +126,10 @@
 
     @property
     def pending(self) -> int:
-        """How many tasks wait for a machine; a gang's wait until the last old one is gone."""
+        """How many tasks wait for a machine.
+
+        The tasks of a gang don't, until the last task of its failed attempt is gone.
+        """
         if self.ended or self.blocked:
             return 0
         if self.job.kind == GANG and self.assigned and not self.accepts_replacements:
@@ -131,10 +138,10 @@
 
     @property
     def accepts_replacements(self) -> bool:
-        """Whether this is a gang that has not started and lacks tasks.
+        """Whether this is a gang that has not started yet and may get replacement tasks.
 
-        Replacements with the same attempt number complete it, so nothing has to be fetched or
-        waited for anew.
+        Replacements run under the current attempt number, so that the other tasks keep their
+        fetched images and go on waiting.
         """
         return (
             self.job.kind == GANG
@@ -146,7 +153,7 @@
         )
 
     def _is_free(self, number: int) -> bool:
-        """Whether a task is neither assigned nor done, nor about to be assigned."""
+        """Return whether a task is neither assigned, nor done, nor being placed."""
         if number in self.being_placed:
             return False
         chunk = self.chunks.get(number // self.chunk_size)
@@ -155,13 +162,13 @@
     def take_pending(self, count: int, limit: int = UNLIMITED_CHUNKS) -> list[int]:
         """Take tasks that wait for a machine, and mark them as being placed.
 
-        Of `limit` chunks at most, and as many as one transaction holds: tasks that wait
-        again may be scattered over all chunks of a job of tens of thousands, and what is
-        too large is refused whole, again and again.
+        The tasks fit one transaction. Without that bound, the requeued tasks of a job of tens of
+        thousands could belong to all its chunks, and a transaction that is too large would be
+        refused as a whole each time.
 
         Args:
             count: The most tasks to take.
-            limit: The most chunks that they may belong to.
+            limit: The most chunks that the tasks may belong to.
         """
         taken: list[int] = []
         indexes: set[int] = set()
@@ -197,7 +204,7 @@
         return taken
 
     def requeue(self, numbers: Iterable[int]) -> None:
-        """Have tasks that were not started after all wait again."""
+        """Requeue tasks that were being placed but were not started."""
         for number in numbers:
             self.being_placed.discard(number)
             self.requeued.append(number)
@@ -207,22 +214,22 @@
     def handle_event(
         self, machine: str, number: int, attempt: int, state: str, cause: str, now: float
     ) -> Verdict:
-        """Take note of what an owner tells of a task.
+        """Update the job by an owner's report on a task.
 
         Args:
-            machine: The machine that the task is on.
-            number: The task.
+            machine: The machine of the task.
+            number: The number of the task.
             attempt: The attempt.
-            state: Its state there; `GONE` if the machine no longer has it.
-            cause: Why it is in that state.
+            state: The state of the task there; `GONE` if the machine no longer has the task.
+            cause: Why the task is in that state.
             now: The present time.
 
         Returns:
-            What the owner has to do about it.
+            What the owner has to do with the task.
         """
         if self.assignment(number) != (attempt, machine):
             if number in self.being_placed:
-                return Verdict.LATER  # its commit is under way
+                return Verdict.LATER  # its start is being committed
             return for_uncommitted(state)
         if number in self.outcomes:
             return Verdict.OK
@@ -231,8 +238,8 @@
             self.outcomes[number] = (attempt, cause == "done")
             if self.job.kind == GANG and cause != "done":
                 self.lost_machines.add(machine)
-                # Once it has started, or when the others have waited too long, the
-                # attempt is over and all its tasks have to go before the next.
+                # If the gang has started, or its other tasks have waited too long, the attempt
+                # has failed, and all its tasks have to be stopped before the next attempt.
                 if started or cause in ("mates_gone", "alone", "error"):
                     self.attempt_failed = True
             if cause == "error":
@@ -247,10 +254,10 @@
         return Verdict.OK
 
     def mark_machines_gone(self, machines: Container[str]) -> bool:
-        """Note that tasks on machines whose return is confirmed are gone.
+        """Mark the tasks on machines as gone whose return to the cloud is confirmed.
 
         Returns:
-            Whether there were any.
+            Whether there were any such tasks.
         """
         changed = False
         for number, attempt, machine in self.assignments():
@@ -259,19 +266,19 @@
                 changed = True
         return changed
 
-    def find_unreported(self, now: float, patience_s: float) -> set[int]:
-        """Assigned tasks of which no owner has told anything.
+    def find_unreported(self, now: float, min_interval_s: float) -> set[int]:
+        """Return the assigned tasks that no owner has reported on.
 
-        Only what two checks in a row find counts as lost sight of; one of them may be just about
-        to be reported.
+        A task counts only when two consecutive checks find it, because a new one may not have
+        been reported yet.
 
         Args:
             now: The present time.
-            patience_s: The least time between two checks, in seconds.
+            min_interval_s: The shortest time between two checks, in seconds.
         """
         if now < self.next_report_check:
             return set()
-        self.next_report_check = now + patience_s
+        self.next_report_check = now + min_interval_s
         before, self.unreported = (
             self.unreported,
             {
@@ -283,7 +290,7 @@
         return {number for number, _ in self.unreported & before}
 
     def tasks_to_stop(self) -> list[Assignment]:
-        """The rest of a gang that has lost a task: to be stopped before the next attempt."""
+        """Return the tasks of a gang's failed attempt, to be stopped before the next attempt."""
         if self.job.kind != GANG or self.ended:
             return []
         if not self.attempt_failed:
@@ -292,16 +299,17 @@
 
     @property
     def running(self) -> int:
-        """How many tasks are running, as their owners tell."""
+        """How many tasks are running, according to their owners."""
         return sum(1 for state, _ in self.states.values() if state == "running")
 
     # -- failures --------------------------------------------------------
 
     @property
     def at_fault(self) -> bool:
-        """Whether it is the job that fails, and not the machines.
+        """Whether the failures are considered the job's fault, not the machines'.
 
-        It has failed on several, more often than it runs anywhere, and has completed nothing.
+        Such a job has failed on several machines, has failed more often than it has running
+        tasks, and has completed no task.
         """
         return not self.has_completed_task and (
             self.suspected
@@ -309,11 +317,11 @@
         )
 
     def _record_failure(self, machine: str, now: float) -> Verdict:
-        """Back off from a machine, and from everywhere when it is the job that fails.
+        """Record a failure on a machine, and back off if the job is at fault.
 
-        A job submitted with a mistake fails on every machine; it had sound ones taken for
-        sick, and rented new ones, until its user cancelled it. It is tried again now and
-        then, since what failed may have passed.
+        A job submitted with a mistake fails on every machine. If the machines were blamed,
+        healthy ones would be drained and replaced until the user cancelled the job. The job is
+        retried with backoff, because the cause may have been temporary.
         """
         self.errors[machine] = self.errors.pop(machine, 0) + 1
         if self.at_fault:
@@ -327,27 +335,29 @@
         return Verdict.OK
 
     def avoided(self) -> Collection[str]:
-        """Machines that the job keeps off: all on which it failed.
+        """Return the machines that the job is not placed on, because it failed there.
 
-        When that was its own fault, only the one on which it failed last.
+        If the job is at fault itself, this is only the machine of its last failure.
         """
         return set(list(self.errors)[-1:]) if self.at_fault else self.errors
 
     # -- commits ---------------------------------------------------------
 
     def apply_commit(self, chunks: dict[int, Chunk], rev: int) -> None:
-        """Take over the chunks that a transaction has changed, and end a gang's attempt with
-        the last of its tasks."""
+        """Replace the chunks that a transaction has changed.
+
+        A gang's failed attempt ends when the last of its tasks is no longer assigned.
+        """
         super().apply_commit(chunks, rev)
         if not self.assigned:
             self.attempt_failed = False
             self.lost_machines.clear()
 
     def clear_outcomes(self, numbers: Iterable[int]) -> list[tuple[int, int]]:
-        """Forget committed outcomes; tasks that are not done wait again.
+        """Forget committed outcomes, and requeue the tasks that are not done.
 
         Returns:
-            Task and attempt of each.
+            The task and the attempt of each outcome.
         """
         cleared = []
         for number in numbers:
--- a/clayport/jobs/owner_requests.py
+++ b/clayport/jobs/owner_requests.py
@@ -1,4 +1,4 @@
-"""What a job's leader asks of the owners of machines: reserve, launch, stop and adopt."""
+"""Requests of a job's leader to the owners of machines: reserve, launch, stop and adopt."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 
 log = logging.getLogger(__name__)
 
-# Number of a task and name of its machine.
+# The number of a task and the name of its machine.
 Start = tuple[int, str]
-# Machine, task and attempt of a committed start.
+# The machine, task and attempt of a committed start.
 LaunchRow = tuple[str, str, int]
-# Machine, task, attempt, seconds of grace, and whether the task has exited and is only forgotten.
+# Machine, task, attempt, grace period in seconds, and whether the task has exited and is to be
+# cleared only.
 StopRow = tuple[str, str, int, float, bool]
 
 
 class OwnerRequests:
-    """Asks the owners of machines, of which this controller may be one, about a job's tasks."""
+    """Sends requests about a job's tasks to the owners of machines.
+
+    Requests for machines that this controller owns are direct calls.
+    """
 
     def __init__(
         self,
@@ -53,7 +57,7 @@
         """Reserve room for tasks.
 
         Returns:
-            The starts that were granted. An owner that doesn't answer has declined.
+            The granted starts. An owner that doesn't answer counts as declining.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
@@ -77,7 +81,7 @@
         return granted
 
     async def launch(self, managed: ManagedJob, items: list[LaunchRow], fence: int) -> None:
-        """Hand committed starts to the owners, until each has said yes or no.
+        """Send committed starts to the owners, until each owner has accepted or rejected them.
 
         Args:
             managed: The job.
@@ -101,8 +105,8 @@
                 if self.membership.epoch.rev != fence:
                     raise EpochEndedError
                 if managed.ended:
-                    # Cancelled between the commit and here: judged by reports,
-                    # and never launched.
+                    # The job was cancelled after the commit. The tasks are not launched; the
+                    # owners report which of them are on their machines.
                     await self.adopt(managed)
                     return
                 answers = await self._launch_at(owner, waiting)
@@ -113,12 +117,16 @@
                 for (machine, task, attempt), answer in zip(waiting, answers):
                     number = split_task(task)[1]
                     if not answer and managed.assignment(number) == (attempt, machine):
-                        # No reservation: it was not launched and never will be.
+                        # The owner had no reservation, so the task is never launched.
                         managed.handle_event(machine, number, attempt, GONE, "", time.monotonic())
                 break
 
     async def _launch_at(self, owner: str, items: list[LaunchRow]) -> list[int] | None:
-        """What an owner answers to launches, 0 for those that will never be; None for no answer."""
+        """Send launches to an owner.
+
+        Returns:
+            A flag for each start, 0 if it is never launched; None if the owner didn't answer.
+        """
         if owner == self.membership.label:
             answers = self.machines.launch(items)
             for machine in dict.fromkeys(item[0] for item in items):
@@ -133,10 +141,13 @@
         return [launched for (launched,) in rows] if ok else None
 
     async def stop(self, managed: ManagedJob, items: list[StopRow]) -> None:
-        """Kill or clear through the owners. What gets lost is asked again, or expires."""
+        """Have the owners kill or clear tasks.
+
+        A request may get lost: kills are repeated by the caller, and reservations expire.
+        """
         for owner, part in self._by_owner(items).items():
             if self.membership.epoch.number != managed.epoch:
-                return  # its successor may mean something else by the same attempt
+                return  # a later routine may use the same attempt number
             if owner == self.membership.label:
                 self.machines.stop(part)
                 for machine in dict.fromkeys(item[0] for item in part):
@@ -148,11 +159,11 @@
                 pass
 
     async def adopt(self, managed: ManagedJob, only: Container[int] | None = None) -> None:
-        """Have committed assignments judged by their owners' reports.
+        """Have owners adopt committed assignments, and report the state of their tasks.
 
         Args:
             managed: The job.
-            only: The numbers of the tasks; None for all of them.
+            only: The numbers of the tasks; None for all tasks.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
@@ -181,7 +192,7 @@
         await self.routines.flush()
 
     def _by_owner(self, items: Iterable[tuple[Any, ...]]) -> dict[str, list[tuple[Any, ...]]]:
-        """Rows that begin with a machine, by the owners of their machines."""
+        """Group rows, whose first item is a machine, by the owner of the machine."""
         found: dict[str, list[tuple[Any, ...]]] = {}
         for item in items:
             found.setdefault(self.membership.epoch.member_for(item[0]), []).append(item)
@@ -189,7 +200,7 @@
 
 
 def _is_unsettled(managed: ManagedJob, item: LaunchRow) -> bool:
-    """Whether a start still holds, and nothing has been heard of its task."""
+    """Return whether a start is still assigned, and its task has not been reported."""
     machine, task, attempt = item
     number = split_task(task)[1]
     return (
--- a/clayport/jobs/prerequisite_check.py
+++ b/clayport/jobs/prerequisite_check.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can wait for the jobs that it names as its prerequisites."""
+"""Checks whether a submitted job can wait for the prerequisites that it names."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PrerequisiteCheck:
-    """Finds prerequisites that were never accepted, or that don't end by themselves."""
+    """Finds prerequisites that were never accepted, or that are services and never done."""
 
     def __init__(self, *, jobs: JobRegistry, store: StateStore, upgrade: UpgradeState) -> None:
         self.jobs = jobs
@@ -25,12 +25,12 @@
     async def find_fault(self, names: Sequence[str], deadline: Deadline) -> str:
         """Return why a job can't wait for the jobs `names`; empty if it can.
 
-        What isn't known here may have been accepted a moment ago by a controller whose watch is
-        ahead of ours, so the state service is asked.
+        The state service is asked about jobs that are not known here, because another controller
+        may have accepted them, and the watch of this controller may lag behind.
 
         Raises:
             UnavailableError: The state service has not answered.
-            OutcomeUnknownError: The same, after a transaction was sent.
+            OutcomeUnknownError: The state service has not answered a transaction that was sent.
         """
         unknown = []
         for name in dict.fromkeys(names):
@@ -39,7 +39,8 @@
                 unknown.append(name)
             elif known is not None and known[0].kind == SERVICE:
                 return f"{name} is a service"
-        # Of many at once, which records there are: a comparison names those that exist.
+        # A transaction that requires the absence of many records checks them in one request:
+        # the conflict names those that exist.
         batch_size = max(1, self.upgrade.limits.txn_ops * 2 - self.store.anchor_conditions)
         for first in range(0, len(unknown), batch_size):
             fault = await self._find_fault_in_records(unknown[first : first + batch_size], deadline)
@@ -48,7 +49,7 @@
         return ""
 
     async def _find_fault_in_records(self, names: list[str], deadline: Deadline) -> str:
-        """Return the fault of one batch of jobs, as the state service has their records."""
+        """Return the fault of one batch of jobs by their records in the state service."""
         txn = Txn()
         for name in names:
             txn.require(live_key(name), 0).require(end_key(name), 0)
--- a/clayport/jobs/prerequisites.py
+++ b/clayport/jobs/prerequisites.py
@@ -1,4 +1,4 @@
-"""Looks up the jobs that other jobs wait for."""
+"""Looks up the state of jobs that other jobs wait for."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class PrerequisiteLookup:
-    """Finds out about prerequisites of which the watch of the records has told nothing.
+    """Looks up prerequisites whose end the watch of the records has not reported.
 
     Args:
-        jobs: The jobs that are known here, and their dependencies.
-        lifecycle: Enters the ends that are found.
-        lookups: Asks for many live records in one request.
-        membership: Gives the intervals.
+        jobs: The registry of jobs, with their dependencies.
+        lifecycle: Registers the ends that are found.
+        lookups: Checks many live records in one request.
+        membership: Gives the lease's lifetime, from which the intervals are derived.
         routines: The signals of this process.
-        store: Where the ends of jobs are read.
+        store: The store from which final records are read.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
     async def keep_prereqs(self) -> None:
         """Look up prerequisites for as long as the process runs.
 
-        Those that are unknown are looked up when one turns up, and at intervals. Those that
-        are taken to be live are checked more seldom: a missed notice must not delay what
-        waits for it for long.
+        Unknown prerequisites are looked up as soon as there is one, and periodically. Those
+        believed to be live are checked less often, so that a lost notification delays the jobs
+        that wait for them only for a bounded time.
         """
-        again_at = 0.0
+        next_check_at = 0.0
         while True:
             await self.routines.wait(
                 "prereqs",
@@ -62,13 +62,13 @@
             )
             await self._look_up_unknown()
             await self.routines.flush()
-            if time.monotonic() < again_at:
+            if time.monotonic() < next_check_at:
                 continue
-            again_at = time.monotonic() + 4 * self.membership.lease_ttl_s
+            next_check_at = time.monotonic() + 4 * self.membership.lease_ttl_s
             await self._check_awaited()
 
     async def _look_up_unknown(self) -> None:
-        """Look up what ended before this process began, or was accepted a moment ago."""
+        """Look up unknown prerequisites: they may have ended before this process started."""
         for name in list(self.jobs.dependencies.unknown_prerequisites):
             if name in self.jobs.ended:
                 self.lifecycle.update_dependents(name, self.jobs.ended[name], time.monotonic())
@@ -81,8 +81,8 @@
                 self.lifecycle.note_end_record(name, entry.value, entry.rev)
 
     async def _check_awaited(self) -> None:
-        """Ask, many in one request, whether awaited jobs that are taken to be live still are."""
-        for name in sorted(self._awaited()):
+        """Check, in batched requests, whether prerequisites believed to be live still are."""
+        for name in sorted(self._awaited_prerequisites()):
             known = self.jobs.live.get(name)
             try:
                 if (
@@ -94,8 +94,8 @@
             except UnavailableError:
                 break
 
-    def _awaited(self) -> set[str]:
-        """Live jobs that jobs led here wait for."""
+    def _awaited_prerequisites(self) -> set[str]:
+        """Return the unfinished prerequisites of the jobs that this controller leads."""
         return {
             need
             for name, managed in self.jobs.managed.items()
--- a/clayport/jobs/quota_charges.py
+++ b/clayport/jobs/quota_charges.py
@@ -1,4 +1,4 @@
-"""What a job's transactions change of its team's quota in use."""
+"""Charges a team's quota in the transactions that start and end the tasks of its jobs."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
 
 
 class QuotaCharge(NamedTuple):
-    """A new value of the record of a team's quota in use.
+    """A new value for the record of a team's quota usage.
 
     Attributes:
         value: The CPUs (`c`) and GPUs (`g`) in use after the transaction.
-        rev: The revision of the record that it replaces, 0 if there is none.
+        rev: The revision of the record that the value replaces; 0 if there is none.
     """
 
     value: dict[str, float]
     rev: int
 
 
-# Decimal places to which quotas in use are rounded, and how far that may take them past a limit.
+# The decimal places to which quota usage is rounded, and by how much rounding may make it exceed a
+# limit.
 DECIMALS = 6
 TOLERANCE = 1e-6
 
-# The charges of a transaction by the keys of their records; empty where nothing is metered.
+# The charges of a transaction by record key; empty if the team's usage is not recorded.
 Charges = dict[str, QuotaCharge]
 
 
 class QuotaCharger:
-    """Charges a team's quota for tasks that are assigned, and gives back for those that end.
+    """Charges a team's quota for assigned tasks, and credits it for ended ones.
 
-    The quota is changed by the very transaction that assigns or ends the
-    tasks, so it can't drift from what they take.
+    The same transaction assigns or ends the tasks and changes the quota's record, so the
+    recorded usage can't drift from the actual one.
     """
 
     def __init__(self, *, jobs: JobRegistry, quotas: TeamQuotas, store: StateStore) -> None:
@@ -48,7 +49,7 @@
         self.store = store
 
     async def charge(self, job: Job, count: int) -> Charges | None:
-        """Read the quota in use and work out its change; nothing is written.
+        """Read a team's quota usage and compute its change; nothing is written.
 
         Args:
             job: The job.
@@ -77,11 +78,11 @@
         return {key: QuotaCharge({"c": max(0.0, after[0]), "g": max(0.0, after[1])}, rev)}
 
     def note_commit(self, charges: Charges, rev: int) -> None:
-        """Remember the quota in use as a transaction has left it.
+        """Cache the quota usage that a committed transaction has written.
 
         Args:
             charges: The charges of the transaction.
-            rev: The revision that it was committed at.
+            rev: The revision of the commit.
         """
         for key, charge in charges.items():
             self.jobs.quota_usage[key.partition("/")[2]] = (
@@ -92,6 +93,6 @@
 
 
 def add_charges(txn: Txn, charges: Charges) -> None:
-    """Make a transaction write charges, on condition that their records haven't changed."""
+    """Add charges to a transaction, conditional on the revisions of their records."""
     for key, (value, rev) in charges.items():
         txn.require(key, rev).put(key, value)
--- a/clayport/jobs/registry.py
+++ b/clayport/jobs/registry.py
@@ -1,4 +1,4 @@
-"""The jobs that this controller knows of: live, ended, and those that it schedules itself."""
+"""The registry of jobs: live jobs, ended jobs, and the jobs that this controller leads."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 
 
 class JobRegistry:
-    """All jobs known here. Free of I/O.
+    """The jobs that this controller knows; does no I/O.
 
     Attributes:
-        dependencies: Which jobs wait for which others.
-        live: Accepted jobs that have not ended, as they are to be scheduled, with the
-            revisions of their records.
-        ended: The final states of jobs that ended lately, so that polls need no read.
-        ended_descriptions: Descriptions of ended jobs that may still be on machines.
-        classes: One job of each class that needs GPUs, remembered over restarts: a machine
-            must not be filled, or emptied, because none of them runs at the moment.
-        managed: The jobs that this controller leads in the present epoch.
-        quota_usage: A team's use as last read: (CPUs, GPUs), the record's revision, and when
-            it was read.
+        dependencies: The graph of jobs and their prerequisites.
+        live: Accepted jobs that have not ended, with the urgency that their dependents give
+            them, and the revisions of their live records.
+        ended: The final states of recently ended jobs, so that users' polls need no read.
+        ended_descriptions: Descriptions of ended jobs whose tasks may still be on machines.
+        classes: An example job of each class that needs GPUs. The examples are recorded and
+            survive restarts, so that no GPU machine is filled with other work, or drained,
+            only because no job of the class runs at the moment.
+        managed: The jobs that this controller leads in the current epoch.
+        quota_usage: Each team's usage as last read: (CPUs, GPUs), the record's revision, and
+            the time of the read.
     """
 
     def __init__(self, dependencies: DependencyGraph) -> None:
@@ -35,15 +36,15 @@
         self.quota_usage: dict[str, tuple[tuple[float, float], int, float]] = {}
 
     def begin_epoch(self) -> None:
-        """Forget what was led in the epoch before."""
+        """Forget the jobs that were led, and the quota usage read, in the previous epoch."""
         self.managed = {}
         self.quota_usage.clear()
 
     def description(self, job: str) -> Job | None:
-        """The description of a live job, or of an ended one that may be on machines."""
+        """Return the description of a live job, or of an ended one that may be on machines."""
         known = self.live.get(job)
         return known[0] if known else self.ended_descriptions.get(job)
 
     def is_cancelled(self, job: str) -> bool:
-        """Whether a job is known to be cancelled."""
+        """Return whether a job is known to be cancelled."""
         return self.ended.get(job) == "cancelled"
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -1,4 +1,4 @@
-"""The state of one job, as its user is told of it."""
+"""Finds the state of a job for answers to its user."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# The state of a job that was accepted and has not ended; the final states are the records' own.
+# The state of an accepted job that has not ended; final states are as in the final records.
 LIVE = "live"
 
 
 class JobStatus:
-    """Finds a job's state, and describes it in the bodies of answers to users.
+    """Finds a job's state, and builds the bodies of answers to users about it.
 
     Attributes:
-        counts_timeout_s: How long a job's leader is waited for when it is asked for counts.
+        counts_timeout_s: The timeout of a request for task counts to a job's leader.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
         self.counts_timeout_s = counts_timeout_s
 
     async def find(self, job: str, deadline: Deadline) -> str | None:
-        """Return the job's state as the state service holds it now; None if it has none.
+        """Return the job's current state by the state service; None if there is no record of it.
 
-        The live record is read first: it only ever turns into the final one, so
-        that finding neither means that the job was never accepted.
+        The live record is read before the final one. A live record can only be replaced by a
+        final record, so if neither is found, the job was never accepted.
 
         Raises:
             UnavailableError: The state service has not answered, or the records are in doubt.
-            OutcomeUnknownError: The same, after a transaction was sent.
+            OutcomeUnknownError: The state service has not answered a transaction that was sent.
         """
         if job in self.jobs.ended:
             return self.jobs.ended[job]
@@ -74,20 +74,23 @@
         if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
             return LIVE
         if not valid_id(job):
-            # An id that the first versions let through can't stand in a path.
+            # Early versions accepted ids that can't be part of a request's path, so there is no
+            # read for such a job.
             if live is not None:
                 raise UnavailableError("the record is just changing")
             return None
         return await self._read_status(job, deadline)
 
     async def _read_status(self, job: str, deadline: Deadline) -> str | None:
-        """Return the state of `find` by reading the job's records."""
+        """Read the job's records, and return its state as `find` does."""
         entry = await self.store.get(live_key(job), deadline)
         if entry is not None:
-            await self._guard({live_key(job): entry.rev}, deadline)
+            await self._confirm_revisions({live_key(job): entry.rev}, deadline)
             return LIVE
         entry = await self.store.get(end_key(job), deadline)
-        await self._guard({live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline)
+        await self._confirm_revisions(
+            {live_key(job): 0, end_key(job): entry.rev if entry else 0}, deadline
+        )
         if entry is None and job in self.jobs.live:
             self.rebuild.suspect(f"{job} is gone")
             raise UnavailableError("the records are in doubt")
@@ -96,10 +99,11 @@
         self.lifecycle.note_end(job, *parse_end(entry.value), entry.rev)
         return str(entry.value["s"])
 
-    async def _guard(self, revs: dict[str, int], deadline: Deadline) -> None:
-        """Confirm that what was read is from the history of the records that we act on.
+    async def _confirm_revisions(self, revs: dict[str, int], deadline: Deadline) -> None:
+        """Confirm that records were read from the history that this controller acts on.
 
-        A read by itself says nothing of that.
+        A plain read is not checked against the history, but a transaction is, so the revisions
+        are confirmed by a transaction without writes.
 
         Raises:
             UnavailableError: A record has changed since it was read.
@@ -118,7 +122,7 @@
         """Return the body of an answer about a job in the state `status`.
 
         Raises:
-            UnavailableError: It is cancelled and its user can't be told of that in time.
+            UnavailableError: The job is cancelled, and users may not be told before the deadline.
         """
         if status != LIVE:
             known = self.jobs.live.get(job)
@@ -129,9 +133,10 @@
         if counts is None and leader in self.peers and self.membership.is_member:
             counts = await self._ask_counts(self.peers[leader], job)
         if job in self.jobs.ended:
-            # It ended while the leader was asked: that has been told to somebody by now.
+            # The job ended during the request to the leader, and another user may have been told
+            # so already.
             return await self.describe(job, self.jobs.ended[job], deadline)
-        # For display only: a leader out of reach must not cost the user its answer.
+        # The counts are for display only, so an unreachable leader must not fail the request.
         done, running = counts or (0, 0)
         return {
             "id": job,
@@ -140,10 +145,10 @@
             "running": running,
         }
 
-    async def _ask_counts(self, home: Peer, job: str) -> tuple[int, int] | None:
-        """Ask the job's leader for its tasks done and running; None if it doesn't tell."""
+    async def _ask_counts(self, leader: Peer, job: str) -> tuple[int, int] | None:
+        """Ask the job's leader for its counts of done and running tasks; None without an answer."""
         try:
-            ok, done, running = await home.call(
+            ok, done, running = await leader.call(
                 frames.COUNTS, (self.membership.epoch.number, job), self.counts_timeout_s
             )
         except PeerError:
@@ -154,8 +159,8 @@
         """Return the body of the answer to a cancellation of a job that has ended.
 
         Raises:
-            UnavailableError: It is cancelled and its user can't be told of that in time.
+            UnavailableError: The job is cancelled, and users may not be told before the deadline.
         """
         if status == "cancelled":
-            await self.disclosure.announced(job, deadline)
+            await self.disclosure.wait_until_disclosable(job, deadline)
         return {"id": job, "status": status}
--- a/clayport/jobs/task_events.py
+++ b/clayport/jobs/task_events.py
@@ -1,4 +1,4 @@
-"""Judging what owners of machines tell of the tasks of the jobs that this controller leads."""
+"""Handles task events that owners of machines report to the leader of the tasks' jobs."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from clayport.routines import Routines
 from clayport.scheduling.queueing import JobQueue
 
-# The fields of a `machines.events.TaskEvent`, as they come off the wire.
+# The fields of a `machines.events.TaskEvent`, as decoded from a frame.
 EventRow = tuple[str, str, int, str, str, bool]
 
 
 class TaskEvents:
-    """Passes events of tasks to their jobs, and wakes the jobs' routines."""
+    """Applies task events to the jobs that this controller leads, and wakes their routines."""
 
     def __init__(self, *, jobs: JobRegistry, queue: JobQueue, routines: Routines) -> None:
         self.jobs = jobs
@@ -24,7 +24,7 @@
         self.routines = routines
 
     def told(self, events: Iterable[EventRow]) -> list[Verdict]:
-        """Judge an owner's events in order; a verdict for each."""
+        """Apply an owner's events in order, and return a verdict for each."""
         verdicts = []
         now = time.monotonic()
         for machine, task, attempt, state, cause, _ in events:
@@ -36,7 +36,7 @@
             managed = self.jobs.managed.get(job)
             if managed is None:
                 if job in self.jobs.live:
-                    verdict = Verdict.LATER  # its routine is just being started
+                    verdict = Verdict.LATER  # the job is live, but its routine has not started yet
                 else:
                     verdict = for_uncommitted(state)
             else:
--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -1,8 +1,8 @@
-"""The transactions by which a job's leader commits starts, outcomes and changes of layout.
+"""Builds the transactions by which a job's leader commits starts, outcomes and splits of chunks.
 
-They are only built here; `jobs.commits` sends them. Each is conditional on the record of the
-epoch and on the revision of every chunk that it changes, so that it fails where another controller
-has written in the meantime. After a commit, `ManagedJob.apply_commit` takes the chunks over.
+`jobs.commits` sends them. Each transaction is conditional on the record of the epoch and on the
+revision of every chunk that it changes, so that it fails if another controller has written to
+them in the meantime. After a commit, the chunks are passed to `ManagedJob.apply_commit`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
     Attributes:
         txn: The transaction.
-        chunks: The chunks that it changes, by index.
+        chunks: The changed chunks by index.
     """
 
     txn: Txn
@@ -33,13 +33,13 @@
 
 
 class OutcomeTxn(NamedTuple):
-    """A transaction that records how tasks ended.
+    """A transaction that records outcomes of tasks.
 
     Attributes:
-        txn: The transaction; without writes if nothing recorded changes.
-        chunks: The chunks that it changes, by index.
-        tasks: The numbers of the tasks whose outcomes it records.
-        ends_job: Whether it also records that the whole job is done.
+        txn: The transaction; without writes if no record changes.
+        chunks: The changed chunks by index.
+        tasks: The numbers of the tasks whose outcomes are recorded.
+        ends_job: Whether the transaction also records that the job is done.
     """
 
     txn: Txn
@@ -49,12 +49,12 @@
 
 
 class SplitTxn(NamedTuple):
-    """A step from wider to narrower chunks.
+    """One of the transactions that split wider chunks into narrower ones.
 
     Attributes:
-        txn: The transaction; without writes if there is nothing left to do.
-        chunks: The narrower chunks that it writes, by index.
-        deleted: The keys of the wider chunks that it deletes.
+        txn: The transaction; without writes if the split is complete.
+        chunks: The written narrower chunks by index.
+        deleted: The keys of the deleted wider chunks.
     """
 
     txn: Txn
@@ -65,7 +65,9 @@
 def start_txn(
     managed: ManagedJob, fence: int, starts: list[tuple[int, str]], attempt: int
 ) -> StartTxn:
-    """Commit machine and attempt before any launch, unless the job has ended.
+    """Build the transaction that assigns tasks to machines, to be committed before the launch.
+
+    The transaction fails if the job has ended.
 
     Args:
         managed: The job.
@@ -88,7 +90,7 @@
 
 
 def outcome_txn(managed: ManagedJob, fence: int, limit: int, at: float = 0.0) -> OutcomeTxn:
-    """Commit outcomes, chunk by chunk; the last one ends the job in the same transaction.
+    """Build a transaction that records outcomes; it also ends the job with the last outcome.
 
     Args:
         managed: The job.
@@ -129,14 +131,15 @@
 
 
 def split_txn(committed: CommittedTasks, fence: int, limit: int, written: set[int]) -> SplitTxn:
-    """The next step of a split: narrower chunks are written as long as there are any, then the
-    wider ones are deleted.
+    """Build the next transaction of a split.
+
+    All narrower chunks are written before the first wider chunk is deleted.
 
     Args:
         committed: The job's tasks.
         fence: The revision of the record of the epoch.
         limit: The most chunks that the transaction may change.
-        written: The indexes of the narrower chunks that earlier steps have written.
+        written: The indexes of the narrower chunks that earlier transactions have written.
     """
     txn = Txn().require(EPOCH_KEY, fence)
     chunks: dict[int, Chunk] = {}
@@ -161,7 +164,7 @@
     """Make a transaction conditional on a chunk's revision.
 
     Returns:
-        A copy of the chunk, to be changed.
+        A copy of the chunk that the caller may change.
     """
     old = committed.chunks.get(index)
     txn.require(committed.key(index), old.rev if old else 0)
--- a/clayport/leases/__init__.py
+++ b/clayport/leases/__init__.py
@@ -1,22 +1,22 @@
-"""When the leases of workers may be renewed, and when users may be told of cancellations.
+"""Decides when workers' leases may be renewed, and when users may be told of cancellations.
 
-A task of a cancelled job must be gone within `cancel_s` of the moment in which its user was
-told of the cancellation. It is gone when its worker has killed it, or when the lease of its
-machine has expired. So a controller renews a lease only as long as it knows every cancellation
-that any user was told of before a recent moment; the tasks of those that it knows, it has had
-killed.
+A task of a cancelled job must be gone within `cancel_s` after its user was told of the
+cancellation. The task is gone when its worker has killed it, or when the lease of its machine
+has expired. A controller therefore renews leases only while it knows every cancellation that
+was disclosed to any user up to a recent time. It has the tasks of known cancelled jobs killed.
 
-A controller knows of cancellations from two sources:
+A controller learns of cancellations from two sources:
 
-* The records. A controller that has read them as they were at a time knows all that was
-  committed before.
-* Promises. A promise is a time-limited undertaking of one controller towards another to
-  disclose no cancellation to users that the other has not acknowledged. Controllers renew
-  their promises with their heartbeats. A promise binds its giver until it expires, also across
-  a restart: a controller that starts assumes that its predecessor has just promised everything
-  to everybody.
+* The records. A controller that has read the records as of a time knows all cancellations
+  that were committed before.
+* Promises. With a promise, one controller undertakes towards another not to disclose any
+  cancellation to users that the other has not acknowledged. A promise expires, and is renewed
+  with the controllers' heartbeats. It binds its giver until it expires, also across a restart:
+  a controller that starts assumes that its predecessor has just renewed its promises to all
+  peers.
 
-`promises` has the side of the controller that tells users, `watermark` the side of the one
-that renews leases. Neither does I/O; times are seconds of this process's monotonic clock.
-`disclosure` has peers acknowledge cancellations, and has answers to users wait for that.
+`promises` implements the side of the controller that tells users, and `watermark` the side of
+the controller that renews leases. Neither does I/O; times are seconds of this process's
+monotonic clock. `disclosure` notifies peers of cancellations, and delays answers to users until
+the cancellations may be disclosed.
 """
--- a/clayport/leases/disclosure.py
+++ b/clayport/leases/disclosure.py
@@ -1,4 +1,4 @@
-"""Tells peers of cancellations, and says when users may be told of them."""
+"""Notifies peers of cancellations, and delays answers to users until they may be told."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from clayport.transport import frames, peers
 from clayport.transport.peers import Peer
 
-# Cancellations that a peer is told of at a time once it is heard again.
+# How many cancellations are sent again at a time to a peer that sends heartbeats again.
 RESEND_BATCH = 50
 
 
 class CancellationDisclosure:
-    """Has peers acknowledge cancellations, as `Promises` asks for before users are told.
+    """Has peers acknowledge cancellations, which `Promises` requires before users are told.
 
     Args:
-        membership: Gives the interval at which waiting requests look again.
+        membership: Gives the lease's lifetime, from which the polling interval is derived.
         peers: The other controllers, by label.
-        promises: What peers were promised and have acknowledged.
+        promises: The promises to the peers, and the peers' acknowledgements.
         routines: The signals and short-lived routines of this process.
-        cancel_s: For how long a peer is told of a cancellation, in seconds.
+        cancel_s: For how long a peer is notified of a cancellation, in seconds.
     """
 
     def __init__(
@@ -42,28 +42,29 @@
         self.promises = promises
         self.routines = routines
         self.cancel_s = cancel_s
-        # By the peer's label and the job, the cancellations that peers are being told of.
+        # The notifications in flight, by the peer's label and the job; a set in order.
         self.in_flight: dict[tuple[str, str], None] = {}
 
-    async def announced(self, job: str, deadline: Deadline) -> None:
-        """Wait until users may be told that a job is cancelled (`leases.promises`).
+    async def wait_until_disclosable(self, job: str, deadline: Deadline) -> None:
+        """Wait until users may be told that a job is cancelled (see `leases.promises`).
 
         Args:
             job: The cancelled job.
-            deadline: Until when its user waits for the answer.
+            deadline: The deadline of the user's request.
 
         Raises:
-            UnavailableError: That isn't in time.
+            UnavailableError: Users may not be told before the deadline.
         """
         name = f"told {job}"
         while not self.promises.try_disclose(job, time.monotonic()):
-            self.tell_cancelled(job)
+            self.notify_peers(job)
             now = time.monotonic()
             wait_s = self.promises.disclosure_delay_s(job, now)
             if not deadline.allows(now):
                 self.routines.events.pop(name, None)
                 raise UnavailableError("not everybody knows of it yet", wait_s)
-            # (Who waits for the same at the same time may have taken the signal.)
+            # The wait is short, because another request for the same job may have consumed the
+            # signal.
             await self.routines.wait(
                 name,
                 max(
@@ -77,22 +78,22 @@
             )
         self.routines.events.pop(name, None)
 
-    def tell_cancelled(self, job: str) -> None:
-        """Have all peers acknowledge a cancellation that they don't know of yet."""
+    def notify_peers(self, job: str) -> None:
+        """Notify all peers that have not acknowledged a cancellation."""
         for label in self.promises.unacknowledged_peers(job):
-            self._start_telling(label, job)
+            self._start_notification(label, job)
 
     def resend_cancellations(self, label: str) -> None:
-        """Tell a peer that is heard again of cancellations that it has not acknowledged."""
+        """Notify a peer that sends heartbeats again of cancellations it has not acknowledged."""
         for job in self.promises.unacknowledged_jobs(label)[:RESEND_BATCH]:
-            self._start_telling(label, job)
+            self._start_notification(label, job)
 
-    def _start_telling(self, label: str, job: str) -> None:
+    def _start_notification(self, label: str, job: str) -> None:
         if (label, job) not in self.in_flight:
             self.in_flight[label, job] = None
-            self.routines.spawn(self._tell_cancelled(label, job))
+            self.routines.spawn(self._notify_peer(label, job))
 
-    async def _tell_cancelled(self, label: str, job: str) -> None:
+    async def _notify_peer(self, label: str, job: str) -> None:
         peer = self.peers[label]
         end = time.monotonic() + self.cancel_s
         attempt = peer.begin()
--- a/clayport/leases/promises.py
+++ b/clayport/leases/promises.py
@@ -1,6 +1,6 @@
-"""What this controller has promised its peers about cancellations that it tells users of.
+"""The promises of this controller to its peers about the disclosure of cancellations.
 
-The package's docstring says what a promise is and what it is for.
+The package's docstring defines promises and their purpose.
 """
 
 from __future__ import annotations
@@ -9,36 +9,38 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-# A promise is not renewed to a peer whose acknowledgement a user has awaited for more than
-# this share of a promise's duration.
+# A promise is not renewed while a user has been waiting for the peer's acknowledgement for more
+# than this share of a promise's duration.
 ACKNOWLEDGEMENT_SHARE = 0.1
-# The cancellations told of without a peer's acknowledgement that are kept by job, for each
-# peer. Of more, only the revision is kept up to which the peer has to read the records.
+# The most cancellations per peer that are kept by job after they were disclosed without the peer's
+# acknowledgement. For older ones, only the revision is kept up to which the peer has to read the
+# records.
 MAX_MISSED_CANCELLATIONS = 2000
-# The most jobs in each of the other tables; the oldest entry is dropped for a new one.
+# The most jobs in each of the other tables; the oldest entry is evicted.
 MAX_NOTED_JOBS = 20_000
 
 _Value = TypeVar("_Value")
 
 
 class Promises:
-    """What each peer has acknowledged, and until when this controller is bound towards it.
+    """The peers' acknowledgements, and the expiry of the promises to them.
 
     Attributes:
-        duration_s: How long a promise binds.
+        duration_s: The duration of a promise.
         expires_at: By peer, when the promise to it expires.
-        unacknowledged: By peer, the jobs of whose cancellation users were told without its
+        unacknowledged: By peer, the jobs whose cancellation was disclosed without the peer's
             acknowledgement, each with the revision of its final record (infinite if unknown).
-        required_rev: By peer, the revision up to which it has to read the records, for the
-            jobs that were too many to be kept in `unacknowledged`; 0 for none.
-        acknowledged_by: By job that users were not told of yet, the peers that know its end.
+        required_rev: By peer, the revision up to which it has to read the records because of
+            jobs evicted from `unacknowledged`; 0 for none.
+        acknowledged_by: By job whose cancellation is not disclosed yet, the peers that have
+            acknowledged it.
         end_revs: By cancelled job, the revision of its final record.
-        disclosed: The jobs of whose cancellation users may be told (a set in order).
-        waiting_since: By job, since when a user has been waiting to be told.
+        disclosed: The jobs whose cancellation may be disclosed to users (a set in order).
+        waiting_since: By job, since when a user has been waiting for the disclosure.
     """
 
     def __init__(self, peers: Iterable[str], duration_s: float, now: float) -> None:
-        """Begin bound towards all peers, as the process before this one may be."""
+        """Start with promises to all peers, because the previous process may have made them."""
         self.duration_s = duration_s
         self.expires_at = dict.fromkeys(peers, now + duration_s)
         self.unacknowledged: dict[str, dict[str, float]] = {p: {} for p in self.expires_at}
@@ -49,12 +51,12 @@
         self.waiting_since: dict[str, float] = {}
 
     def note_end(self, job: str, rev: int) -> None:
-        """Record the revision of a cancelled job's final record; 0 if it is not known."""
+        """Record the revision of a cancelled job's final record; 0 if it is unknown."""
         if rev:
             self._note(self.end_revs, job, float(rev))
 
     def acknowledge(self, peer: str, job: str) -> None:
-        """Record that the peer has said that it knows of the job's end."""
+        """Record that the peer has acknowledged the cancellation of the job."""
         if self.unacknowledged[peer].pop(job, None) is None and job not in self.disclosed:
             if job not in self.acknowledged_by:
                 self._note(self.acknowledged_by, job, set())
@@ -71,11 +73,12 @@
             self.required_rev[peer] = 0.0
 
     def renew(self, peer: str, now: float) -> bool:
-        """Renew the promise to the peer, if it may be renewed; return whether it was.
+        """Renew the promise to the peer if that is allowed, and return whether it was renewed.
 
-        It may not while the peer lacks a cancellation that users were told of, nor when a user
-        has been waiting for the peer's acknowledgement: a peer whose heartbeats arrive here but
-        that can't be reached would keep users waiting for ever.
+        The promise is not renewed while the peer has not acknowledged a disclosed cancellation.
+        Nor is it renewed while a user has been waiting too long for the peer's acknowledgement,
+        because a peer whose heartbeats arrive here, but that can't be reached from here, would
+        delay the user forever.
         """
         if (
             self.unacknowledged[peer]
@@ -91,32 +94,32 @@
         return True
 
     def unacknowledged_jobs(self, peer: str) -> list[str]:
-        """Return the jobs that the peer has to acknowledge before its promise is renewed."""
+        """Return the jobs whose cancellation the peer has to acknowledge before a renewal."""
         return [
             *self.unacknowledged[peer],
             *(job for job in self.waiting_since if peer not in self.acknowledged_by.get(job, ())),
         ]
 
     def unacknowledged_peers(self, job: str) -> list[str]:
-        """Return the peers that have not acknowledged the job's end."""
+        """Return the peers that have not acknowledged the cancellation of the job."""
         acknowledged_by = self.acknowledged_by.get(job, ())
         return [peer for peer in self.expires_at if peer not in acknowledged_by]
 
     def disclosure_delay_s(self, job: str, now: float) -> float:
-        """Return for how long the user of a job may not be told yet, unless more peers
-        acknowledge its end.
+        """Return the time in seconds until the cancellation of a job may be disclosed.
 
-        For jobs that nobody was told of; 0 or less means that users may be told now.
+        The time assumes that no further peer acknowledges the cancellation. 0 or less means that
+        users may be told now. Only valid for a job that is not in `disclosed`.
         """
         return max(
             (self.expires_at[peer] - now for peer in self.unacknowledged_peers(job)), default=0.0
         )
 
     def try_disclose(self, job: str, now: float) -> bool:
-        """Return whether users may be told that the job is cancelled, and record it if so.
+        """Return whether users may be told that the job is cancelled, and record the disclosure.
 
-        Once they may, they always may: a peer that has not acknowledged the job's end holds no
-        promise, and gets none before it does.
+        A disclosure stays permitted: a peer that has not acknowledged the cancellation holds no
+        valid promise, and gets no new one before it has acknowledged.
         """
         if job in self.disclosed:
             return True
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -1,4 +1,4 @@
-"""Whether this controller may renew workers' leases, and whether users should come to it."""
+"""Decides whether this controller may renew workers' leases, and reports its health."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class LeaseRenewal:
-    """Decides from what is known here; times are on the steady clock, in seconds.
+    """Decides on renewals by local state; times are on the monotonic clock, in seconds.
 
     Attributes:
-        renewing_s: How long leases may be renewed without knowing what users are told. It
-            leaves a lease of the time that a cancellation has, and a report's interval for
-            drift and whatever is late.
+        max_watermark_age_s: The largest age of the cancellation watermark at which leases are still
+            renewed. A lease renewed at that age expires within `cancel_s` of the watermark,
+            with a report interval as a margin for clock drift and delays.
     """
 
     def __init__(
@@ -33,14 +33,17 @@
         self.store = store
         self.peers = peers
         self.watermark = watermark
-        self.renewing_s = workers.cancel_s - workers.lease_s - workers.report_s
+        self.max_watermark_age_s = workers.cancel_s - workers.lease_s - workers.report_s
 
     def state_lost(self, now: float) -> bool:
-        """Whether the state service has not answered for longer than our key's lease."""
+        """Return whether the state service has not answered for longer than a key's lease lasts."""
         return not self.store.ok and now - self.store.last_served_at > self.membership.lease_ttl_s
 
     def healthy(self) -> bool:
-        """Whether users should come here: in an outage that everybody has, yes."""
+        """Return whether users should send requests to this controller.
+
+        In an outage of the state service that affects all controllers, they should.
+        """
         now, membership = time.monotonic(), self.membership
         if not membership.records_loaded or not membership.is_member or membership.away:
             return False
@@ -52,10 +55,11 @@
         return True
 
     def superseded(self, now: float) -> bool:
-        """Whether a peer that reaches the state service acts under a newer epoch.
+        """Return whether a peer that reaches the state service is in a newer epoch.
 
-        A controller that lost the state service alone does not see its own eviction
-        in the watch; if it kept its workers, their new owners would never hear them.
+        A controller that alone lost the state service does not see its own removal from the
+        members in the watch. If it kept answering its workers, their new owners would never
+        receive their reports.
         """
         membership = self.membership
         return any(
@@ -66,15 +70,13 @@
         )
 
     def may_renew(self, now: float) -> bool:
-        """Whether workers' leases may be renewed.
-
-        A cancelled task must not be kept alive past its deadline by a controller that doesn't
-        know of the cancellation.
+        """Return whether workers' leases may be renewed.
 
-        Silence proves nothing: that no peer reached the state service was once taken for a
-        proof that nobody had been told of a cancellation, and one that had told it, and ended
-        a moment later, was not missed.
+        A controller that doesn't know of a cancellation must not keep the job's tasks alive past
+        the deadline of the cancellation. That no peer reaches the state service does not prove
+        that no cancellation was disclosed: a peer may have told a user and crashed right after.
+        Only the watermark counts.
         """
         if self.state_lost(now) and self.superseded(now):
             return False
-        return now - self.watermark.known_until() < self.renewing_s
+        return now - self.watermark.known_until() < self.max_watermark_age_s
--- a/clayport/leases/watermark.py
+++ b/clayport/leases/watermark.py
@@ -1,6 +1,6 @@
-"""Up to when a controller that renews leases knows every cancellation that users were told of.
+"""The time up to which this controller knows every cancellation that was disclosed to users.
 
-The package's docstring says what a promise is and what it is for.
+The package's docstring defines promises and their purpose.
 """
 
 from __future__ import annotations
@@ -8,25 +8,26 @@
 import math
 from collections.abc import Iterable
 
-# The share of a promise's duration that its receiver counts on: clocks drift apart (by 0.05 %).
+# The share of a promise's duration that its receiver relies on, because the rates of two clocks
+# differ (by 0.05 %).
 PROMISE_CERTAINTY = 0.99
 
 
 class CancellationWatermark:
-    """The moment up to which all cancellations disclosed to users are known here.
+    """Tracks the time up to which all cancellations disclosed to users are known here.
 
     Attributes:
-        duration_s: How long a promise is counted on.
-        records_read_at: When the records were read that are known here; they may be newer.
-        valid_until: By peer, until when its promises are counted on.
-        incarnations: By peer, the process that last promised.
-        promise_requested_at: By peer, when the request was sent that its last promise answered.
-        required_read_at: By peer, the moment after which the records must have been read for
-            its promises to count.
+        duration_s: How long a promise is relied on.
+        records_read_at: The time as of which the records are known here at least.
+        valid_until: By peer, until when its promises are relied on.
+        incarnations: By peer, the process that gave the last promise.
+        promise_requested_at: By peer, when the request for its last promise was sent.
+        required_read_at: By peer, the time after which the records must have been read for its
+            promises to be relied on.
     """
 
     def __init__(self, peers: Iterable[str], duration_s: float) -> None:
-        """Begin without any knowledge; `duration_s` is the promises' duration at their givers."""
+        """Start without any knowledge; `duration_s` is the promises' duration at their givers."""
         self.duration_s = duration_s * PROMISE_CERTAINTY
         self.records_read_at = -math.inf
         self.valid_until = dict.fromkeys(peers, -math.inf)
@@ -35,21 +36,21 @@
         self.required_read_at = dict.fromkeys(self.valid_until, math.inf)
 
     def note_records_read(self, at: float) -> None:
-        """Record that all that was committed before the moment is known here."""
+        """Record that all changes committed before `at` are known here."""
         self.records_read_at = max(self.records_read_at, at)
 
     def note_promise(self, peer: str, incarnation: str, sent: float, received: float) -> None:
-        """Record the promise that a peer's process has given in answer to a request.
+        """Record a promise that a process of the peer gave in answer to a request.
 
-        No cancellation unknown here was disclosed if the promise before still holds, or if the
-        same process has promised before and so vouches for the time between. What another
-        process may have disclosed after the last promise of its predecessor had expired, only
-        the records can say.
+        The promise covers the time before it too if the previous promise is still valid, or if
+        the same process gave it: a process renews a promise only after the receiver has
+        acknowledged all disclosed cancellations. A new process doesn't know what its predecessor
+        disclosed after the last promise had expired, so then the records have to be read.
 
         Args:
             peer: The peer's label.
             incarnation: The peer's process.
-            sent: When the request was sent, from which the promise's duration counts.
+            sent: When the request was sent; the promise's duration counts from then.
             received: When the answer arrived.
         """
         if received > self.valid_until[peer] and incarnation != self.incarnations[peer]:
@@ -58,9 +59,9 @@
         self.valid_until[peer] = max(self.valid_until[peer], sent + self.duration_s)
 
     def known_until(self) -> float:
-        """Return the moment up to which every cancellation that a user was told of is known."""
-        # Clocks advance in steps: records read at the very moment required may have been read
-        # before it, so the two being equal is not enough.
+        """Return the time up to which every cancellation disclosed to users is known here."""
+        # Clocks advance in steps, so a read with the same timestamp as the requirement may have
+        # happened before it. The time of the read has to be strictly later.
         if self.records_read_at == -math.inf or any(
             self.records_read_at <= required for required in self.required_read_at.values()
         ):
