--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -94,7 +94,7 @@
 
         self.errors: dict[str, int] = {}  # failures by machine, the latest last
         self.has_completed_task = False
-        self.suspected = False  # found to be at fault under an earlier epoch
+        self.suspected = False  # whether it was found at fault under an earlier epoch
         self.failed_retries = 0  # since the job was found to be at fault
         self.pause_s, self.pause_most_s = pause_s, pause_most_s
 
@@ -128,7 +128,7 @@
     def pending(self) -> int:
         """How many tasks wait for a machine.
 
-        The tasks of a gang don't, until the last task of its failed attempt is gone.
+        A gang has none while tasks of its failed attempt are still assigned.
         """
         if self.ended or self.blocked:
             return 0
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""What is committed of a job, under which conditions, and how it is divided."""
+"""A job's transactions and their conditions, verdicts on task events, and chunk sizes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tests.world import job as wire_job
 
 
-def home(**fields: Any) -> ManagedJob:
+def make_managed_job(**fields: Any) -> ManagedJob:
     return ManagedJob(msgspec.convert(wire_job(1, **fields), Job), 5, 100, 0.0)
 
 
-def started(managed: ManagedJob, count: int = 3, rev: int = 10) -> ManagedJob:
+def start_tasks(managed: ManagedJob, count: int = 3, rev: int = 10) -> ManagedJob:
     numbers = managed.take_pending(count)
     managed.attempt += 1
     _, chunks = start_txn(managed, 7, [(n, "m1") for n in numbers], managed.attempt)
@@ -34,18 +34,18 @@
 
 
 def test_launch_is_fenced_by_epoch_job_and_chunk() -> None:
-    """A cancellation or an eviction between the write-ahead and the commit stops it."""
-    managed = home()
+    """The commit fails if the job was cancelled, or the epoch ended, before it."""
+    managed = make_managed_job()
     txn, _ = start_txn(managed, 7, [(0, "m1")], 1)
     assert txn.when == {"c/generation": 7, live_key("j-000001"): 5, chunk_key("j-000001", 0): 0}
 
 
 def test_last_outcome_ends_the_job_in_the_same_transaction() -> None:
-    managed = started(home())
+    managed = start_tasks(make_managed_job())
     for number in range(3):
         assert managed.handle_event("m1", number, 1, "exited", "done", 1.0) == Verdict.OK
-    txn, _, covered, over = outcome_txn(managed, 7, 9)
-    assert over and covered == [0, 1, 2]
+    txn, _, covered, ends_job = outcome_txn(managed, 7, 9)
+    assert ends_job and covered == [0, 1, 2]
     assert txn.when[live_key("j-000001")] == 5 and txn.when["c/generation"] == 7
     assert {w.get("write") or w.get("remove") for w in txn.writes} == {
         live_key("j-000001"),
@@ -55,27 +55,27 @@
 
 
 @pytest.mark.parametrize(
-    "cause, again",
+    "cause, requeued",
     [("done", 0), ("error", 1), ("stopped", 1), ("", 1), ("no_room", 1), ("mates_gone", 1)],
 )
-def test_what_is_not_done_waits_again(cause: str, again: int) -> None:
-    managed = started(home())
+def test_tasks_that_are_not_done_are_requeued(cause: str, requeued: int) -> None:
+    managed = start_tasks(make_managed_job())
     managed.handle_event("m1", 1, 1, "exited" if cause else GONE, cause, 1.0)
-    _, chunks, covered, over = outcome_txn(managed, 7, 9)
-    assert not over
+    _, chunks, covered, ends_job = outcome_txn(managed, 7, 9)
+    assert not ends_job
     managed.apply_commit(chunks, 11)
     assert managed.clear_outcomes(covered) == [(1, 1)]
-    assert managed.pending == again
-    assert managed.take_pending(5) == [1] * again
+    assert managed.pending == requeued
+    assert managed.take_pending(5) == [1] * requeued
 
 
-def test_done_of_a_cancelled_job_counts_for_nothing() -> None:
-    managed = started(home(pieces=3))
+def test_done_tasks_of_a_cancelled_job_are_not_recorded() -> None:
+    managed = start_tasks(make_managed_job(pieces=3))
     managed.ended = "cancelled"
     for number in range(3):
         managed.handle_event("m1", number, 1, "exited", "done", 1.0)
-    txn, chunks, _, over = outcome_txn(managed, 7, 9)
-    assert not over and not chunks[0].done
+    txn, chunks, _, ends_job = outcome_txn(managed, 7, 9)
+    assert not ends_job and not chunks[0].done
     assert [w for w in txn.writes if "remove" in w] == [{"remove": chunk_key("j-000001", 0)}]
 
 
@@ -87,25 +87,25 @@
         (("m1", 0, 9, "running", ""), Verdict.KILL),  # another attempt
         (("m1", 0, 9, "exited", "stopped"), Verdict.CLEAR),
         (("m1", 0, 9, GONE, ""), Verdict.OK),
-        (("m1", 2, 1, "running", ""), Verdict.LATER),  # its commit is under way
+        (("m1", 2, 1, "running", ""), Verdict.LATER),  # its start is being committed
     ],
 )
 def test_verdicts(event: tuple[str, int, int, str, str], verdict: Verdict) -> None:
-    managed = started(home(), 2)
+    managed = start_tasks(make_managed_job(), 2)
     managed.take_pending(1)
     assert managed.handle_event(*event, 1.0) == verdict
 
 
-def test_verdicts_have_the_numbers_of_the_wire() -> None:
-    """Controllers of the version before send and read the bare numbers."""
+def test_verdicts_keep_their_numbers_on_the_wire() -> None:
+    """Controllers of the previous version send and read the numbers."""
     names = ["OK", "KILL", "CLEAR", "LATER", "JOB_AT_FAULT", "MACHINE_AT_FAULT"]
     assert [(verdict.name, int(verdict)) for verdict in Verdict] == [
         (name, number) for number, name in enumerate(names)
     ]
 
 
-def test_gang_waits_for_its_last_old_task() -> None:
-    managed = started(home(shape="ensemble"))
+def test_gang_waits_for_the_last_task_of_its_failed_attempt() -> None:
+    managed = start_tasks(make_managed_job(shape="ensemble"))
     for number in range(3):
         managed.handle_event("m1", number, 1, "running", "", 1.0)
     managed.handle_event("m1", 0, 1, "exited", "mates_gone", 1.0)
@@ -127,12 +127,12 @@
     [
         ("waiting", "", True),
         ("pulling", "", True),
-        ("running", "", False),  # started: the attempt is over
-        ("waiting", "alone", False),  # the others have given up waiting
+        ("running", "", False),  # the gang has started, so its attempt has failed
+        ("waiting", "alone", False),  # the other tasks have stopped waiting
     ],
 )
 def test_gang_that_has_not_started_is_completed(state: str, cause: str, filled: bool) -> None:
-    managed = started(home(shape="ensemble"))
+    managed = start_tasks(make_managed_job(shape="ensemble"))
     for number in (1, 2):
         managed.handle_event("m1", number, 1, state, "", 1.0)
     managed.handle_event("m1", 0, 1, "exited" if cause else GONE, cause, 2.0)
@@ -144,22 +144,22 @@
     assert managed.lost_machines == {"m1"}  # the replacement goes elsewhere
 
 
-def test_attempts_never_repeat_over_a_takeover() -> None:
-    managed = started(home())
-    successor = home()
+def test_attempt_numbers_are_not_reused_after_a_change_of_leader() -> None:
+    managed = start_tasks(make_managed_job())
+    successor = make_managed_job()
     successor.load({0: Chunk.parse(json.loads(json.dumps(managed.chunks[0].value())), 10)})
     assert successor.attempt == 1 and successor.assigned == 3 and successor.pending == 0
     assert successor.assignments() == managed.assignments()
 
 
-def test_confirmed_returns_end_what_was_there() -> None:
-    managed = started(home())
+def test_confirmed_returns_of_machines_end_their_tasks() -> None:
+    managed = start_tasks(make_managed_job())
     assert managed.mark_machines_gone({"m1"}) and not managed.mark_machines_gone({"m2"})
     assert set(managed.outcomes) == {0, 1, 2}
 
 
 def test_job_that_fails_everywhere_backs_off() -> None:
-    managed = home(pieces=9)
+    managed = make_managed_job(pieces=9)
     for index in range(3):
         managed.take_pending(1)
         _, chunks = start_txn(managed, 7, [(index, f"m{index}")], index + 1)
@@ -194,13 +194,13 @@
     assert can_ever_run(msgspec.convert(wire_job(1, **fields), Job), limit) == ok
 
 
-def test_what_nobody_tells_of_is_asked_for_again() -> None:
+def test_tasks_that_no_owner_reports_are_found() -> None:
     managed = ManagedJob(msgspec.convert(wire_job(1, pieces=3), Job), 1, 50, 0.0)
     _, chunks = start_txn(managed, 1, [(0, "m1"), (1, "m1"), (2, "m2")], 1)
     managed.apply_commit(chunks, 2)
     assert managed.find_unreported(0.0, 10.0) == set()  # just committed
     managed.handle_event("m1", 1, 1, "running", "", 5.0)
-    assert managed.find_unreported(5.0, 10.0) == set()  # too soon for a second look
+    assert managed.find_unreported(5.0, 10.0) == set()  # too soon for a second check
     assert managed.find_unreported(11.0, 10.0) == {0, 2}
     managed.handle_event("m2", 2, 1, "gone", "", 12.0)
     assert managed.find_unreported(22.0, 10.0) == {0}
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -1,5 +1,7 @@
-"""Jobs that wait for others: what is ready, doomed, urgent; what users may name; and how the
-records of one version are found by the other."""
+"""Jobs with prerequisites: readiness, cancellation and urgency, and checks of submissions.
+
+Also the compatibility of records and frames with the previous version, and splits of chunks.
+"""
 
 from __future__ import annotations
 
@@ -26,27 +28,28 @@
 from tests.world import SETTINGS, Clock, World, job, simulate
 
 
-def made(number: int, *needs: int, **fields: Any) -> Job:
+def make_job(number: int, *prereq_numbers: int, **fields: Any) -> Job:
     return msgspec.convert(
-        job(number, prereqs=[f"j-{n:06d}" for n in needs] or None, **fields), Job
+        job(number, prereqs=[f"j-{n:06d}" for n in prereq_numbers] or None, **fields), Job
     )
 
 
-def name(number: int) -> str:
+def job_id(number: int) -> str:
     return f"j-{number:06d}"
 
 
-# -- the graph ---------------------------------------------------------------
+# -- the dependency graph -----------------------------------------------------
 
 
-# Steps: (job, needs...) is accepted, "d3" job 3 is done, "c3" it is cancelled.
+# Steps: (3, 1, 2): job 3 with the prerequisites 1 and 2 is accepted; "d3": job 3 is done; "c3": job
+# 3 is cancelled.
 @pytest.mark.parametrize(
     "steps, waiting, doomed",
     [
         ([(1,), (2, 1)], {2}, set()),
         ([(1,), (2, 1), "d1"], set(), set()),
         ([(1,), "d1", (2, 1)], set(), set()),
-        ([(2, 1), "d1"], set(), set()),  # seen before what it needs
+        ([(2, 1), "d1"], set(), set()),  # accepted before its prerequisite is known
         ([(2, 1), (1,), "d1"], set(), set()),
         ([(1,), (2,), (3, 1, 2), "d1"], {3}, set()),
         ([(1,), (2,), (3, 1, 2), "d1", "d2"], set(), set()),
@@ -54,105 +57,125 @@
         ([(1,), (2, 1), "c1"], {2}, {2}),
         ([(1,), "c1", (2, 1)], {2}, {2}),
         ([(1,), (2, 1), (3, 2), (4, 3), "c1"], {2, 3, 4}, {2, 3, 4}),
-        ([(1,), (2, 1), (3, 1), (4, 2, 3), "c2"], {3, 4}, {4}),  # the other branch goes on
+        ([(1,), (2, 1), (3, 1), (4, 2, 3), "c2"], {3, 4}, {4}),  # the other branch is not cancelled
         ([(1,), (2, 1), (3, 2), "c1", (4, 3)], {2, 3, 4}, {2, 3, 4}),
-        ([(1,), (3, 2), "c1", (2, 1)], {2, 3}, {2, 3}),  # the link between comes last
+        ([(1,), (3, 2), "c1", (2, 1)], {2, 3}, {2, 3}),  # the job between them comes last
         ([(1,), (2, 1), "c1", "c2"], set(), set()),
         ([(1,), (2, 1), "c1", "d1"], {2}, {2}),  # final records never change
-        ([(1,), (2, 1), "c2"], set(), set()),  # what it needs is left alone
+        ([(1,), (2, 1), "c2"], set(), set()),  # its prerequisite is not affected
     ],
 )
 def test_ready_and_doomed(steps: list[Any], waiting: set[int], doomed: set[int]) -> None:
     dependencies = DependencyGraph(1.0, 0.0)
     for step in steps:
         if isinstance(step, str):
-            dependencies.end(name(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
+            dependencies.end(job_id(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
         else:
-            dependencies.add(made(*step), 1.0)
+            dependencies.add(make_job(*step), 1.0)
     assert {n for n in dependencies.nodes if dependencies.is_waiting(n)} == {
-        name(n) for n in waiting
+        job_id(n) for n in waiting
     }
-    assert dependencies.to_cancel == {name(n) for n in doomed}
+    assert dependencies.to_cancel == {job_id(n) for n in doomed}
 
 
-def test_wide_and_deep_graphs_cost_what_they_touch() -> None:
+def test_cancellation_clears_a_wide_and_deep_graph() -> None:
     dependencies = DependencyGraph(1.0, 0.0)
-    dependencies.add(made(0), 0.0)
+    dependencies.add(make_job(0), 0.0)
     for n in range(1, 61):
-        dependencies.add(made(n, n - 1), 0.0)
+        dependencies.add(make_job(n, n - 1), 0.0)
     for n in range(100, 600):
-        dependencies.add(made(n, 0), 0.0)
-    ready, doomed, _ = dependencies.end(name(0), "cancelled", 1.0)
+        dependencies.add(make_job(n, 0), 0.0)
+    ready, doomed, _ = dependencies.end(job_id(0), "cancelled", 1.0)
     assert not ready and len(doomed) == 560
     for found in doomed:
         dependencies.end(found, "cancelled", 2.0)
     assert not dependencies.nodes and not dependencies.dependents and not dependencies.to_cancel
 
 
-LAST = {"rank": "high", "due_s": 100.0, "guess_s": 8.0, "image_gb": 1.0}
+LAST_JOB_FIELDS = {"rank": "high", "due_s": 100.0, "guess_s": 8.0, "image_gb": 1.0}
 
 
 @pytest.mark.parametrize(
     "jobs, ends, found",
     [
-        # job: (rank, time left from when it was ready); a run of 8 s and a fetch of 1 s each
+        # job: (rank, deadline after the time it was ready); each runs for 8 s and fetches for 1 s
         (
-            [made(1), made(2, 1), made(3, 2, **LAST)],
+            [make_job(1), make_job(2, 1), make_job(3, 2, **LAST_JOB_FIELDS)],
             {},
             {1: (2, 82.0), 2: (2, 91.0), 3: (2, 100.0)},
         ),
         (
-            [made(3, 2, **LAST), made(2, 1), made(1)],
+            [make_job(3, 2, **LAST_JOB_FIELDS), make_job(2, 1), make_job(1)],
             {},
             {1: (2, 82.0), 2: (2, 91.0), 3: (2, 100.0)},
         ),
-        ([made(1), made(2, 1), made(3, 2, **LAST)], {1: 30.0}, {2: (2, 61.0), 3: (2, 100.0)}),
-        # One serves two: the more urgent counts, and when that one has gone the other.
         (
-            [made(1), made(2, 1, **LAST), made(3, 1, **{**LAST, "due_s": 40.0})],
+            [make_job(1), make_job(2, 1), make_job(3, 2, **LAST_JOB_FIELDS)],
+            {1: 30.0},
+            {2: (2, 61.0), 3: (2, 100.0)},
+        ),
+        # Of two dependents the more urgent one counts, until it ends.
+        (
+            [
+                make_job(1),
+                make_job(2, 1, **LAST_JOB_FIELDS),
+                make_job(3, 1, **{**LAST_JOB_FIELDS, "due_s": 40.0}),
+            ],
             {},
             {1: (2, 31.0), 2: (2, 100.0), 3: (2, 40.0)},
         ),
         (
-            [made(1), made(2, 1, **LAST), made(3, 1, **{**LAST, "due_s": 40.0})],
+            [
+                make_job(1),
+                make_job(2, 1, **LAST_JOB_FIELDS),
+                make_job(3, 1, **{**LAST_JOB_FIELDS, "due_s": 40.0}),
+            ],
             {3: 5.0},
             {1: (2, 91.0), 2: (2, 100.0)},
         ),
-        ([made(1), made(2, 1, **LAST)], {2: 5.0}, {1: (1, None)}),
-        # Its own deadline, or its class's time, may come first.
-        ([made(1, due_s=20.0), made(2, 1, **LAST)], {}, {1: (2, 20.0), 2: (2, 100.0)}),
-        ([made(1, jobclass="timed"), made(2, 1, **LAST)], {}, {1: (2, 50.0), 2: (2, 100.0)}),
-        # What asks for nothing changes nothing.
-        ([made(1, rank="production"), made(2, 1)], {}, {1: (3, None), 2: (1, None)}),
+        ([make_job(1), make_job(2, 1, **LAST_JOB_FIELDS)], {2: 5.0}, {1: (1, None)}),
+        # The job's own deadline, or the limit of its class, may be earlier.
+        (
+            [make_job(1, due_s=20.0), make_job(2, 1, **LAST_JOB_FIELDS)],
+            {},
+            {1: (2, 20.0), 2: (2, 100.0)},
+        ),
+        (
+            [make_job(1, jobclass="timed"), make_job(2, 1, **LAST_JOB_FIELDS)],
+            {},
+            {1: (2, 50.0), 2: (2, 100.0)},
+        ),
+        # A dependent without a deadline changes nothing.
+        ([make_job(1, rank="production"), make_job(2, 1)], {}, {1: (3, None), 2: (1, None)}),
     ],
 )
-def test_urgency_reaches_back(
+def test_prerequisites_inherit_urgency(
     jobs: list[Job], ends: dict[int, float], found: dict[int, tuple[int, float | None]]
 ) -> None:
     dependencies = DependencyGraph(1.0, 0.0)
-    for one in jobs:
-        dependencies.add(one, 0.0)
+    for description in jobs:
+        dependencies.add(description, 0.0)
     for number, at in ends.items():
-        dependencies.end(name(number), "done" if number == 1 else "cancelled", at)
-    views = {n: dependencies.effective_job(name(n), {"timed": 50.0}) for n in found}
-    assert {n: (v.rank, v.deadline_s) for n, v in views.items()} == found
+        dependencies.end(job_id(number), "done" if number == 1 else "cancelled", at)
+    effective_jobs = {n: dependencies.effective_job(job_id(n), {"timed": 50.0}) for n in found}
+    assert {n: (v.rank, v.deadline_s) for n, v in effective_jobs.items()} == found
 
 
-def test_records_that_name_each_other_end_nothing() -> None:
+def test_cyclic_prerequisites_keep_urgency_finite() -> None:
     dependencies = DependencyGraph(1.0, 0.0)
-    dependencies.add(made(1, 2, due_s=9.0), 0.0)
-    dependencies.add(made(2, 1), 0.0)
-    assert math.isfinite(dependencies.nodes[name(2)].due_at)
+    dependencies.add(make_job(1, 2, due_s=9.0), 0.0)
+    dependencies.add(make_job(2, 1), 0.0)
+    assert math.isfinite(dependencies.nodes[job_id(2)].due_at)
 
 
-# -- what users may name -----------------------------------------------------
+# -- prerequisites in submissions ---------------------------------------------
 
 
-def controller(world: World) -> Controller:
+def serving_controller(world: World) -> Controller:
     return next(c for c in world.controllers.values() if c.membership.serving)
 
 
-async def settled(clock: Clock, controllers: int = 1, **kept: Any) -> World:
+async def start_world(clock: Clock, controllers: int = 1, **kept: Any) -> World:
     world = World(clock, 1, controllers)
     for label in world.labels:
         await world.start(label)
@@ -181,40 +204,40 @@
         ([1], 400),
         ([None], 400),
         ({}, 400),
-        ([f"j-{n:06d}" for n in range(1000)], 400),  # no record would hold it
+        ([f"j-{n:06d}" for n in range(1000)], 400),  # larger than a record may be
         ([f"j-{n:06d}" for n in range(1001)], 400),
     ],
 )
-def test_what_a_submission_may_name(
+def test_which_prerequisites_a_submission_may_name(
     monkeypatch: pytest.MonkeyPatch, prereqs: Any, status: int
 ) -> None:
     async def main(clock: Clock) -> list[int]:
-        world = await settled(clock)
-        c = controller(world)
+        world = await start_world(clock)
+        c = serving_controller(world)
         for number, fields in ((1, {}), (2, {}), (3, {}), (4, {"shape": "daemon"})):
             await world.submit(job(number, **fields), 1e9)
         world.state.commit(
             {
                 "when": [],
                 "writes": [
-                    {"remove": live_key(name(2))},
-                    {"write": end_key(name(2)), "data": {"s": "done"}},
+                    {"remove": live_key(job_id(2))},
+                    {"write": end_key(job_id(2)), "data": {"s": "done"}},
                 ],
             }
         )
-        await world.abort(name(3))
+        await world.abort(job_id(3))
         await curio.sleep(0.5)
         body = msgspec.json.encode(job(100, prereqs=prereqs))
         found = []
         for forget in (False, True):
-            if forget:  # as after a restart, and before its watch has caught up
+            if forget:  # as after a restart, before the watch has caught up
                 if status == 201:
                     world.state.commit(
                         {
                             "when": [],
                             "writes": [
-                                {"remove": live_key(name(100))},
-                                {"remove": end_key(name(100))},
+                                {"remove": live_key(job_id(100))},
+                                {"remove": end_key(job_id(100))},
                             ],
                         }
                     )
@@ -226,16 +249,18 @@
                 ):
                     known.clear()
             found.append((await c.user_api.handle("POST", "/api/jobs", body))[0])
-        # A repeated submission is not refused, whatever it says by now.
+        # A repeated submission is not rejected, even if its prerequisites have changed state.
         found.append((await c.user_api.handle("POST", "/api/jobs", body))[0])
         return found
 
-    again = 200 if status == 201 else status
-    assert simulate(monkeypatch, main) == [status, status, again]
+    repeated_status = 200 if status == 201 else status
+    assert simulate(monkeypatch, main) == [status, status, repeated_status]
 
 
-def test_prereqs_are_refused_until_all_are_new(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version in production would start the job at once."""
+def test_prerequisites_are_refused_until_all_controllers_are_upgraded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A controller of the previous version would start the job at once."""
 
     async def main(clock: Clock) -> Any:
         world = World(clock, 1, 2)
@@ -244,9 +269,9 @@
             await world.start(label)
         await curio.sleep(20.0)
         await world.submit(job(1), 1e9)
-        body = msgspec.json.encode(job(2, prereqs=[name(1)]))
+        body = msgspec.json.encode(job(2, prereqs=[job_id(1)]))
         before = await world.controllers["c0"].user_api.handle("POST", "/api/jobs", body)
-        for old in (True, False):  # one that ends before its turn comes back old
+        for old in (True, False):  # c1 restarts with the old version first, then with the new one
             await world.crash("c1")
             await curio.sleep(2.0)
             if not old:
@@ -260,40 +285,40 @@
     assert simulate(monkeypatch, main) == (503, [("Retry-After", "1")], 201)
 
 
-# -- cancellation ------------------------------------------------------------
+# -- cancellation -------------------------------------------------------------
 
 
-@pytest.mark.parametrize("scene", ["crash", "crash_all", "outage", "late"])
-def test_cancellation_reaches_all_that_need_the_job(
-    monkeypatch: pytest.MonkeyPatch, scene: str
+@pytest.mark.parametrize("scenario", ["crash", "crash_all", "outage", "late"])
+def test_cancellation_reaches_all_dependents(
+    monkeypatch: pytest.MonkeyPatch, scenario: str
 ) -> None:
-    """Whoever is home to them cancels them, from the records alone."""
+    """The dependents' leaders cancel them from the records alone."""
 
     async def main(clock: Clock) -> World:
-        world = await settled(clock, 3)
+        world = await start_world(clock, 3)
         await curio.spawn(world.watch_rules, daemon=True)
         await world.submit(job(0, pieces=200), 1e9)
         for n in range(1, 31):
-            await world.submit(job(n, prereqs=[name(n - 1)]), 1.0)
+            await world.submit(job(n, prereqs=[job_id(n - 1)]), 1.0)
         for n in range(100, 160):
-            await world.submit(job(n, prereqs=[name(0), name(1)]), 1.0)
-        if scene != "late":
-            await world.abort(name(0))
-        told = clock()
-        if scene == "crash":
+            await world.submit(job(n, prereqs=[job_id(0), job_id(1)]), 1.0)
+        if scenario != "late":
+            await world.abort(job_id(0))
+        cancelled_at = clock()
+        if scenario == "crash":
             await world.crash(world.labels[0])
-        elif scene == "crash_all":
+        elif scenario == "crash_all":
             for label in world.labels:
                 await world.crash(label)
             for label in world.labels:
                 await world.start(label)
-        elif scene == "outage":
+        elif scenario == "outage":
             world.state.outage(clock(), 12.0)
         else:
-            await curio.spawn(world.abort, name(0), daemon=True)
-            await world.submit(job(200, prereqs=[name(30)]), 1.0)
-            told = clock()
-        while clock() < told + 30.0:
+            await curio.spawn(world.abort, job_id(0), daemon=True)
+            await world.submit(job(200, prereqs=[job_id(30)]), 1.0)
+            cancelled_at = clock()
+        while clock() < cancelled_at + 30.0:
             await curio.sleep(1.0)
             if not any(k.startswith("c/live/") for k in world.state.keys):
                 break
@@ -304,39 +329,41 @@
     assert simulate(monkeypatch, main).broken == []
 
 
-def test_a_missed_notice_delays_a_job_by_a_bounded_moment(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lost_watch_event_delays_a_dependent_for_a_bounded_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def main(clock: Clock) -> float:
-        world = await settled(clock)
-        c = controller(world)
+        world = await start_world(clock)
+        c = serving_controller(world)
         await world.submit(job(1, pieces=1), 5.0)
-        await world.submit(job(2, prereqs=[name(1)], pieces=1), 5.0)
+        await world.submit(job(2, prereqs=[job_id(1)], pieces=1), 5.0)
         monkeypatch.setattr(
             c.record_replica, "_apply", lambda change: None
-        )  # the watch tells nothing more
+        )  # the watch delivers no more changes
         await curio.sleep(1.0)
-        c.jobs.managed[name(1)].ended = "done"  # another home would have done it
+        c.jobs.managed[job_id(1)].ended = "done"  # as if another leader had ended it
         world.state.commit(
             {
                 "when": [],
                 "writes": [
-                    {"remove": live_key(name(1))},
-                    {"write": end_key(name(1)), "data": {"s": "done"}},
+                    {"remove": live_key(job_id(1))},
+                    {"write": end_key(job_id(1)), "data": {"s": "done"}},
                 ],
             }
         )
-        world.results[name(1)] = {0}
+        world.results[job_id(1)] = {0}
         before = clock()
-        while c.jobs.managed[name(2)].blocked:
+        while c.jobs.managed[job_id(2)].blocked:
             await curio.sleep(0.5)
         return clock() - before
 
     assert simulate(monkeypatch, main) < 20.0
 
 
-# -- records and frames that the versions share ------------------------------
+# -- records and frames shared with the previous version ----------------------
 
-# As the version before writes them, byte for byte.
-BEFORE = {
+# Records exactly as the previous version writes them.
+PREVIOUS_RECORDS = {
     "live": '{"j":{"id":"j-000001","jobclass":"batch","owner":"free","shape":"sweep",'
     '"rank":"normal","pieces":200,"vcpus":2.0,"cards":0.0,"ram_gb":4.0,"bundle":"img-1",'
     '"image_gb":1.0,"together":false,"scatter":false,"loaners":true,"guess_s":8.0,'
@@ -348,27 +375,29 @@
 }
 
 
-def test_records_of_the_version_before_are_read() -> None:
-    read = msgspec.convert(json.loads(BEFORE["live"])["j"], Job)
+def test_records_of_the_previous_version_are_read() -> None:
+    read = msgspec.convert(json.loads(PREVIOUS_RECORDS["live"])["j"], Job)
     assert (read.tasks, read.prereqs, read.deadline_s) == (200, None, None)
-    chunk = Chunk.parse(json.loads(BEFORE["chunk"]), 7)
+    chunk = Chunk.parse(json.loads(PREVIOUS_RECORDS["chunk"]), 7)
     assert chunk.assigned == {131: (4, "i-000001"), 199: (5, "i-000002")}
-    assert json.dumps(chunk.value(), separators=(",", ":")) == BEFORE["chunk"]
-    assert [parse_end(json.loads(BEFORE[k])) for k in ("done", "cancelled")] == [
+    assert json.dumps(chunk.value(), separators=(",", ":")) == PREVIOUS_RECORDS["chunk"]
+    assert [parse_end(json.loads(PREVIOUS_RECORDS[k])) for k in ("done", "cancelled")] == [
         ("done", None),
         ("cancelled", None),
     ]
 
 
-def test_records_written_now_are_what_the_version_before_reads() -> None:
-    """It takes these keys, whatever else there is, and no others."""
-    value = live_value(made(1), 5.0)
+def test_written_records_are_readable_by_the_previous_version() -> None:
+    """The previous version requires these keys, and ignores unknown keys of a description."""
+    value = live_value(make_job(1), 5.0)
     needed = {
-        k for k, v in json.loads(BEFORE["live"])["j"].items() if v is not None and k != "aimless"
+        k
+        for k, v in json.loads(PREVIOUS_RECORDS["live"])["j"].items()
+        if v is not None and k != "aimless"
     }
     assert needed <= set(value["j"]) and set(value) == {"j", "t"}
     assert end_value("done", 5.0) == {"s": "done", "t": 5.0}
-    managed = ManagedJob(made(1, pieces=200), 1, chunk_size(8.0), 0.0)
+    managed = ManagedJob(make_job(1, pieces=200), 1, chunk_size(8.0), 0.0)
     assert [managed.key(i) for i in (0, 1)] == ["run/j-000001/00000", "run/j-000001/00001"]
     assert managed.chunk_size == 131
 
@@ -438,8 +467,9 @@
         ),
     ],
 )
-def test_frames_are_those_of_the_version_before(raw: str, kind: int, values: Any) -> None:
-    """It drops a connection that brings another version, kind, or bytes left over."""
+def test_frames_equal_those_of_the_previous_version(raw: str, kind: int, values: Any) -> None:
+    """A controller of the previous version drops a connection on another version number, an unknown
+    kind, or leftover bytes."""
     frame = bytes.fromhex(raw)
     found, number, size = frames.decode_header(frame[: frames.HEADER.size])
     body = frame[frames.HEADER.size :]
@@ -458,7 +488,7 @@
         ("run/j-000001/x.3", None),
     ],
 )
-def test_keys_of_chunks(key: str, found: tuple[str, int, int] | None) -> None:
+def test_chunk_keys_are_parsed_and_built(key: str, found: tuple[str, int, int] | None) -> None:
     if found is None:
         with pytest.raises(ValueError):
             parse_chunk_key(key)
@@ -467,11 +497,11 @@
         assert chunk_key(found[0], found[2], found[1]) == key
 
 
-# -- narrower chunks ---------------------------------------------------------
+# -- narrower chunks ----------------------------------------------------------
 
 
-class Store:
-    """Records and revisions, changed by transactions, within limits."""
+class FakeStore:
+    """A fake state service that checks the conditions and the limits of transactions."""
 
     def __init__(self) -> None:
         self.rev, self.keys = 10, {}  # type: ignore[var-annotated]
@@ -489,8 +519,8 @@
                 self.keys[write["write"]] = (json.loads(json.dumps(write["data"])), self.rev)
         return self.rev
 
-    def home(self, pieces: int, value_kb: float) -> ManagedJob:
-        managed = ManagedJob(made(1, pieces=pieces), 1, chunk_size(value_kb), 0.0)
+    def load_job(self, pieces: int, value_kb: float) -> ManagedJob:
+        managed = ManagedJob(make_job(1, pieces=pieces), 1, chunk_size(value_kb), 0.0)
         managed.load_all(
             {parse_chunk_key(k)[1:]: Chunk.parse(v, r) for k, (v, r) in self.keys.items()}
         )
@@ -507,71 +537,72 @@
 
 @pytest.mark.parametrize("value_kb, least_kb, ops", [(32.0, 2.0, 10), (8.0, 2.0, 5), (8.0, 1.0, 4)])
 @pytest.mark.parametrize("ends_after", [0, 1, 2, 3, 7, 12, 100])
-def test_a_move_that_ends_anywhere_goes_on(
+def test_an_interrupted_split_is_completed_by_the_next_leader(
     value_kb: float, least_kb: float, ops: int, ends_after: int
 ) -> None:
-    """Task for task, whatever has been written when its controller ends."""
-    pieces, store = 1200, Store()
-    managed = store.home(pieces, value_kb)
+    """No task changes, whichever transactions were committed when the first leader ended."""
+    pieces, store = 1200, FakeStore()
+    managed = store.load_job(pieces, value_kb)
     for index in range(0, pieces // managed.chunk_size + 1):
         chunk = managed.chunks[index] = Chunk()
         chunk.last_attempt = 9 if index == 2 else 3
         numbers = range(index * managed.chunk_size, min(pieces, (index + 1) * managed.chunk_size))
         if index == 2:
-            continue  # all of it gone, but for the attempts used
+            continue  # empty, except for its last attempt number
         chunk.assigned = {n: (3, f"i-{n:06d}") for n in numbers if n % 3 == 1}
         chunk.done = {n for n in numbers if n % 5 == 0 and n % 3 != 1}
         store.keys[managed.key(index)] = (chunk.value(), 10)
     if 2 in managed.chunks:
         store.keys[managed.key(2)] = (managed.chunks[2].value(), 10)
     narrow = chunk_size(least_kb)
-    whole = tasks_of(store.home(pieces, value_kb))
+    whole = tasks_of(store.load_job(pieces, value_kb))
     steps = 0
-    for _ in range(2):  # the second home finishes what the first began
-        managed = store.home(pieces, value_kb)
+    for _ in range(2):  # the second leader completes the split of the first
+        managed = store.load_job(pieces, value_kb)
         assert tasks_of(managed) == whole
         managed.split_chunks(narrow)
         assert tasks_of(managed) == whole and managed.chunk_size == narrow
-        moved: set[int] = set()
+        written: set[int] = set()
         while managed.wider_chunks and (steps < ends_after or _):
-            txn, chunks, gone = split_txn(managed, 1, ops, moved)
+            txn, chunks, deleted = split_txn(managed, 1, ops, written)
             managed.apply_commit(chunks, store.commit(txn, ops, least_kb))
-            moved.update(chunks)
-            for key in gone:
+            written.update(chunks)
+            for key in deleted:
                 del managed.wider_chunks[key]
             steps += 1
-    managed = store.home(pieces, value_kb)
+    managed = store.load_job(pieces, value_kb)
     assert tasks_of(managed) == whole and not managed.wider_chunks and managed.layout == narrow
     assert not managed.split_chunks(narrow)
 
 
-def test_attempts_are_never_used_again_after_a_move() -> None:
-    """A worker that still lists an old attempt takes no notice of a launch of the same."""
-    store = Store()
+def test_attempt_numbers_are_not_reused_after_a_split() -> None:
+    """A worker that still lists an attempt ignores a launch with the same attempt number."""
+    store = FakeStore()
     empty = Chunk()
     empty.last_attempt = 9
     store.keys["run/j-000001/00000"] = (empty.value(), 10)
-    managed = store.home(500, 32.0)
-    moved: set[int] = set()
+    managed = store.load_job(500, 32.0)
+    written: set[int] = set()
     assert managed.split_chunks(32)
     while managed.wider_chunks:
-        txn, chunks, gone = split_txn(managed, 1, 5, moved)
+        txn, chunks, deleted = split_txn(managed, 1, 5, written)
         managed.apply_commit(chunks, store.commit(txn, 5, 2.0))
-        moved.update(chunks)
-        for key in gone:
+        written.update(chunks)
+        for key in deleted:
             del managed.wider_chunks[key]
-    assert store.home(500, 32.0).attempt == 9
+    assert store.load_job(500, 32.0).attempt == 9
 
 
-def test_what_fits_anyway_is_not_moved() -> None:
-    managed = ManagedJob(made(1, pieces=30), 1, chunk_size(32.0), 0.0)
+def test_jobs_that_fit_one_narrow_chunk_are_not_split() -> None:
+    managed = ManagedJob(make_job(1, pieces=30), 1, chunk_size(32.0), 0.0)
     managed.load_all({(0, 0): Chunk()})
     assert not managed.split_chunks(chunk_size(2.0)) and managed.key(0) == "run/j-000001/00000"
 
 
 def test_a_description_that_no_longer_fits_can_be_cancelled() -> None:
-    """Accepted while the state service took more; else its tasks would run on."""
-    desc = live_value(made(1, flavors=[f"type-{n:020d}" for n in range(64)]), 0.0)["j"]
+    """The job was accepted under a larger limit. If its final record didn't fit the new limit, its
+    tasks could not be stopped."""
+    desc = live_value(make_job(1, flavors=[f"type-{n:020d}" for n in range(64)]), 0.0)["j"]
     value = end_value("cancelled", 5.0, desc)
     assert len(json.dumps(value)) > 2048 and truncate_end(value, 8.0) == value
     small = truncate_end(value, 2.0)
@@ -581,7 +612,7 @@
 
 
 @pytest.mark.parametrize(
-    "coming, least, error",
+    "announced, least, error",
     [
         (None, (250.0, 100.0, 8.0, 16), ""),
         ({}, (250.0, 100.0, 8.0, 16), ""),
@@ -594,8 +625,8 @@
         ([], None, "next"),
     ],
 )
-def test_limits_to_come(coming: Any, least: Any, error: str) -> None:
-    state = {**SETTINGS["state"], "next": coming}
+def test_limits_include_announced_lower_ones(announced: Any, least: Any, error: str) -> None:
+    state = {**SETTINGS["state"], "next": announced}
     raw = json.dumps(
         {
             "label": "c0",
@@ -615,44 +646,47 @@
 
 
 @pytest.mark.parametrize("age, stops", [(0.0, 0), (15.0, 0), (60.0, 1)])
-def test_a_rank_from_others_stops_their_lower_ranks_only_in_need(
+def test_an_inherited_rank_preempts_only_without_time_to_spare(
     monkeypatch: pytest.MonkeyPatch, age: float, stops: int
 ) -> None:
-    """A tenth of all tasks on a saturated fleet were stopped for jobs with time to spare."""
-    home = Home(monkeypatch)
-    c = home.c
-    for one in (made(1, rank="best_effort"), made(2, 1, rank="high", due_s=100.0)):
-        c.jobs.dependencies.add(one, home.now)
-    job = c.jobs.dependencies.effective_job(name(1), {})
+    """Without this rule, a tenth of all tasks on a saturated fleet were preempted for jobs with
+    time to spare."""
+    harness = Home(monkeypatch)
+    c = harness.c
+    for description in (make_job(1, rank="best_effort"), make_job(2, 1, rank="high", due_s=100.0)):
+        c.jobs.dependencies.add(description, harness.now)
+    job = c.jobs.dependencies.effective_job(job_id(1), {})
     assert (
         job.rank == 2
         and c.placer.room_maker.max_preempted_rank(job, age, c.objectives.can_wait(job, age))
         == stops
     )
-    last = c.jobs.dependencies.effective_job(name(2), {})
+    last = c.jobs.dependencies.effective_job(job_id(2), {})
     assert c.placer.room_maker.max_preempted_rank(last, 0.0, True) == 1
 
 
 @pytest.mark.parametrize(
-    "said, rev, upgraded",
+    "reported, rev, upgraded",
     [
         ({"c0": (2, 5), "c1": (2, 7)}, 8, True),
-        ({"c0": (2, 5), "c1": (2, 7)}, 7, False),  # may hold what the last one's
-        ({"c0": (2, 5), "c1": (2, 7)}, 6, False),  # predecessor has on its way
-        ({"c0": (2, 5)}, 9, False),  # silent, and perhaps old
+        # The epoch is not newer than c1's version record, so a transaction of c1's previous process
+        # may still be committed under it.
+        ({"c0": (2, 5), "c1": (2, 7)}, 7, False),
+        ({"c0": (2, 5), "c1": (2, 7)}, 6, False),
+        ({"c0": (2, 5)}, 9, False),  # c1 has not reported its version and may be old
         ({"c0": (2, 5), "c1": (1, 6)}, 9, False),
         ({"c0": (3, 5), "c1": (2, 7), "gone": (1, 8)}, 9, True),
     ],
 )
-def test_when_all_are_new(
-    monkeypatch: pytest.MonkeyPatch, said: dict[str, tuple[int, int]], rev: int, upgraded: bool
+def test_when_the_upgrade_is_complete(
+    monkeypatch: pytest.MonkeyPatch, reported: dict[str, tuple[int, int]], rev: int, upgraded: bool
 ) -> None:
-    """Every controller of the settings, and an epoch that began after they had said so."""
+    """All configured controllers have reported the new version before the epoch began."""
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
-    c.upgrade.formats, c.membership.epoch = said, Epoch(9, {"c0": "x"}, rev)
+    c.upgrade.formats, c.membership.epoch = reported, Epoch(9, {"c0": "x"}, rev)
     c.versions.count_versions()
     assert c.upgrade.complete == upgraded
     c.upgrade.formats = {}
     c.versions.count_versions()
-    assert c.upgrade.complete == upgraded  # once true, it stays
+    assert c.upgrade.complete == upgraded  # an upgrade stays complete
--- a/tests/leases/test_cancellations.py
+++ b/tests/leases/test_cancellations.py
@@ -1,4 +1,4 @@
-"""Whoever may still renew leases knows of every cancellation that users were told of."""
+"""A controller that renews leases knows every cancellation that was disclosed to users."""
 
 from __future__ import annotations
 
@@ -13,82 +13,83 @@
 from clayport.leases.watermark import CancellationWatermark
 
 DURATION_S = 10.0
-DRIFT = 1.008  # the teller's clock runs faster than the other's by more than clocks may
+DRIFT = 1.008  # the discloser's clock runs faster than the renewer's, beyond the allowed drift
 
 
 class Simulation:
-    """A controller that tells users and one that renews leases, each of which may restart.
+    """A discloser, which tells users of cancellations, and a renewer, which renews leases.
 
-    Between them are the records, and messages that are lost or late. When users were told and
-    what the renewer knows is kept by true time.
+    Both are controllers and may restart. They communicate by the records, and by messages that
+    may be lost or late. The simulation tracks by true time when users were told, and what the
+    renewer knows.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.jobs = rng, 1000.0, 0
         self.committed: list[str] = []
-        self.told: dict[str, float] = {}  # when users were told of a job's cancellation
-        self.known: set[str] = set()  # the jobs whose cancellation the renewer knows
+        self.disclosed_at: dict[str, float] = {}  # by job, when its cancellation was disclosed
+        self.known_to_renewer: set[str] = set()  # the cancelled jobs
         self.incarnation = self.acks = 0
-        self.begin_teller()
-        self.begin_renewer()
+        self.start_discloser()
+        self.start_renewer()
 
-    def begin_teller(self) -> None:
+    def start_discloser(self) -> None:
         self.incarnation += 1
-        self.aware: set[str] = set()  # the jobs whose cancellation the teller knows
-        self.teller = Promises(["renewer"], DURATION_S, self.now * DRIFT)
+        self.known_to_discloser: set[str] = set()  # the cancelled jobs
+        self.discloser = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
-    def begin_renewer(self) -> None:
-        self.known.clear()
-        self.watermark = CancellationWatermark(["teller"], DURATION_S)
+    def start_renewer(self) -> None:
+        self.known_to_renewer.clear()
+        self.watermark = CancellationWatermark(["discloser"], DURATION_S)
 
     def commit(self) -> None:
         self.jobs += 1
         self.committed.append(f"j-{self.jobs}")
-        self.aware.add(self.committed[-1])
-        self.teller.note_end(self.committed[-1], self.jobs)
+        self.known_to_discloser.add(self.committed[-1])
+        self.discloser.note_end(self.committed[-1], self.jobs)
 
-    def look_up(self) -> None:
-        """The teller reads how a job ended, with or without the revision."""
+    def read_final_record(self) -> None:
+        """Let the discloser read how a job ended, with or without the revision."""
         if self.committed:
             job = self.rng.choice(self.committed)
-            self.aware.add(job)
-            self.teller.note_end(job, self.rng.choice((0, int(job[2:]))))
+            self.known_to_discloser.add(job)
+            self.discloser.note_end(job, self.rng.choice((0, int(job[2:]))))
 
     def acknowledge(self) -> None:
-        """The renewer hears of a job's end; its acknowledgement may be lost."""
-        if self.aware:
-            job = self.rng.choice(sorted(self.aware))
-            self.known.add(job)
+        """Notify the renewer of a cancellation; its acknowledgement may be lost."""
+        if self.known_to_discloser:
+            job = self.rng.choice(sorted(self.known_to_discloser))
+            self.known_to_renewer.add(job)
             if self.rng.random() < 0.7:
-                self.teller.acknowledge("renewer", job)
+                self.discloser.acknowledge("renewer", job)
 
-    def tell(self) -> None:
-        for job in sorted(self.aware):
-            if self.teller.try_disclose(job, self.now * DRIFT):
-                self.told.setdefault(job, self.now)
+    def disclose(self) -> None:
+        for job in sorted(self.known_to_discloser):
+            if self.discloser.try_disclose(job, self.now * DRIFT):
+                self.disclosed_at.setdefault(job, self.now)
 
-    def beat(self) -> None:
-        """A heartbeat takes its time there and back, or gets lost on its way back."""
-        sent, seen = self.now, self.seen
+    def exchange_heartbeat(self) -> None:
+        """Exchange a heartbeat; request and answer may be delayed, and the answer may be lost."""
+        sent, known_rev = self.now, self.known_rev
         self.now += self.rng.choice((0.0, 0.1, 3.0))
-        self.teller.note_records_read("renewer", seen)
-        promised = self.teller.renew("renewer", self.now * DRIFT)
+        self.discloser.note_records_read("renewer", known_rev)
+        promised = self.discloser.renew("renewer", self.now * DRIFT)
         incarnation = self.incarnation
         if self.rng.random() < 0.5:
             self.now += self.rng.choice((0.0, 0.1, 3.0))
-            self.tell()
+            self.disclose()
         if promised and self.rng.random() < 0.7:
-            self.watermark.note_promise("teller", str(incarnation), sent, self.now)
+            self.watermark.note_promise("discloser", str(incarnation), sent, self.now)
 
-    def read(self) -> None:
-        self.known.update(self.committed)
+    def read_records(self) -> None:
+        self.known_to_renewer.update(self.committed)
         self.watermark.note_records_read(self.now)
 
     @property
-    def seen(self) -> int:
+    def known_rev(self) -> int:
         """The revision up to which the renewer knows all cancellations."""
         count = 0
-        while count < len(self.committed) and self.committed[count] in self.known:
+        while count < len(self.committed) and self.committed[count] in self.known_to_renewer:
             count += 1
         return count
 
@@ -98,30 +99,32 @@
     def step(self) -> None:
         actions: list[Callable[[], None]] = [
             self.commit,
-            self.look_up,
+            self.read_final_record,
             self.acknowledge,
-            self.tell,
-            self.beat,
-            self.beat,
-            self.read,
+            self.disclose,
+            self.exchange_heartbeat,
+            self.exchange_heartbeat,
+            self.read_records,
             self.wait,
         ]
         if self.rng.random() < 0.15:
-            actions = [self.begin_teller, self.begin_renewer]
+            actions = [self.start_discloser, self.start_renewer]
         self.rng.choice(actions)()
         if self.rng.random() < 0.3:
-            self.tell()
+            self.disclose()
 
     @property
     def holds(self) -> bool:
-        """Whether the renewer knows all that users were told of before its watermark."""
+        """Whether the renewer knows all cancellations disclosed before its watermark."""
         return all(
-            job in self.known for job, at in self.told.items() if at < self.watermark.known_until()
+            job in self.known_to_renewer
+            for job, at in self.disclosed_at.items()
+            if at < self.watermark.known_until()
         )
 
 
 def count_violations(runs: int) -> int:
-    """In how many runs a user was told of what the renewer counts on knowing and does not."""
+    """Count the runs in which a cancellation disclosed before the watermark is not known."""
     violations = 0
     for seed in range(runs):
         simulation = Simulation(random.Random(seed))
@@ -133,20 +136,20 @@
     return violations
 
 
-def test_nobody_renews_leases_unaware_of_what_users_were_told() -> None:
+def test_the_renewer_knows_all_cancellations_disclosed_before_its_watermark() -> None:
     assert count_violations(4000) == 0
 
 
-def a_new_one_has_promised_nothing(patch: pytest.MonkeyPatch) -> None:
-    before = Promises.__init__
+def new_process_is_not_bound(patch: pytest.MonkeyPatch) -> None:
+    original = Promises.__init__
 
     def init(self: Any, peers: Any, duration_s: float, now: float) -> None:
-        before(self, peers, duration_s, now - duration_s)
+        original(self, peers, duration_s, now - duration_s)
 
     patch.setattr(Promises, "__init__", init)
 
 
-def it_promises_whatever_was_told(patch: pytest.MonkeyPatch) -> None:
+def promises_are_renewed_unconditionally(patch: pytest.MonkeyPatch) -> None:
     def promise(self: Any, peer: str, now: float) -> bool:
         self.expires_at[peer] = now + self.duration_s
         return True
@@ -154,20 +157,20 @@
     patch.setattr(Promises, "renew", promise)
 
 
-def it_tells_at_once(patch: pytest.MonkeyPatch) -> None:
+def cancellations_are_disclosed_at_once(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Promises, "disclosure_delay_s", lambda *_: 0.0)
 
 
-def another_process_vouches_as_well(patch: pytest.MonkeyPatch) -> None:
-    before = CancellationWatermark.note_promise
+def incarnations_are_ignored(patch: pytest.MonkeyPatch) -> None:
+    original = CancellationWatermark.note_promise
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
-        before(self, peer, "any", sent, received)
+        original(self, peer, "any", sent, received)
 
     patch.setattr(CancellationWatermark, "note_promise", promised)
 
 
-def promises_count_without_the_records(patch: pytest.MonkeyPatch) -> None:
+def promises_count_without_reading_the_records(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         CancellationWatermark,
         "known_until",
@@ -175,61 +178,61 @@
     )
 
 
-def a_promise_counts_from_its_answer(patch: pytest.MonkeyPatch) -> None:
-    before = CancellationWatermark.note_promise
+def promises_count_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+    original = CancellationWatermark.note_promise
 
     def promised(self: Any, peer: str, incarnation: str, sent: float, received: float) -> None:
-        before(self, peer, incarnation, received, received)
+        original(self, peer, incarnation, received, received)
 
     patch.setattr(CancellationWatermark, "note_promise", promised)
 
 
-def clocks_do_not_drift(patch: pytest.MonkeyPatch) -> None:
+def clock_drift_is_ignored(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(watermark, "PROMISE_CERTAINTY", 1.0)
 
 
-def a_revision_that_is_not_known_is_any(patch: pytest.MonkeyPatch) -> None:
-    before = Promises.note_end
-    patch.setattr(Promises, "note_end", lambda self, job, rev: before(self, job, rev or 1))
+def unknown_revision_counts_as_the_first(patch: pytest.MonkeyPatch) -> None:
+    original = Promises.note_end
+    patch.setattr(Promises, "note_end", lambda self, job, rev: original(self, job, rev or 1))
 
 
 @pytest.mark.parametrize(
-    "part",
+    "weaken_rule",
     [
-        a_new_one_has_promised_nothing,
-        it_promises_whatever_was_told,
-        it_tells_at_once,
-        another_process_vouches_as_well,
-        promises_count_without_the_records,
-        a_promise_counts_from_its_answer,
-        clocks_do_not_drift,
-        a_revision_that_is_not_known_is_any,
+        new_process_is_not_bound,
+        promises_are_renewed_unconditionally,
+        cancellations_are_disclosed_at_once,
+        incarnations_are_ignored,
+        promises_count_without_reading_the_records,
+        promises_count_from_the_answer,
+        clock_drift_is_ignored,
+        unknown_revision_counts_as_the_first,
     ],
 )
-def test_each_part_of_it_is_needed(
-    monkeypatch: pytest.MonkeyPatch, part: Callable[[pytest.MonkeyPatch], None]
+def test_each_rule_of_the_protocol_is_needed(
+    monkeypatch: pytest.MonkeyPatch, weaken_rule: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
-    part(monkeypatch)
+    weaken_rule(monkeypatch)
     assert count_violations(4000) > 0
 
 
-def test_who_hears_us_but_is_not_heard_keeps_no_user_waiting_for_ever() -> None:
-    """Its heartbeats had the promise renewed again and again, and nobody was ever told."""
+def test_an_unreachable_peer_that_sends_heartbeats_does_not_delay_users_forever() -> None:
+    """If its heartbeats renewed the promise each time, users would never be told."""
     promises = Promises(["a", "b"], DURATION_S, 0.0)
     assert all(promises.renew(p, 20.0) for p in "ab")
     promises.acknowledge("a", "j-1")
     assert not promises.try_disclose("j-1", 21.0)
     assert promises.disclosure_delay_s("j-1", 21.0) == 9.0
-    assert promises.renew("b", 21.5)  # it may take a moment
+    assert promises.renew("b", 21.5)  # a short delay of the acknowledgement is allowed
     assert not promises.renew("b", 23.0) and promises.renew("a", 23.0)
     assert promises.unacknowledged_jobs("b") == ["j-1"]
     assert not promises.try_disclose("j-1", 31.0) and promises.try_disclose("j-1", 31.5)
-    assert not promises.renew("b", 32.0)  # it was told unknown to b
+    assert not promises.renew("b", 32.0)  # disclosed without an acknowledgement by b
     promises.acknowledge("b", "j-1")
     assert promises.renew("b", 32.0)
 
 
-def test_what_one_that_is_away_has_missed_is_bounded() -> None:
+def test_missed_cancellations_of_an_absent_peer_are_bounded() -> None:
     promises = Promises(["a"], DURATION_S, 0.0)
     for number in range(MAX_MISSED_CANCELLATIONS + 5):
         promises.note_end(f"j-{number}", number + 1)
