--- a/clayport/jobs/commits.py
+++ b/clayport/jobs/commits.py
@@ -48,8 +48,8 @@
         Args:
             txn: The transaction.
             fence: The revision of the record of the epoch.
-            priority_s: By how many seconds the transaction is advanced in the queue for the
-                state service.
+            priority_s: By how many seconds the wait for the state service's rate limit is
+                shortened.
 
         Returns:
             The revision of the commit.
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -38,7 +38,7 @@
         ended: "cancelled" or "done" if the job has ended, else empty.
         epoch: The number of the epoch under which the job was loaded.
         pause_s: The first pause of a job that is at fault itself.
-        pause_most_s: The longest pause of such a job.
+        max_pause_s: The longest pause of such a job.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         ended: str = "",
         epoch: int = 0,
         pause_s: float = 1.0,
-        pause_most_s: float = 60.0,
+        max_pause_s: float = 60.0,
     ) -> None:
         super().__init__(job, size)
         self.name = f"job {job.id} {epoch}"  # the signal that wakes its routine
@@ -96,7 +96,7 @@
         self.has_completed_task = False
         self.suspected = False  # whether it was found at fault under an earlier epoch
         self.failed_retries = 0  # since the job was found to be at fault
-        self.pause_s, self.pause_most_s = pause_s, pause_most_s
+        self.pause_s, self.max_pause_s = pause_s, max_pause_s
 
     @property
     def group(self) -> tuple[Any, ...]:
@@ -326,7 +326,7 @@
         self.errors[machine] = self.errors.pop(machine, 0) + 1
         if self.at_fault:
             if now >= self.not_before:
-                pause_s = min(self.pause_most_s, self.pause_s * 2.0**self.failed_retries)
+                pause_s = min(self.max_pause_s, self.pause_s * 2.0**self.failed_retries)
                 self.not_before = now + pause_s
                 self.failed_retries = min(self.failed_retries + 1, MAX_BACKOFF_EXPONENT)
             return Verdict.JOB_AT_FAULT
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -162,5 +162,5 @@
             UnavailableError: The job is cancelled, and users may not be told before the deadline.
         """
         if status == "cancelled":
-            await self.disclosure.wait_until_disclosable(job, deadline)
+            await self.disclosure.announced(job, deadline)
         return {"id": job, "status": status}
