--- a/clayport/machines/__init__.py
+++ b/clayport/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The machines whose workers report to this controller, and commands to them."""
+"""The machines that this controller owns: their state, their reports and their commands."""
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -1,4 +1,4 @@
-"""What jobs' leaders ask of a machine's owner: to reserve room, launch, stop and adopt tasks."""
+"""Requests from leaders to the owner of a machine: reserve, launch, stop and adopt tasks."""
 
 from __future__ import annotations
 
@@ -14,27 +14,30 @@
 def reserve(
     table: AssignmentTable, job: Job, items: Iterable[tuple[str, int]], attempt: int, now: float
 ) -> list[bool]:
-    """Keep room for tasks; refused where it is short (the decline that ASC counts).
+    """Reserve room for tasks of a job, on each machine that has enough of it.
+
+    The leader counts a refusal as a declined start, which shortens the interval at which
+    cached states are refreshed.
 
     Args:
         table: The table of machines.
         job: The tasks' job.
-        items: Machines, each with the number of a task.
-        attempt: The attempt at the tasks.
-        now: The present instant.
+        items: Pairs of a machine's name and a task's number.
+        attempt: The number of the attempt, the same for all tasks.
+        now: The current time, in seconds of the monotonic clock.
 
     Returns:
-        For each item, whether there is room.
+        For each item, whether the room is reserved.
     """
     granted = []
-    rooms: dict[str, Room] = {}  # of machines asked for several tasks: built once
+    rooms: dict[str, Room] = {}  # built once for each machine, for all its items
     for name, number in items:
         machine = table.machines.get(name)
         if machine is not None and name not in rooms:
             rooms[name] = table.room(machine)
         key = (f"{job.id}/{number}", attempt)
-        # A reservation never replaces what is wanted or there already: let go, it
-        # would be taken to have never been sent.
+        # A reservation never replaces a task that is desired or reported already. Otherwise
+        # dropping the reservation would settle a task whose launch may have been sent.
         fits = (
             machine is not None
             and key not in machine.desired
@@ -53,7 +56,7 @@
 
 
 def expire(table: AssignmentTable, now: float) -> None:
-    """Drop reservations whose leader has not come back for them, and room kept too long."""
+    """Drop reservations that were not launched in time, and expired holds of preempted room."""
     for machine in table.machines.values():
         if machine.held_for_job and now >= machine.held_until:
             machine.held_for_job = ""
@@ -68,11 +71,15 @@
 
 
 def launch(table: AssignmentTable, items: Iterable[tuple[str, str, int]]) -> list[int]:
-    """Queue launches; 0: no reservation, so it isn't and won't be launched.
+    """Queue launches of reserved tasks.
+
+    Only a task whose reservation still exists is launched. A launch request may be delayed
+    in the network and arrive after its leader has settled the attempt and placed the task
+    elsewhere.
 
-    Only a standing reservation is launched. That guards against a launch
-    request that was held in the network and arrives when its leader has long
-    settled the attempt and put the task elsewhere.
+    Returns:
+        For each item 1, or 0 if there is no reservation, so that this request never starts
+        the task.
     """
     answers = []
     for name, task, attempt in items:
@@ -85,11 +92,12 @@
 
 
 def stop(table: AssignmentTable, items: Iterable[tuple[str, str, int, float, bool]]) -> None:
-    """Kill tasks, or clear them from the list of what has exited.
+    """Kill tasks, or clear exited tasks from the list that their worker reports.
 
     Args:
         table: The table of machines.
-        items: Machine, task, attempt, the seconds it has to save, and whether to clear it.
+        items: Machine, task, attempt, the seconds that the task has to save a checkpoint, and
+            whether to clear it rather than kill it.
     """
     for name, task, attempt, grace_s, clear in items:
         machine = table.machines.get(name)
@@ -98,7 +106,7 @@
         key = (task, attempt)
         desired = machine.desired.get(key)
         if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.launch_sent:
-            # Never sent: settled at once.
+            # No launch has been sent, so the task cannot run: it is gone without any report.
             del machine.desired[key]
             table.touch(name)
             table.emit_gone(name, key)
@@ -109,14 +117,17 @@
                 machine.pending_clears[key] = None
         else:
             if desired is not None and desired.phase is QUEUED:
-                # Sent before without an answer: no new launch, and the next
-                # report under the raised token settles the old one.
+                # An earlier launch was sent and not answered. The task is not launched
+                # again, and the next report under the raised token shows whether it runs.
                 desired.phase = LIVE
             machine.pending_kills[key] = min(grace_s, machine.pending_kills.get(key, grace_s))
 
 
 def adopt(table: AssignmentTable, items: Iterable[tuple[str, str, int]], now: float) -> None:
-    """Take over assignments that a leader found committed: fenced reports settle them."""
+    """Add committed assignments that a new leader has read from the records.
+
+    A fenced report, one that carries the current token, shows whether each task runs.
+    """
     for name, task, attempt in items:
         machine = table.machine(name, now)
         key = (task, attempt)
--- a/clayport/machines/changes.py
+++ b/clayport/machines/changes.py
@@ -1,32 +1,37 @@
-"""Which machines' rooms have changed since a revision, so that readers renew only those."""
+"""Log of changes to the machines' rooms, so that readers fetch only what has changed."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-# Machines no longer here whose end is remembered as a change of the table.
+# Machines no longer in the table whose removal is still known as a change.
 MAX_TABLE_CHANGES = 1000
 
 
 class ChangeLog:
-    """The revision of a table of rooms, and the last change of each machine.
+    """The revision of a table of rooms, and the revision of each machine's last change.
 
     Attributes:
-        revision: Rises with every change.
-        complete_since: The revision after which every change is known.
+        revision: The current revision, which rises with every change.
+        complete_since: The oldest revision after which every change is known.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.complete_since = 0
-        self._revisions: OrderedDict[str, int] = OrderedDict()  # by machine, the latest last
+        self._revisions: OrderedDict[str, int] = OrderedDict()  # by machine, the latest change last
 
     def __len__(self) -> int:
-        """The number of machines whose last change is known."""
+        """Return the number of machines whose last change is known."""
         return len(self._revisions)
 
     def record(self, machine: str, machines: int) -> None:
-        """Note a change of a machine's room, of a table with so many machines."""
+        """Record a change of a machine's room.
+
+        Args:
+            machine: The name of the machine.
+            machines: The number of machines in the table, which bounds the log.
+        """
         revisions = self._revisions
         self.revision += 1
         revisions[machine] = self.revision
@@ -35,13 +40,13 @@
             self.complete_since = revisions.popitem(last=False)[1]
 
     def record_all(self) -> None:
-        """Note that any room may have changed."""
+        """Record that any room may have changed."""
         self.revision += 1
         self.complete_since = self.revision
         self._revisions.clear()
 
     def since(self, revision: int) -> list[str] | None:
-        """Machines that changed after the revision, the latest first; None: any may have."""
+        """Return the machines changed after a revision, the latest first; None if any may be."""
         if revision < self.complete_since or revision > self.revision:
             return None
         found = []
--- a/clayport/machines/command_sender.py
+++ b/clayport/machines/command_sender.py
@@ -1,4 +1,4 @@
-"""Sending commands to workers over pooled connections, one request at a time to each."""
+"""Sends commands to workers over pooled connections, one request at a time to each worker."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class WorkerClients:
-    """Clients of workers by address, a bounded number of them.
+    """A bounded pool of HTTP clients for workers, by address.
 
     Args:
-        max_clients: How many clients are kept open.
-        routines: Where a client that is dropped is closed.
+        max_clients: The number of clients that are kept open.
+        routines: Runs the closing of evicted clients.
     """
 
     def __init__(self, max_clients: int, routines: Routines) -> None:
@@ -36,7 +36,7 @@
         self.clients: OrderedDict[str, http.Client] = OrderedDict()
 
     def client(self, address: str) -> http.Client | None:
-        """A pooled client; the least recently used is closed beyond the budget.
+        """Return a pooled client, and close the least recently used one if the pool is full.
 
         Args:
             address: The worker's address, `HOST:PORT`.
@@ -60,16 +60,16 @@
 
 
 class CommandSender:
-    """Sends what is queued for machines, and takes in the reports that workers answer with.
+    """Sends queued commands to machines, and applies the reports in the workers' answers.
 
     Args:
-        cached_state: Notes changes of the machines' room.
+        cached_state: Is notified of changes of the machines' room.
         client_of: Finds the client for a worker's address; None for a malformed one.
-        command_s: For how many seconds a worker's answer is awaited.
+        command_s: The timeout of a request to a worker, in seconds.
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
-        renewal: Whether this controller may still act as a member.
-        routines: Where requests run.
+        renewal: Tells whether this controller may still renew leases.
+        routines: Runs the requests.
     """
 
     def __init__(
@@ -92,45 +92,45 @@
         self.routines = routines
 
     def poke(self, name: str) -> None:
-        """Send what is queued for the machine, unless that is under way."""
+        """Start sending the queued commands of a machine, unless a request to it is in flight."""
         machine = self.machines.machines.get(name)
         if (
             machine is not None
-            and machine.urgent
-            and not machine.busy
+            and machine.has_urgent_commands
+            and not machine.request_in_flight
             and machine.known
             and time.monotonic() >= machine.direct_paused_until
         ):
-            machine.busy = True
+            machine.request_in_flight = True
             self.routines.spawn(self.pump(machine, True))
 
-    async def pump(self, machine: Machine, marked: bool = False) -> None:
-        """Send one request at a time to a machine, until nothing is queued for it.
+    async def pump(self, machine: Machine, already_marked: bool = False) -> None:
+        """Send one request at a time to a machine, until no command is queued for it.
 
         Args:
             machine: The machine.
-            marked: Whether the caller has marked the machine as busy for this call.
+            already_marked: Whether the caller has set `request_in_flight` for this call.
         """
-        if machine.busy and not marked:
+        if machine.request_in_flight and not already_marked:
             return
-        machine.busy = True
-        generation = self.membership.epoch.number
+        machine.request_in_flight = True
+        epoch_number = self.membership.epoch.number
         try:
             while (
-                machine.orders
-                and self.membership.epoch.number == generation
+                machine.has_commands
+                and self.membership.epoch.number == epoch_number
                 and self.membership.serving
                 and self.renewal.may_renew(time.monotonic())
             ):
                 client = self.client_of(machine.address)
-                if client is None or not await self._send(machine, client, generation):
+                if client is None or not await self._send(machine, client, epoch_number):
                     return
         finally:
-            machine.busy = False
+            machine.request_in_flight = False
         self.cached_state.note_own_room()
 
-    async def _send(self, machine: Machine, client: http.Client, generation: int) -> bool:
-        """Send the commands queued now; whether the worker has executed them."""
+    async def _send(self, machine: Machine, client: http.Client, epoch_number: int) -> bool:
+        """Send the commands queued now, and return whether the worker has executed them."""
         orders, launches = self.machines.orders(machine)
         body = msgspec.json.encode(
             {"epoch": machine.token, "tenure": machine.session, "orders": orders}
@@ -139,24 +139,24 @@
             status, raw = await client.request("POST", "/do", body, self.command_s)
         except http.NoAnswerError as exc:
             log.info("machine=%s event=unanswered %s", machine.name, exc)
-            if self.membership.epoch.number == generation:
+            if self.membership.epoch.number == epoch_number:
                 may_arrive = not isinstance(exc, http.NotSentError)
                 self.machines.unanswered(machine, launches, may_arrive, time.monotonic())
             return False
-        if self.membership.epoch.number != generation:
+        if self.membership.epoch.number != epoch_number:
             return False
         if status == 200:
             self.machines.answered(machine, orders, launches)
         else:
             self.machines.unanswered(machine, launches, False, time.monotonic())
         if status in (200, 409):
-            self._take_answer(machine, raw)
+            self._apply_answer(machine, raw)
         if status != 200:
             log.info("machine=%s event=refused status=%d", machine.name, status)
         return status == 200
 
-    def _take_answer(self, machine: Machine, raw: bytes) -> None:
-        """Apply the report in a worker's answer, which doesn't renew its lease."""
+    def _apply_answer(self, machine: Machine, raw: bytes) -> None:
+        """Apply the report in a worker's answer to a command, which does not renew its lease."""
         try:
             report = msgspec.json.decode(raw, type=WorkerHeartbeat)
         except msgspec.MsgspecError as exc:
@@ -172,7 +172,10 @@
             self.membership.request_rescan()
 
     async def inspect(self, name: str, address: str) -> bool:
-        """Whether the worker itself answers; what it says is used where we own it."""
+        """Return whether a worker answers a direct request.
+
+        Its report is applied if this controller owns the machine.
+        """
         client = self.client_of(address)
         if client is None:
             return False
@@ -182,5 +185,5 @@
             return False
         machine = self.machines.machines.get(name)
         if status == 200 and machine is not None:
-            self._take_answer(machine, raw)
+            self._apply_answer(machine, raw)
         return status == 200
--- a/clayport/machines/commands.py
+++ b/clayport/machines/commands.py
@@ -1,4 +1,4 @@
-"""Commands for a worker: what is sent, and what an answer or its absence says of them.
+"""Commands for a worker: choosing them, and recording whether the worker has executed them.
 
 The verbs and fields are those of the protocol between controllers and workers.
 """
@@ -11,29 +11,29 @@
 from clayport.machines.reports import settle_launches
 from clayport.machines.table_parts import CommandTable
 
-# Commands of a kind per request, so that 64 KiB always suffice.
+# Commands of each kind in one request, so that a request always fits into 64 KiB.
 MAX_COMMANDS = 300
 
-Order = dict[str, Any]  # a command as it goes on the wire
+Order = dict[str, Any]  # a command in its wire format
 
 
 def clear_order(key: TaskKey) -> Order:
-    """The order to forget an exited task."""
+    """Return the command to forget an exited task."""
     return {"verb": "clear", "piece": key[0], "try": key[1]}
 
 
 def kill_order(key: TaskKey, grace_s: float) -> Order:
-    """The order to stop a task that has so many seconds to save a checkpoint."""
+    """Return the command to stop a task, which has `grace_s` seconds to save a checkpoint."""
     return {"verb": "kill", "piece": key[0], "try": key[1], "wind_down_s": grace_s}
 
 
 def launch_order(key: TaskKey) -> Order:
-    """The order to start a task."""
+    """Return the command to start a task."""
     return {"verb": "launch", "piece": key[0], "try": key[1]}
 
 
 def take_orders(table: CommandTable, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
-    """The commands to send now, and the launches among them, which become SENT."""
+    """Return the commands to send now and the launches among them, whose tasks become SENT."""
     orders = [clear_order(key) for key in list(machine.pending_clears)[:MAX_COMMANDS]]
     orders += [
         kill_order(key, grace_s)
@@ -43,7 +43,7 @@
     queued = [key for key, desired in machine.desired.items() if desired.phase is QUEUED]
     for key in queued[:MAX_COMMANDS]:
         if table.is_cancelled(job_id(key)):
-            # Its job's leader may not be there to say so.
+            # The job's leader may be unavailable and unable to withdraw the launch.
             table.stop([(machine.name, *key, 0.0, False)])
             continue
         launches.append(key)
@@ -54,7 +54,7 @@
 
 
 def note_answered(machine: Machine, orders: list[Order], launches: list[TaskKey]) -> None:
-    """Note that the worker has executed the commands."""
+    """Record that the worker has executed the commands."""
     for key in launches:
         desired = machine.desired.get(key)
         if desired is not None and desired.phase is SENT:
@@ -67,13 +67,17 @@
 def note_unanswered(
     machine: Machine, launches: list[TaskKey], sent: bool, paused_until: float
 ) -> None:
-    """Note that no answer came: a raised token voids what may still be on its way.
+    """Record that a request was not answered.
+
+    If the request may still arrive, the token is raised. A worker that has seen the new token
+    rejects the request.
 
     Args:
         machine: The machine.
-        launches: The launches among the commands.
-        sent: Whether any of the request may have left.
-        paused_until: Up to when commands go with the responses to reports instead.
+        launches: The tasks whose launches were in the request.
+        sent: Whether any part of the request may have been sent.
+        paused_until: The end of the time in which commands go into the responses to reports
+            instead.
     """
     settle_launches(machine, launches)
     if sent:
--- a/clayport/machines/evacuation.py
+++ b/clayport/machines/evacuation.py
@@ -1,4 +1,4 @@
-"""Moving the replicas of services off a machine, one at a time."""
+"""Moves the replicas of services off a machine, one at a time."""
 
 from __future__ import annotations
 
@@ -23,27 +23,27 @@
 
 
 class ReplicaPlacement(Protocol):
-    """Knows where a replica would find another place."""
+    """Knows whether a replica can be placed on another machine."""
 
     def policy(self) -> Policy:
-        """What keeps work off machines, from all jobs known."""
+        """Return the placement policy for all known jobs."""
         ...
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Whether a replica would find another place where it starts soon."""
+        """Return whether a replica can be placed on another machine and start there soon."""
         ...
 
 
 class ReplicaEvacuation:
-    """Stops replicas on machines owned here for which there is another place.
+    """Stops replicas on owned machines, each only if another machine has room for it.
 
     Args:
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        poke: Has what is queued for a machine sent.
-        routines: Where evacuations run.
-        settings: The settings, for the workers' lease and the interval of their reports.
+        poke: Starts sending the queued commands of a machine.
+        routines: Runs the evacuations.
+        settings: Supplies the workers' lease and the interval of their reports.
     """
 
     def __init__(
@@ -64,19 +64,19 @@
         self.settings = settings
 
     def connect(self, *, placer: ReplicaPlacement) -> None:
-        """Set the part that is built later than this one."""
+        """Set the placer, which is built after this object."""
         self.placer = placer
 
     def evacuate(self, name: str, drain: bool) -> bool:
-        """Begin to move a machine's replicas off.
+        """Start moving the replicas off a machine.
 
         Args:
             name: The machine.
-            drain: Whether to move all of them, to drain the machine; otherwise as many as the
-                guest of its GPUs needs to fit again.
+            drain: Whether to move all replicas and drain the machine. Otherwise replicas are
+                moved until the largest job that needs the machine's GPUs fits again.
 
         Returns:
-            Whether the evacuation has begun with this call.
+            Whether this call has started an evacuation.
         """
         machine = self.machines.machines.get(name)
         now = time.monotonic()
@@ -84,7 +84,7 @@
             machine is None
             or machine.evacuating
             or not self.machines.replicas(machine)
-            or now - machine.evacuated_at < self.settings.cluster.workers.lease_s / 2
+            or now - machine.evacuation_started_at < self.settings.cluster.workers.lease_s / 2
             or not (self.machines.open(machine) or self.machines.is_unhealthy(machine))
         ):
             return False
@@ -94,14 +94,14 @@
             len(self.machines.replicas(machine)),
             drain,
         )
-        machine.evacuating, machine.evacuated_at = True, now
+        machine.evacuating, machine.evacuation_started_at = True, now
         machine.draining = drain
         self.machines.touch(name)
         self.routines.spawn(self._evacuate(machine, drain))
         return True
 
     async def _evacuate(self, machine: Machine, drain: bool) -> None:
-        """Stop one replica at a time, each only while its leader has another place for it."""
+        """Stop one replica at a time, each only if its leader can place it on another machine."""
         epoch = self.membership.epoch
         try:
             while (
@@ -135,7 +135,7 @@
             machine.evacuating = False
 
     async def _movable(self, machine: Machine, key: TaskKey, job: Job, drain: bool) -> bool:
-        """Whether the leader of the replica's job has another place for it."""
+        """Return whether the leader of the replica's job can place it on another machine."""
         number = split_task(key[0])[1]
         epoch = self.membership.epoch
         leader = epoch.member_for(job.id)
--- a/clayport/machines/event_delivery.py
+++ b/clayport/machines/event_delivery.py
@@ -1,4 +1,4 @@
-"""Delivering events of tasks to the leaders of their jobs, and applying their verdicts."""
+"""Delivers task events to the leaders of the jobs, and applies the leaders' verdicts."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# Events per request to a leader.
+# Events in one request to a leader.
 MAX_EVENTS = 500
 
-# Events that wait for a leader by (machine, task, attempt): the newest of each is enough.
+# Undelivered events for a leader by (machine, task, attempt), only the newest of each.
 Outbox = OrderedDict[tuple[str, str, int], TaskEvent]
 
 
 class EventHandler(Protocol):
-    """Takes in what owners tell of tasks, where this controller leads the job itself."""
+    """Handles task events of the jobs that this controller leads itself."""
 
     def told(self, events: Iterable[TaskEvent]) -> list[Verdict]:
-        """Judge the events in order; a verdict for each."""
+        """Handle the events in order, and return a verdict for each."""
         ...
 
 
 class EventDelivery:
-    """Keeps an outbox for each leader of jobs, and empties it.
+    """Keeps an outbox of events for each leader, and delivers them.
 
     Args:
-        cached_state: Notes changes of the machines' room.
+        cached_state: Is notified of changes of the machines' room.
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        poke: Has what is queued for a machine sent.
+        poke: Starts sending the queued commands of a machine.
         routines: Wakes the delivery when there is an event.
 
     Attributes:
-        outboxes: The events that wait, by the label of the leader.
+        outboxes: The undelivered events, by the label of the leader.
     """
 
     def __init__(
@@ -66,19 +66,19 @@
         self.outboxes: dict[str, Outbox] = {}
 
     def connect(self, *, dispatcher: EventHandler, routing: Routing) -> None:
-        """Set the parts that are built later than this one."""
+        """Set the parts that are built after this object."""
         self.dispatcher = dispatcher
         self.routing = routing
 
     def emit(self, job: str, event: TaskEvent) -> None:
-        """Put an event into the outbox of the job's leader."""
+        """Add an event to the outbox of the job's leader."""
         leader = self.membership.epoch.member_for(job)
         outbox = self.outboxes.setdefault(leader, OrderedDict())
         outbox[event[:3]] = event
         self.routines.signal(f"outbox {leader}")
 
     async def tell(self, leader: str) -> None:
-        """Deliver events to one leader until it has taken them; runs for ever."""
+        """Deliver events to one leader, with retries until it accepts them; runs forever."""
         while True:
             await self.routines.wait(f"outbox {leader}")
             outbox = self.outboxes.setdefault(leader, OrderedDict())
@@ -103,7 +103,7 @@
                 self.cached_state.note_own_room()
 
     async def _deliver(self, leader: str, batch: list[TaskEvent]) -> tuple[bool, Sequence[int]]:
-        """Hand a batch to the leader; whether it has taken it, and a verdict for each event."""
+        """Send a batch to the leader; return whether it is accepted, and a verdict per event."""
         try:
             if leader == self.membership.label:
                 return True, self.dispatcher.told(batch)
@@ -115,7 +115,7 @@
             return False, []
 
     def _apply_verdict(self, event: TaskEvent, verdict: int) -> None:
-        """Do with a task what its job's leader has decided."""
+        """Carry out the leader's verdict on a task event."""
         machine, task, attempt, state = event[:4]
         key: TaskKey = (task, attempt)
         if verdict == Verdict.LATER:
--- a/clayport/machines/events.py
+++ b/clayport/machines/events.py
@@ -1,22 +1,22 @@
-"""What an owner tells the leader of a job about one of its tasks."""
+"""The events that a machine's owner sends to the leader of a job about its tasks."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# The state of a task that its machine no longer has, and can't start any more.
+# The state of a task that is not on its machine and can no longer be started there.
 GONE = "gone"
 
 
 class TaskEvent(NamedTuple):
-    """A change of a task's state on a machine.
+    """A change in the state of a task on a machine.
 
     Attributes:
         machine: Name of the machine.
         task: Id of the task, `JOB/NUMBER`.
-        attempt: The attempt at the task, which rises with each assignment.
+        attempt: The number of the attempt, which rises with each assignment of the task.
         state: A state that workers report, or `GONE`.
-        cause: Why the task has exited, as the worker says, or empty.
+        cause: The worker's reason for the exit of the task, or empty.
         saved: Whether the task has saved a checkpoint.
     """
 
--- a/clayport/machines/eviction.py
+++ b/clayport/machines/eviction.py
@@ -1,4 +1,4 @@
-"""Moving work off machines: for work of higher rank, and before a machine is returned."""
+"""Preempts tasks for work of higher rank, and drains machines before they are returned."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     borrowers: Iterable[str],
     count: int,
 ) -> bool:
-    """Stop work of lower rank until `count` tasks of `job` fit; see `MachineTable.preempt`."""
+    """Stop tasks of lower rank until `count` tasks of `job` fit; see `MachineTable.preempt`."""
     if not table.open(machine) or machine.held_for_other(job.id, now):
         return False
     room = table.room(machine)
@@ -33,7 +33,7 @@
         room.take(victim, -1)
         chosen.append((key, victim))
     if not room.fits(job):
-        return False  # not worth stopping anything
+        return False  # not even one task would fit, so nothing is stopped
     longest_s = 0.0
     for key, victim in chosen:
         saves = victim.checkpoint_s > 0 and victim.save_s <= grace_s
@@ -50,9 +50,10 @@
 def _victims(
     table: RoomTable, job: Job, machine: Machine, room: Room, borrowers: Iterable[str]
 ) -> list[tuple[TaskKey, Job]]:
-    """The tasks that may be preempted, the first to stop first.
+    """Return the tasks that may be preempted, in the order in which they are stopped.
 
-    Those that are being stopped already are on their way out: `room` is given theirs.
+    Tasks that are being stopped already are not among them, and their resources are added to
+    `room`.
     """
     victims = []
     for key, status in machine.reported_tasks.items():
@@ -68,7 +69,7 @@
 
 
 def drain(table: RoomTable, machine: Machine) -> bool:
-    """Close an idle machine for good; see `MachineTable.drain`."""
+    """Close an idle machine permanently; see `MachineTable.drain`."""
     room = table.room(machine)
     if room.tasks and room.idle:
         machine.draining = True
@@ -79,8 +80,8 @@
         table.touch(machine.name)
         return False
     if machine.desired or machine.occupying():
-        # What has exited is emitted again: where the leader's answer was lost, with nothing
-        # else to remind it, the machine was never given back.
+        # The events of exited tasks are emitted again. If the leader's answer to such an event
+        # is lost, nothing else repeats the event, and the machine is never returned.
         for key in machine.desired:
             if machine.has_exited(key):
                 machine.emitted.pop(key, None)
@@ -91,7 +92,7 @@
 
 
 def replicas(table: RoomTable, machine: Machine) -> list[tuple[TaskKey, Job]]:
-    """The replicas of services on a machine that would have to move."""
+    """Return the replicas of services on a machine, which would have to move off it."""
     found = []
     for key in machine.occupying():
         job = table.job_of(job_id(key))
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -1,9 +1,8 @@
-"""Machines that are returned because they are silent or have failed, many in one request.
+"""Returns silent and failed machines to the cloud, many machines in one request.
 
-After half of 640 machines had ended at once, each was returned by a request of its own, at
-the three requests a second that the cloud allows: work on the last of them could start
-elsewhere only a hundred seconds later, and no machine was rented meanwhile, since renting
-waited in the same line.
+With one request for each machine, the loss of 320 machines at once takes over a hundred seconds
+at the cloud's limit of three requests per second. Tasks of the last machine cannot be restarted
+before that, and no machine can be rented, because renting shares the same request limit.
 """
 
 from __future__ import annotations
@@ -20,11 +19,11 @@
 
 
 class _PendingFence:
-    """A machine whose return somebody waits for.
+    """A fence in progress, which one or more callers wait for.
 
     Attributes:
-        done: Set once the machine has been returned, or could not be.
-        error: Why it could not be; empty if it has been returned.
+        done: Set once the return has succeeded or failed.
+        error: The reason for a failure; empty if the machine has been returned.
     """
 
     def __init__(self) -> None:
@@ -33,19 +32,19 @@
 
 
 class MachineFencing:
-    """Returns machines in batches, on the member of the epoch that talks to the cloud.
+    """Returns machines in batches, on the member of the epoch that is its provisioner.
 
-    What is asked for while a request waits for its turn goes with it, so a fence takes as
-    long as one request, however many there are.
+    Fences that are requested while a request waits for the cloud's rate limit are sent with
+    that request, so that many fences need few requests.
 
     Args:
         cloud: The client of the cloud's API.
-        membership: The epoch; pending fences fail when it moves on.
+        membership: The epoch; pending fences fail when a new one begins.
         removal: Removes the returned machines here and at the peers.
 
     Attributes:
-        waiting: Pending fences by machine, in the order in which they were asked for.
-        sending: Whether a routine is at work that sends them.
+        waiting: Pending fences by machine, in the order in which they were requested.
+        sending: Whether a routine is running that sends the requests.
     """
 
     def __init__(
@@ -62,12 +61,12 @@
         self.sending = False
 
     async def fence(self, name: str) -> None:
-        """Return a machine, and announce to all controllers that it is gone.
+        """Return a machine to the cloud, and announce to all controllers that it is gone.
 
-        With the cloud's confirmation nothing on it runs any more.
+        Once the cloud has confirmed the return, nothing runs on the machine any more.
 
         Raises:
-            CloudError: It was not returned, or may not have been.
+            CloudError: The machine was not returned, or its return is uncertain.
         """
         pending = self.waiting.get(name)
         if pending is None:
@@ -86,7 +85,7 @@
             while self.waiting:
                 await self.cloud.turn()
                 if self.membership.epoch is not epoch:
-                    # Machines have new owners, who may have heard them meanwhile.
+                    # The machines may have new owners, which may have received reports since.
                     fences, self.waiting = self.waiting, {}
                     await self._finish(fences, "the epoch has moved on")
                     epoch = self.membership.epoch
@@ -96,7 +95,7 @@
             self.sending = False
 
     async def _return(self, names: list[str]) -> None:
-        """Send one request, and finish its fences."""
+        """Return machines with one request, and finish their fences."""
         fences = {name: self.waiting.pop(name) for name in names}
         error = ""
         try:
@@ -104,14 +103,14 @@
             await self.removal.announce(names)
         except CloudError as exc:
             error = str(exc)
-        except Exception as exc:  # whatever it is, those who wait have to learn of it
+        except Exception as exc:  # the callers that wait must be woken after any error
             log.exception("event=return-failed machines=%d", len(names))
             error = repr(exc)
         await self._finish(fences, error)
 
     @staticmethod
     async def _finish(fences: dict[str, _PendingFence], error: str) -> None:
-        """Wake up those who wait for the fences."""
+        """Wake the callers that wait for the fences."""
         for pending in fences.values():
             pending.error = error
             await pending.done.set()
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -1,4 +1,4 @@
-"""Everything between this controller and the machines' workers, as the other parts call it."""
+"""The interface through which the rest of the controller deals with the machines' workers."""
 
 from __future__ import annotations
 
@@ -24,31 +24,32 @@
 from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
-# The worker's lease is the unit of these. A worker whose report went unanswered needs 4 s and
-# another second to come to the next node: silence up to 0.6 leases is ordinary.
-SILENCE_LEASES = 0.6
-COMMAND_LEASES = 0.2
+# Durations as fractions of the worker's lease. A worker whose report is not answered needs 4 s
+# to time out and another second to reach the next controller, so silence of up to 0.6 leases
+# is normal.
+SILENCE_LEASE_FRACTION = 0.6
+COMMAND_LEASE_FRACTION = 0.2
 
 
 class Fleet:
-    """Builds what answers, commands and watches the machines, and gives out their methods.
+    """Builds the parts that answer, command and monitor machines, and exposes their methods.
 
-    The methods are bound here as attributes, so that a call through the fleet costs no more.
+    The methods are bound to attributes of this object, so that a call needs no extra step.
 
     Attributes:
         silent_s: The seconds without a report after which a machine is silent.
-        command_s: For how many seconds a worker's answer is awaited.
-        fencing: Returns machines, where this controller talks to the cloud.
-        client: Finds the client for a worker's address; the simulated world replaces it.
-        poke: Sends what is queued for a machine.
+        command_s: The timeout of a request to a worker, in seconds.
+        fencing: Returns machines, if this controller is the provisioner.
+        client: Finds the client for a worker's address; the tests' simulation replaces it.
+        poke: Starts sending the queued commands of a machine.
         inspect: Asks a worker, by name and address, whether it works.
         report: Answers a worker's report.
-        own_report: Answers a report of a machine that is owned here.
-        emit: Puts an event of a task into the outbox of its job's leader.
+        own_report: Answers a report of a machine that this controller owns.
+        emit: Adds a task event to the outbox of the job's leader.
         tell: Delivers events to one leader; a routine for each controller.
-        outboxes: The events that wait, by the label of the leader.
-        evacuate: Begins to move replicas off a machine.
-        watch_silence: Fences machines that fell silent; a routine.
+        outboxes: The undelivered events, by the label of the leader.
+        evacuate: Starts moving replicas off a machine.
+        watch_silence: Fences silent machines; a routine.
     """
 
     def __init__(
@@ -69,17 +70,17 @@
         watermark: CancellationWatermark,
     ) -> None:
         workers = settings.cluster.workers
-        self.silent_s = SILENCE_LEASES * workers.lease_s
-        self.command_s = COMMAND_LEASES * workers.lease_s
+        self.silent_s = SILENCE_LEASE_FRACTION * workers.lease_s
+        self.command_s = COMMAND_LEASE_FRACTION * workers.lease_s
         self.fencing = fencing
 
-        # A quarter of the sockets is for the workers' own addresses, the rest but a reserve
-        # (peers, state, cloud) for those who connect to us.
+        # A quarter of the sockets is for connections to workers. The others are for incoming
+        # connections, except a reserve for peers, the state service and the cloud.
         clients = WorkerClients(settings.cluster.machine_limits.max_sockets // 4, routines)
         self.client = clients.client
         self.sender = CommandSender(
             cached_state=cached_state,
-            # Looked up at each call: see `client` above.
+            # The attribute is looked up at each call, because the simulation replaces it.
             client_of=lambda address: self.client(address),
             command_s=self.command_s,
             machines=machines,
@@ -154,7 +155,7 @@
         provisioner: CloudListing,
         routing: Routing,
     ) -> None:
-        """Set the parts that are built later than this one."""
+        """Set the parts that are built after this object."""
         self.event_delivery.connect(dispatcher=dispatcher, routing=routing)
         self.evacuation.connect(placer=placer)
         self.silence.connect(provisioner=provisioner)
--- a/clayport/machines/health.py
+++ b/clayport/machines/health.py
@@ -1,4 +1,4 @@
-"""Whether errors on a machine are held against it or against the jobs that fail there."""
+"""Attributes task errors to the machine on which they occur or to the job that fails there."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 
 log = logging.getLogger(__name__)
 
-# Jobs of which is remembered whose fault their errors were.
+# Jobs whose last verdict is kept, for each of the two verdicts.
 MAX_JUDGED_JOBS = 1000
-# Errors of a job that runs well elsewhere, or jobs with errors, that make a machine unhealthy.
+# A machine is unhealthy after errors of this many jobs, or after this many errors of one job
+# that runs well on other machines.
 UNHEALTHY_ERRORS = 2
 
 
 class FaultRecord:
-    """The jobs' leaders' verdicts on errors.
+    """The verdicts of the jobs' leaders on the causes of errors.
 
     Attributes:
-        failing_jobs: Jobs that fail by their own fault, the oldest verdict first.
-        healthy_jobs: Jobs that run well elsewhere, the oldest verdict first.
+        failing_jobs: Jobs that cause their own errors, the oldest verdict first.
+        healthy_jobs: Jobs that run well on other machines, the oldest verdict first.
     """
 
     def __init__(self) -> None:
@@ -27,29 +28,29 @@
         self.healthy_jobs: dict[str, None] = {}
 
     def record(self, job: str, at_fault: bool) -> bool:
-        """Take a verdict; whether the job is found at fault that was not before."""
-        here, there = (
+        """Record a verdict, and return whether the job is at fault for the first time."""
+        same_verdict, other_verdict = (
             (self.failing_jobs, self.healthy_jobs)
             if at_fault
             else (self.healthy_jobs, self.failing_jobs)
         )
-        there.pop(job, None)
-        known = job in here
-        here[job] = None
-        while len(here) > MAX_JUDGED_JOBS:
-            here.pop(next(iter(here)))
-        return at_fault and not known
+        other_verdict.pop(job, None)
+        already_recorded = job in same_verdict
+        same_verdict[job] = None
+        while len(same_verdict) > MAX_JUDGED_JOBS:
+            same_verdict.pop(next(iter(same_verdict)))
+        return at_fault and not already_recorded
 
     def forget(self, job: str) -> None:
-        """Drop the verdict on a job that is over."""
+        """Drop the verdict on a job that has ended."""
         self.healthy_jobs.pop(job, None)
         self.failing_jobs.pop(job, None)
 
     def is_unhealthy(self, machine: Machine) -> bool:
-        """Whether a machine is at fault, by the errors since work last succeeded there.
+        """Return whether the errors since a task last succeeded on a machine make it unhealthy.
 
-        It fails the work of several jobs, or again and again that of one that runs well
-        elsewhere, and completes none.
+        Either tasks of several jobs have failed on the machine, or tasks of one job have failed
+        there repeatedly although the job runs well on other machines.
         """
         return bool(machine.errors) and (
             len(machine.errors) >= UNHEALTHY_ERRORS
@@ -60,7 +61,7 @@
         )
 
     def count_error(self, machine: Machine, job: str) -> None:
-        """Count a failure on a machine, unless the job is known to be at fault."""
+        """Count an error on a machine, unless the job is known to be at fault."""
         if job not in self.failing_jobs:
             machine.errors[job] = machine.errors.get(job, 0) + 1
         if self.is_unhealthy(machine):
@@ -68,7 +69,7 @@
 
 
 def log_unhealthy(machine: Machine, job: str) -> None:
-    """Log that a machine is found unhealthy, with the job whose error has shown it."""
+    """Log that a machine is unhealthy, with the job whose error led to the decision."""
     log.info(
         "machine=%s job=%s event=machine-unhealthy errors=%d",
         machine.name,
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -1,4 +1,4 @@
-"""A machine as the controller that owns it knows it, and the tasks that are wanted there."""
+"""The owner's state of a machine, and the tasks that leaders want to run there."""
 
 from __future__ import annotations
 
@@ -8,28 +8,34 @@
 
 from clayport.scheduling.room import Room
 
-# A task's id and the attempt at it. A plain tuple, since one is made for each task of a report.
+# A task's id and the number of the attempt. A plain tuple is cheap: each report makes one for
+# every task that it lists.
 TaskKey: TypeAlias = tuple[str, int]
 
-# An instant before all others, in seconds of the monotonic clock.
+# A time before every other, in seconds of the monotonic clock.
 NEVER = -1e9
 
 
 class Phase(Enum):
-    """How far the launch of a desired task has come."""
+    """The progress of the launch of a desired task."""
 
-    RESERVED = 0  # room is kept for it
-    QUEUED = 1  # to be launched with the next command
-    SENT = 2  # a launch is on its way, and may or may not arrive
-    LIVE = 3  # the machine has it, or may have it: reports tell
+    RESERVED = 0  # room is reserved for the task
+    QUEUED = 1  # the launch goes with the next commands
+    SENT = 2  # a launch is in flight, and may or may not arrive
+    LIVE = 3  # the machine has the task, or may have it; reports show which
 
 
-# Bound once, for Python 3.11, which finds a member of an enum by a call.
+# Bound once, because access to an enum member needs a function call in Python 3.11.
 RESERVED, QUEUED, SENT, LIVE = Phase
 
 
 class TaskStatus(NamedTuple):
-    """The state of a task in a report: `cause` says why it exited, `saved` of a checkpoint."""
+    """The state of a task in a report.
+
+    Attributes:
+        cause: The reason for the exit of the task, or empty.
+        saved: Whether the task has saved a checkpoint.
+    """
 
     state: str
     cause: str
@@ -37,16 +43,16 @@
 
 
 def job_id(key: TaskKey) -> str:
-    """The id of the job that a task belongs to."""
+    """Return the id of the job that a task belongs to."""
     return key[0].partition("/")[0]
 
 
 class DesiredTask:
-    """A task that its job's leader wants on a machine, or has wanted and not yet settled.
+    """A task that its leader has placed on a machine and that is not yet known to be gone.
 
     Attributes:
-        phase: How far its launch has come.
-        since: When it was reserved or adopted, in seconds of the monotonic clock.
+        phase: The progress of the launch.
+        since: The time of the reservation or adoption, in seconds of the monotonic clock.
         launch_sent: Whether a launch has been sent at least once.
     """
 
@@ -58,79 +64,79 @@
 
 
 class Machine:
-    """A machine as its owner knows it; instants are seconds of the monotonic clock.
+    """The owner's state of a machine; times are in seconds of the monotonic clock.
 
     Args:
         name: The machine's name at the cloud.
-        token: The fencing token to give out first.
-        now: When the ownership began.
+        token: The first fencing token to issue.
+        now: The start of the ownership.
     """
 
     def __init__(self, name: str, token: int, now: float) -> None:
         self.name, self.token = name, token
         self.address = self.type = self.zone = ""
         self.spot = False
-        # The worker's incarnation, and the number of its newest report in it.
+        # The incarnation of the worker, and the number of the newest report within it.
         self.session = self.seq = 0
-        self.fenced = False  # the newest report carries the current token
-        self.heard = now  # when a report last came, or when the ownership began
-        self.known = False  # a report has come under this ownership
-        self.reported_at = now  # when a report last came, and not a command's answer
-        # Its lease ran out and it has only answered commands since: what is started there
-        # ends with the next lease, again and again.
+        self.fenced = False  # whether the newest report carries the current token
+        self.heard = now  # time of the newest report, or the start of the ownership
+        self.known = False  # whether a report has arrived under this ownership
+        self.reported_at = now  # time of the newest report that is not a command's answer
+        # Whether the lease has expired and the worker has only answered commands since. The
+        # lease is not renewed, so a task started there would end when it expires again.
         self.lease_expired = False
-        self.notice_at: float | None = None  # when the cloud takes the machine back
+        self.notice_at: float | None = None  # when the cloud reclaims the machine
         self.draining = False
         self.evacuating = False
-        self.evacuated_at = NEVER
-        # The tasks of the newest report, and what of each the job's leader was sent last.
+        self.evacuation_started_at = NEVER
+        # The tasks of the newest report, and the status of each task last sent to its leader.
         self.reported_tasks: dict[TaskKey, TaskStatus] = {}
         self.emitted: dict[TaskKey, TaskStatus] = {}
         self.desired: dict[TaskKey, DesiredTask] = {}
-        # Commands to send: tasks to stop with the seconds they have to save, and exited ones
-        # that the worker may forget.
+        # Commands to send: tasks to stop, with the seconds that each has to save a checkpoint,
+        # and exited tasks that the worker may forget.
         self.pending_kills: dict[TaskKey, float] = {}
         self.pending_clears: dict[TaskKey, None] = {}
         self.images: OrderedDict[str, float] = OrderedDict()
         self.idle_since = now
-        self.direct_paused_until = NEVER  # /do did not get through: use report responses
-        self.launches_in_response: list[TaskKey] = []  # launches sent in the last report response
-        self.errors: dict[str, int] = {}  # job: failures here since the last success
-        self.unhealthy_checks = 0  # checks in a row that found the machine unhealthy
-        self.busy = False  # a /do is in flight
+        self.direct_paused_until = NEVER  # after a failed /do: use responses to reports
+        self.launches_in_response: list[TaskKey] = []  # in the response to the last report
+        self.errors: dict[str, int] = {}  # by job, since a task last succeeded here
+        self.unhealthy_checks = 0  # consecutive checks with an unhealthy result
+        self.request_in_flight = False  # whether a /do request is in flight
         self.fencing = False
-        # Room made by preemption is kept for the job it was made for: others of
-        # its rank would otherwise take it first.
+        # Room freed by preemption is held for the job that preempted. Other jobs of the same
+        # rank could otherwise take it first.
         self.held_for_job, self.held_until = "", NEVER
-        # Its room as last built: reports, reservations, the cached state and the peers' tables
-        # all ask for it, and most of the time nothing has changed.
+        # The machine's room as last built. Reports, reservations, the cached state and the
+        # peers' tables read it often, and it rarely changes between two reads.
         self.cached_room: Room | None = None
 
     @property
-    def urgent(self) -> bool:
-        """Whether something is to be started or stopped."""
+    def has_urgent_commands(self) -> bool:
+        """Whether any task is to be launched or stopped."""
         return bool(self.pending_kills or any(w.phase is QUEUED for w in self.desired.values()))
 
     @property
-    def orders(self) -> bool:
-        """Whether there is any command to send."""
-        return bool(self.pending_clears) or self.urgent
+    def has_commands(self) -> bool:
+        """Whether any command is to be sent."""
+        return bool(self.pending_clears) or self.has_urgent_commands
 
     def has_exited(self, key: TaskKey) -> bool:
-        """Whether the newest report lists the task as exited."""
+        """Return whether the newest report lists the task as exited."""
         status = self.reported_tasks.get(key)
         return status is not None and status.state == "exited"
 
     def occupying(self) -> list[TaskKey]:
-        """The reported tasks that take room: all that have not exited."""
+        """Return the reported tasks that have not exited, and so take room."""
         return [key for key, status in self.reported_tasks.items() if status.state != "exited"]
 
     def held_for_other(self, job: str, now: float) -> bool:
-        """Whether room was made here for another job and is still kept for it."""
+        """Return whether room on the machine is held for another job that preempted tasks."""
         return now < self.held_until and self.held_for_job != job
 
-    def reset_orders(self) -> None:
-        """Forget what was wanted, told and ordered under an earlier epoch."""
+    def reset_for_epoch(self) -> None:
+        """Clear the desired tasks, emitted statuses and commands of an earlier epoch."""
         self.launches_in_response = []
         self.desired.clear()
         self.emitted.clear()
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -1,4 +1,4 @@
-"""Machines whose return the cloud has confirmed: nothing on them runs any more."""
+"""Removes machines whose return the cloud has confirmed; nothing runs on them any more."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# How often a return is announced to a peer that doesn't acknowledge it.
+# Attempts to announce a return to a peer that does not acknowledge it.
 MAX_ANNOUNCEMENTS = 3
 
 
@@ -20,12 +20,12 @@
     """Removes returned machines from this controller's state, and announces them to the peers.
 
     Args:
-        membership: The epoch that announcements are made in.
+        membership: The epoch, whose number announcements carry.
         machines: The machines that this controller owns.
         jobs: The jobs that this controller leads.
         view: The free room of all machines.
         peers: The other controllers, by label.
-        routines: Runs the announcements, and is signalled of what changes.
+        routines: Runs the announcements, and wakes routines after a change.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.routines = routines
 
     def apply(self, names: Iterable[str]) -> None:
-        """Remove the machines, and end the tasks that ran on them."""
+        """Remove the machines, and mark the tasks that ran on them as gone."""
         removed = dict.fromkeys(names)
         self.machines.removed(removed)
         for name in removed:
@@ -57,7 +57,7 @@
         self.routines.signal("place")
 
     async def announce(self, names: list[str]) -> None:
-        """Remove machines whose return the cloud has just confirmed, here and at all peers."""
+        """Remove machines whose return the cloud has confirmed, here and at all peers."""
         self.apply(names)
         rows = [(name,) for name in names]
         for peer in self.peers.values():
@@ -65,7 +65,7 @@
         await self.routines.flush()
 
     async def _announce_to(self, peer: Peer, rows: list[tuple[str]]) -> None:
-        """Send one peer the names, one in each row as the frame has them."""
+        """Send the names to one peer, one name in each row of the frame."""
         attempt = peer.begin()
         for _ in range(MAX_ANNOUNCEMENTS):
             try:
--- a/clayport/machines/report_answers.py
+++ b/clayport/machines/report_answers.py
@@ -1,4 +1,4 @@
-"""Answering workers' reports: from the owner, for an owner elsewhere, and in its absence."""
+"""Answers workers' reports: as the owner, on behalf of another owner, or without the owner."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-# Machines of other owners whose last report here is remembered.
+# Machines of other owners for which the time of the last report here is kept.
 MAX_FORWARDED = 5000
 
 # An HTTP status, and the fields of the response.
@@ -35,13 +35,14 @@
 
 
 def void_token(epoch: Epoch, token: int) -> int:
-    """A token above all that an owner gave out in an epoch, and below the next one's.
-
-    For machines whose owner has ended. In an outage no epoch follows it, the others keep
-    the machine's session alive, and a launch that was held on its way started a task of a job
-    that had long been cancelled. The machine may not have seen any token of the epoch
-    yet (the answer to its report was lost), or one of a later epoch, which is not ours
-    to void.
+    """Return a token above all that an owner issued in an epoch, and below the next epoch's.
+
+    The token fences a machine whose owner has ended. During an outage of the state service no
+    new epoch begins, and the other controllers keep renewing the machine's lease. Without the
+    higher token, a delayed launch command of the ended owner could start a task of a job that
+    was cancelled long before. The machine may not have seen any token of the epoch, if the
+    answer to its report was lost. A token of a later epoch is returned unchanged, because only
+    the owner of that epoch may raise it.
     """
     if token >> TOKEN_COUNTER_BITS > epoch.number:
         return token
@@ -49,25 +50,25 @@
 
 
 class ReportAnswers:
-    """Answers the reports of workers, whoever owns their machines.
+    """Answers the reports of workers, whichever controller owns their machines.
 
     Args:
-        cached_state: Notes changes of the machines' room.
+        cached_state: Is notified of changes of the machines' room.
         jobs: The jobs known here.
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        pump: Sends what is queued for a machine.
-        rebuild: Whether the records are being rebuilt.
-        renewal: Whether the leases of workers may be renewed.
-        routines: Where commands are sent.
+        pump: Sends the queued commands of a machine.
+        rebuild: Tells whether the records are being rebuilt.
+        renewal: Tells whether the leases of workers may be renewed.
+        routines: Runs the sending of commands.
         silent_s: The seconds without a report after which a machine is silent.
-        view: The rooms of all machines known.
-        watermark: Which processes have answered under which label.
+        view: The rooms of all known machines.
+        watermark: Knows the process that last answered under each label.
 
     Attributes:
-        forwarded: When a machine of another owner last reported here, in seconds of the
-            monotonic clock.
+        forwarded: The time of the last report here of each machine of another owner, in
+            seconds of the monotonic clock.
     """
 
     def __init__(
@@ -104,7 +105,7 @@
         """Answer a worker's report.
 
         Args:
-            body: The report as it came.
+            body: The encoded report.
 
         Returns:
             The HTTP status and the fields of the response; 400 for a malformed report.
@@ -120,10 +121,10 @@
         return status, answer
 
     def own_report(self, report: WorkerHeartbeat, now: float) -> Answer:
-        """Answer a report of a machine that is owned here."""
+        """Answer a report of a machine that this controller owns."""
         if report.machine in self.machines.gone:
-            # Held on its way: a machine that had been returned was open for work again, until
-            # its silence was noticed.
+            # The report was delayed in the network. Applying it would open a returned machine
+            # for work again, until its silence is detected.
             return 503, {}
         if not self.machines.accepts_token(report):
             self.membership.request_rescan()
@@ -135,10 +136,11 @@
         if new:
             self._note_owned(machine)
         answer: dict[str, Any] = {"epoch": machine.token, "orders": []}
-        if machine.orders and not machine.busy:
-            # Exited tasks take no room: that they are cleared can wait for a report's answer,
-            # which costs nothing, and is repeated until they are no longer listed.
-            if now < machine.direct_paused_until or not machine.urgent:
+        if machine.has_commands and not machine.request_in_flight:
+            # Exited tasks take no room, so clearing them can wait for the answer to a report.
+            # That needs no extra request, and the command is repeated until the tasks are no
+            # longer listed.
+            if now < machine.direct_paused_until or not machine.has_urgent_commands:
                 answer["orders"], machine.launches_in_response = self.machines.orders(machine)
             else:
                 self.routines.spawn(self.pump(machine))
@@ -146,7 +148,7 @@
         return 200, answer
 
     def _note_owned(self, machine: Machine) -> None:
-        """Take over what was known of a machine that reports here for the first time."""
+        """Log a new machine, and take over the list of its images from the cached state."""
         room = self.view.rooms.get(machine.name)
         if room is not None:
             machine.images.update({image: 0.0 for image in room.images})
@@ -160,15 +162,15 @@
         )
 
     async def _answer(self, report: WorkerHeartbeat, body: bytes) -> Answer:
-        """Answer a report from here, from the machine's owner, or in the owner's absence."""
+        """Answer a report as the owner, through the owner, or without the owner."""
         now = time.monotonic()
         epoch = self.membership.epoch
         owner = epoch.member_for(report.machine)
         if self.renewal.superseded(now) and self.renewal.state_lost(now):
             return 421, {}
         if not self.renewal.may_renew(now):
-            # Users may have been told of cancellations that we don't know of: a cancelled
-            # task must not live on here past its deadline.
+            # Users may have been told of cancellations that are unknown here. Renewing the lease
+            # could let a cancelled task run past its deadline.
             return 503, {}
         if owner == self.membership.label and self.membership.serving:
             return self.own_report(report, now)
@@ -176,9 +178,10 @@
             answer = await self._refer_to_owner(epoch, owner, report, body, now)
             if answer is not None:
                 return answer
-        if self.renewal.may_renew(time.monotonic()) and not self._unsure(report):
-            # No orders but kills: this starts nothing and takes nothing from whoever is
-            # entitled. What an owner that has ended left on its way is void.
+        if self.renewal.may_renew(time.monotonic()) and not self._has_unknown_jobs(report):
+            # The answer renews the lease and contains only kills, so it starts nothing and does
+            # not interfere with the owner. If the owner has ended, the raised token voids
+            # its commands that are still in flight.
             ended = self._owner_ended(epoch, owner)
             token = void_token(epoch, report.token) if ended else report.token
             return 200, {"epoch": token, "orders": []}
@@ -189,7 +192,7 @@
     async def _refer_to_owner(
         self, epoch: Epoch, owner: str, report: WorkerHeartbeat, body: bytes, now: float
     ) -> Answer | None:
-        """Send the worker to its owner or pass its report on; None where neither works."""
+        """Redirect the worker to its owner or forward its report; return None if both fail."""
         peer = self.peers.get(owner)
         last = self.forwarded.get(report.machine, NEVER)
         self.forwarded[report.machine] = now
@@ -198,8 +201,8 @@
         reachable = peer is not None and now - peer.heard < self.membership.lease_ttl_s
         if reachable and now - last > self.silent_s:
             return 421, {"upstream": owner}
-        # Back again although it was sent to its owner: the worker can't
-        # reach it, so its report is passed on.
+        # The worker was redirected to the owner and reports here again. It cannot reach the
+        # owner, so its report is forwarded.
         if peer is not None and self.membership.is_member:
             try:
                 status, raw = await peer.call(frames.REPORT, (epoch.number, body))
@@ -210,10 +213,10 @@
         return None
 
     def _kill_cancelled(self, report: WorkerHeartbeat, orders: list[Order]) -> None:
-        """Have what is known to be cancelled stopped by whoever answers the worker.
+        """Add kills for the reported tasks of jobs that are known to be cancelled.
 
-        The job's leader may not be there, or belong to an epoch that can't be loaded, and a
-        kill of such a task is right under any token.
+        Any controller that answers the worker adds them. The job's leader may be unavailable,
+        or the epoch cannot be loaded, and killing such a task is right under any token.
         """
         ordered = {(order["piece"], order["try"]) for order in orders if order["verb"] == "kill"}
         orders += [
@@ -221,39 +224,43 @@
             for task in report.tasks
             if task.state != "exited"
             and (task.task, task.attempt) not in ordered
-            and self._cancelled(report, task.task.partition("/")[0])
+            and self._known_to_be_over(report, task.task.partition("/")[0])
         ][: MAX_COMMANDS - len(ordered)]
 
-    def _cancelled(self, report: WorkerHeartbeat, job: str) -> bool:
-        """Whether a job with a task on a machine is known to be over.
+    def _known_to_be_over(self, report: WorkerHeartbeat, job: str) -> bool:
+        """Return whether a job with a task on a machine is known to be over.
 
-        One that is neither live nor known to have ended is, where all that was launched there
-        was launched under epochs before ours: we have read what was live since.
+        A job that is absent from the records is over, too, if the machine has had no commands
+        of a later owner than this controller. The records were read after every launch on the
+        machine, so a live job would be among them.
         """
         return self.jobs.is_cancelled(job) or (
-            self.rebuild.recovery is None and self._stranger(job) and self._before_us(report)
+            self.rebuild.recovery is None
+            and self._absent_from_records(job)
+            and self._no_later_owner(report)
         )
 
-    def _stranger(self, job: str) -> bool:
-        """Whether the records have been read and say nothing of a job."""
+    def _absent_from_records(self, job: str) -> bool:
+        """Return whether the records have been read and do not contain a job."""
         return (
             self.membership.records_loaded
             and job not in self.jobs.live
             and job not in self.jobs.ended
         )
 
-    def _before_us(self, report: WorkerHeartbeat) -> bool:
-        """Whether the machine has had no commands of a later owner than this controller."""
+    def _no_later_owner(self, report: WorkerHeartbeat) -> bool:
+        """Return whether a machine has had no commands of a later owner than this controller."""
         epoch, number = self.membership.epoch, report.token >> TOKEN_COUNTER_BITS
         return number < epoch.number or (
             number == epoch.number and epoch.member_for(report.machine) == self.membership.label
         )
 
     def _owner_ended(self, epoch: Epoch, owner: str) -> bool:
-        """Whether the process that an epoch names as the owner is known to have ended.
+        """Return whether the process that an epoch names as the owner is known to have ended.
 
-        Another one has answered in its place. One that answered before we knew of the epoch
-        may be its predecessor.
+        It has ended if another process has answered under its label. Only an answer to a
+        request sent after this controller learned of the epoch counts, because an earlier
+        answer may come from the predecessor of the named process.
         """
         watermark, named = self.watermark, epoch.members.get(owner)
         heard = watermark.incarnations.get(owner)
@@ -263,12 +270,13 @@
             and watermark.promise_requested_at[owner] > self.membership.epoch_started_at
         )
 
-    def _unsure(self, report: WorkerHeartbeat) -> bool:
-        """Whether a machine has tasks of jobs that we can't say anything of.
+    def _has_unknown_jobs(self, report: WorkerHeartbeat) -> bool:
+        """Return whether a machine has tasks of jobs that are unknown here.
 
-        They were accepted, and perhaps cancelled, after we had last read the records.
+        Such jobs were accepted, and may have been cancelled, after this controller last read
+        the records.
         """
-        return not self._before_us(report) and any(
-            task.state != "exited" and self._stranger(task.task.partition("/")[0])
+        return not self._no_later_owner(report) and any(
+            task.state != "exited" and self._absent_from_records(task.task.partition("/")[0])
             for task in report.tasks
         )
--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -1,7 +1,7 @@
-"""Applying a worker's report to the table of machines.
+"""Applies a worker's report to the table of machines.
 
-A task is believed gone only on a report that carries the token given out last, so that no
-older command can still run, and never on silence.
+A task counts as gone only after a report that carries the newest token, because only then can no
+older command still start it. Silence of a machine never makes a task count as gone.
 """
 
 from __future__ import annotations
@@ -25,9 +25,10 @@
 def apply_report(
     table: ReportTable, report: WorkerHeartbeat, now: float, renews_lease: bool
 ) -> Machine | None:
-    """Apply a report; None for one that is older than what is known.
+    """Apply a report, and return its machine; return None if the report is outdated.
 
-    Reports held in the network arrive minutes late: (session, seq) tells.
+    A report that was delayed in the network may arrive minutes late. It is outdated if its
+    (session, seq) is not above that of the newest report.
     """
     machine = table.machine(report.machine, now)
     if machine.known:
@@ -37,14 +38,14 @@
             machine.pending_kills.clear()
             machine.pending_clears.clear()
             machine.lease_expired = not renews_lease
-    # A machine that is new or closes without any task changes the room as well:
-    # peers pull a table only when its revision has moved.
-    shown = (machine.known, table.open(machine))
+    # A machine that is new, or that opens or closes, changes the room although its tasks stay
+    # the same. Peers fetch a table only if its revision has changed.
+    state_before = (machine.known, table.open(machine))
     _copy_fields(machine, report, now, renews_lease)
     before = machine.reported_tasks
-    reported = machine.reported_tasks = _statuses(report.tasks, before)
+    reported = machine.reported_tasks = _build_statuses(report.tasks, before)
     changed = before != reported
-    _take_statuses(table, machine)
+    _apply_statuses(table, machine)
     if changed:
         _note_images(table, machine)
     if machine.launches_in_response:
@@ -57,7 +58,7 @@
             if key in reported or key in machine.desired
         }
     if machine.notice_at is not None:
-        _checkpoint(table, machine)
+        _queue_checkpoints(table, machine)
     if machine.fenced and machine.desired:
         _emit_missing(table, machine)
     if len(machine.emitted) > len(reported):
@@ -67,13 +68,13 @@
         machine.pending_clears = dict.fromkeys(
             key for key in machine.pending_clears if key in reported
         )
-    if changed or shown != (True, table.open(machine)):
+    if changed or state_before != (True, table.open(machine)):
         _note_change(table, machine, now)
     return machine
 
 
 def emit_status(table: StatusTable, machine: Machine, key: TaskKey, status: TaskStatus) -> None:
-    """Send a task's status to its job's leader, and count it for the machine's health."""
+    """Send a task's status to its leader, and update the machine's errors by it."""
     machine.emitted[key] = status
     job = job_id(key)
     if status.cause == "error":
@@ -85,21 +86,21 @@
 
 
 def settle_launches(machine: Machine, launches: list[TaskKey]) -> None:
-    """Take launches back that are not known to have arrived.
+    """Queue launches again that are not known to have arrived.
 
-    A worker has one report in flight: what the response to the previous one ordered is
-    listed in the next, or that response was dropped.
+    A worker has one report in flight. A task launched by the response to one report is listed
+    in the next report, unless that response was lost.
     """
     for key in launches:
         desired = machine.desired.get(key)
         if desired is not None and desired.phase is SENT:
-            # What was killed meanwhile must not be launched again: a job that was
-            # cancelled while its launch was on its way once was.
+            # A task that is to be killed must not be launched again, for example when its job
+            # was cancelled while the launch was in flight.
             desired.phase = LIVE if key in machine.pending_kills else QUEUED
 
 
 def _copy_fields(machine: Machine, report: WorkerHeartbeat, now: float, renews_lease: bool) -> None:
-    """Take over what a report says of the machine itself."""
+    """Copy the fields that describe the machine itself from a report."""
     machine.known = True
     machine.session, machine.seq, machine.heard = report.session, report.seq, now
     if renews_lease:
@@ -107,15 +108,15 @@
     machine.address, machine.type = report.address, report.type
     machine.zone, machine.spot = report.zone, report.spot
     machine.notice_at = None if report.notice_s is None else now + report.notice_s
-    # Only under the current token is an older command known to be void.
+    # Older commands are known to be void only if the worker reports the current token.
     machine.token = max(machine.token, report.token)
     machine.fenced = report.token == machine.token
 
 
-def _statuses(
+def _build_statuses(
     tasks: list[ReportedTask], before: dict[TaskKey, TaskStatus]
 ) -> dict[TaskKey, TaskStatus]:
-    """The statuses by task; those that have not changed are kept, which costs less."""
+    """Return the statuses by task; unchanged objects are reused, which is cheaper."""
     statuses: dict[TaskKey, TaskStatus] = {}
     for task in tasks:
         key = (task.task, task.attempt)
@@ -126,8 +127,8 @@
     return statuses
 
 
-def _take_statuses(table: ReportTable, machine: Machine) -> None:
-    """Settle launches of tasks that are listed, and emit what is new of each."""
+def _apply_statuses(table: ReportTable, machine: Machine) -> None:
+    """Mark the launches of listed tasks as arrived, and emit each changed status."""
     desired_tasks, emitted = machine.desired, machine.emitted
     for key, status in machine.reported_tasks.items():
         desired = desired_tasks.get(key)
@@ -138,7 +139,7 @@
 
 
 def _note_images(table: ReportTable, machine: Machine) -> None:
-    """Note the images that the machine's tasks have made it load."""
+    """Record the images that the machine has loaded for its tasks."""
     machine_type = table.types.get(machine.type)
     if machine_type is None:
         return
@@ -146,7 +147,7 @@
     for key, status in machine.reported_tasks.items():
         if status.state != "running" and status.cause != "done":
             continue
-        job = job_of(key[0].partition("/")[0])  # in place: this runs for every task
+        job = job_of(key[0].partition("/")[0])  # job_id() inlined, because this runs for every task
         if job is None:
             continue
         images[job.image] = job.image_gb
@@ -157,8 +158,8 @@
             held_gb -= images.popitem(last=False)[1]
 
 
-def _checkpoint(table: ReportTable, machine: Machine) -> None:
-    """Stop the tasks that can save a checkpoint: the cloud takes the machine."""
+def _queue_checkpoints(table: ReportTable, machine: Machine) -> None:
+    """Stop the tasks that can save a checkpoint, because the cloud reclaims the machine."""
     for key, status in machine.reported_tasks.items():
         job = table.job_of(job_id(key))
         if (
@@ -171,7 +172,7 @@
 
 
 def _emit_missing(table: ReportTable, machine: Machine) -> None:
-    """Emit as gone what should be on the machine and isn't, by a report under its token."""
+    """Emit as gone the desired tasks that a report under the current token does not list."""
     for key, desired in machine.desired.items():
         if desired.phase is LIVE and key not in machine.reported_tasks:
             emitted = machine.emitted.get(key)
@@ -180,7 +181,7 @@
 
 
 def _note_change(table: ReportTable, machine: Machine, now: float) -> None:
-    """Note that the room has changed, and whether any work but best-effort work is there."""
+    """Record a change of the room; `idle_since` moves unless only backfill work is there."""
     table.touch(machine.name)
     for key in (*machine.desired, *machine.occupying()):
         job = table.job_of(job_id(key))
--- a/clayport/machines/room.py
+++ b/clayport/machines/room.py
@@ -1,4 +1,4 @@
-"""The free room of a machine, built from what runs there and what is wanted there."""
+"""Builds the free room of a machine from its reported and its desired tasks."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     accepts_work: bool,
     job_of: Callable[[str], Job | None],
 ) -> tuple[Room, bool]:
-    """The free room, with everything counted that is desired or still reported.
+    """Build the free room of a machine; all desired or reported tasks take room.
 
     Args:
         machine: The machine.
-        machine_type: Its type; None where the catalogue has none of that name.
+        machine_type: The type of the machine; None if it is not in the catalogue.
         accepts_work: Whether the machine takes new tasks.
         job_of: Finds a job's description.
 
     Returns:
-        The room, and whether the jobs of all tasks on it are known.
+        The room, and whether the jobs of all its tasks are known.
     """
     room = Room(
         machine.name,
@@ -50,9 +50,9 @@
         tasks_by_job[job] = tasks_by_job.get(job, 0) + 1
     all_known = True
     for job, count in tasks_by_job.items():
-        guest = job_of(job)
-        if guest is not None:
-            room.take(guest, count)
+        description = job_of(job)
+        if description is not None:
+            room.take(description, count)
         else:
             room.tasks += count
             all_known = False
--- a/clayport/machines/routing.py
+++ b/clayport/machines/routing.py
@@ -1,4 +1,4 @@
-"""Requests to whichever controller owns a machine or leads a job."""
+"""Sends requests to the owners of machines, with a retry policy for each controller."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class Evacuation(Protocol):
-    """Moves the replicas off a machine that this controller owns."""
+    """Moves replicas off the machines that this controller owns."""
 
     def evacuate(self, name: str, drain: bool) -> bool:
-        """Begin to move a machine's replicas, and return whether that is under way."""
+        """Start moving replicas off a machine; return whether this call has started it."""
         ...
 
 
 class Routing:
-    """Sends requests to this controller or a peer, with the retry policy of that peer.
+    """Sends requests to this controller or a peer, and applies the peer's retry policy.
 
     Args:
-        membership: This controller's label, and the epoch with the owners of all machines.
+        membership: The label of this controller, and the epoch, which defines the owners.
         machines: The machines that this controller owns.
         peers: The other controllers, by label.
-        store: The state service, whose retry policy holds for requests to this controller.
+        store: The state service, whose retry policy applies to requests to this controller.
         evacuation: Moves replicas off the machines that this controller owns.
     """
 
@@ -47,10 +47,10 @@
         self.evacuation = evacuation
 
     def start_attempt(self, label: str) -> Attempt:
-        """Begin a request to a controller, and return its attempt, for `back_off`.
+        """Start a request to a controller, and return its attempt for use with `back_off`.
 
-        A request to this controller is answered at once, or not before the epoch has moved
-        on, which the store tells.
+        A request to this controller either succeeds immediately or fails until a new epoch is
+        read from the state service, so it uses the retry policy of the state service.
         """
         peer = self.peers.get(label)
         return peer.begin() if peer is not None else self.store.begin()
@@ -61,15 +61,15 @@
         await (peer.back_off(attempt) if peer is not None else self.store.back_off(attempt))
 
     async def ask_owner(self, kind: int, machine: str, *arguments: bool) -> bool:
-        """Send a request for a machine to its owner.
+        """Send a request about a machine to its owner.
 
         Args:
             kind: The kind of frame, `frames.DRAIN` or `frames.EVACUATE`.
             machine: The name of the machine.
-            arguments: What else the frame has: for EVACUATE, whether to drain the machine.
+            arguments: The other fields of the frame; for EVACUATE, whether to drain the machine.
 
         Returns:
-            Whether the owner has agreed; False too if it is unknown or doesn't answer.
+            Whether the owner has agreed; False if the owner is unknown or does not answer.
         """
         epoch = self.membership.epoch
         owner = epoch.member_for(machine)
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -1,4 +1,4 @@
-"""Machines that fell silent: asking whether they still work, and returning those that don't."""
+"""Detects silent machines, checks whether they still work, and returns those that do not."""
 
 from __future__ import annotations
 
@@ -25,35 +25,35 @@
 
 log = logging.getLogger(__name__)
 
-# Checks in a row that find a machine unhealthy before its replicas are moved off.
+# Consecutive checks that find a machine unhealthy before its replicas are moved off.
 UNHEALTHY_CHECKS = 3
 
 
 class CloudListing(Protocol):
-    """Knows the machines as the cloud last listed them, by name."""
+    """Provides the cloud's list of machines as last read."""
 
     @property
     def listed(self) -> dict[str, CloudMachine]:
-        """The machines of the list."""
+        """The listed machines, by name."""
         ...
 
 
 class SilenceWatch:
-    """Has machines owned here returned that are silent and don't answer.
+    """Fences owned machines that are silent and do not answer a request.
 
     Args:
-        command_s: For how many seconds a worker's answer is awaited.
-        evacuate: Begins to move all replicas off a machine.
-        fencing: Returns machines, where this controller talks to the cloud.
+        command_s: The timeout of a request to a worker, in seconds.
+        evacuate: Starts moving replicas off a machine.
+        fencing: Returns machines, if this controller is the provisioner.
         inspect: Asks a worker, by name and address, whether it works.
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        renewal: Whether the state service is reached.
-        routines: Where the requests run.
+        renewal: Tells whether the state service answers.
+        routines: Runs the fences.
         silent_s: The seconds without a report after which a machine is silent.
-        stalls: Tells when this process itself has stood still.
-        view: The rooms of all machines known.
+        stalls: Detects stalls of this process.
+        view: The rooms of all known machines.
         workers: The settings of workers.
     """
 
@@ -89,11 +89,11 @@
         self.workers = workers
 
     def connect(self, *, provisioner: CloudListing) -> None:
-        """Set the part that is built later than this one."""
+        """Set the provisioner, which is built after this object."""
         self.provisioner = provisioner
 
     async def watch_silence(self) -> None:
-        """Fence machines that fell silent: a task on one can't be judged otherwise."""
+        """Fence silent machines, because only that shows whether their tasks can still run."""
         while True:
             await curio.sleep(self.workers.report_s)
             now = time.monotonic()
@@ -101,22 +101,22 @@
                 continue
             self.machines.expire(now)
             if self.membership.away or self.renewal.state_lost(now):
-                continue  # possibly evicted: see Provisioner.run
+                continue  # possibly evicted from the epoch: see `Provisioner.run`
             owned = list(self.machines.machines.values())
             self._evacuate_unhealthy(owned)
             self._fence_silent(owned, now)
 
     def _evacuate_unhealthy(self, owned: list[Machine]) -> None:
-        """Begin to move replicas off machines that stay unhealthy."""
+        """Start moving replicas off machines that stay unhealthy."""
         for machine in owned:
-            # Not at once: the job that failed there may yet prove to be at fault.
+            # Several checks are required, because the failed job may yet prove to be at fault.
             unhealthy = self.machines.is_unhealthy(machine)
             machine.unhealthy_checks = machine.unhealthy_checks + 1 if unhealthy else 0
             if machine.unhealthy_checks >= UNHEALTHY_CHECKS and machine.known:
                 self.evacuate(machine.name, True)
 
     def _fence_silent(self, owned: list[Machine], now: float) -> None:
-        """Begin to fence the silent ones of the machines."""
+        """Start fencing the silent machines among the owned ones."""
         silent = [
             machine
             for machine in owned
@@ -124,8 +124,8 @@
             and not machine.fencing
             and (machine.known or machine.desired)
         ]
-        # When most are silent at once it is we who are cut off, or a whole
-        # zone is: returning them all would destroy what still works.
+        # If most machines are silent at once, this controller or a whole zone is probably
+        # disconnected. Returning all of them would destroy machines that still work.
         cut_off = len(silent) > 2 and len(silent) * 2 > len(owned)
         for machine in silent:
             if not cut_off or now - machine.heard > self.workers.cancel_s / 2:
@@ -134,16 +134,18 @@
                 self.routines.spawn(self._fence(machine))
 
     async def _fence(self, machine: Machine) -> None:
-        """Have a silent machine returned, unless it answers."""
+        """Return a silent machine to the cloud, unless it answers."""
         epoch = self.membership.epoch
         try:
             address = self._address(machine)
             if not address and time.monotonic() - machine.heard < self.workers.cancel_s / 2:
                 return
-            answers = bool(address) and await self._answers(machine.name, address, epoch.members)
+            answers = bool(address) and await self._is_reachable(
+                machine.name, address, epoch.members
+            )
             if self.membership.epoch is not epoch or not self.membership.serving:
                 return
-            if not self._useless(machine) and (
+            if not self._lease_long_expired(machine) and (
                 answers or time.monotonic() - machine.heard < self.silent_s
             ):
                 return
@@ -167,11 +169,12 @@
                 self.machines.touch(machine.name)
 
     def _address(self, machine: Machine) -> str:
-        """The worker's address, or empty.
+        """Return the worker's address, or an empty string if it is unknown.
 
-        An owner that has not heard the machine yet knows its address from the cached state or
-        the list; with none, silence alone is no ground to return a machine that may well work
-        (fifteen were, when one controller lost the state service).
+        An owner that has not received a report from the machine takes the address from the
+        cached state or the cloud's list. Without an address, silence alone does not justify a
+        return. Otherwise a controller that loses the state service returns machines that work
+        (15 in one case).
         """
         room = self.view.rooms.get(machine.name)
         listed = self.provisioner.listed.get(machine.name)
@@ -179,27 +182,30 @@
             machine.address or (room.address if room else "") or (listed.address if listed else "")
         )
 
-    def _useless(self, machine: Machine) -> bool:
-        """Whether a machine answers commands, but has let its lease run out for long."""
+    def _lease_long_expired(self, machine: Machine) -> bool:
+        """Return whether a machine answers commands, but its lease expired long ago."""
         return machine.lease_expired and (
             time.monotonic() - machine.reported_at > self.workers.cancel_s / 2
         )
 
-    async def _answers(self, name: str, address: str, members: Container[str]) -> bool:
-        """Whether the worker answers us or a peer.
+    async def _is_reachable(self, name: str, address: str, members: Container[str]) -> bool:
+        """Return whether the worker answers this controller or a peer.
 
-        Both are asked at once: one after the other, a machine that had ended was returned only
-        after its lease was over, and its replicas were missed for so much longer.
+        Both requests are sent at the same time. Sent one after the other, they would delay the
+        return of a failed machine beyond its lease, and its replicas would be missing for
+        longer.
         """
         async with curio.TaskGroup(wait=all) as group:
             found = [
                 await group.spawn(self.inspect, name, address),
-                await group.spawn(self._answers_peer, name, address, members),
+                await group.spawn(self._is_reachable_from_peer, name, address, members),
             ]
         return any(task.result for task in found)
 
-    async def _answers_peer(self, name: str, address: str, members: Container[str]) -> bool:
-        """Whether the worker answers the first peer that can be asked."""
+    async def _is_reachable_from_peer(
+        self, name: str, address: str, members: Container[str]
+    ) -> bool:
+        """Return whether the worker answers a peer; the first peer that can be reached decides."""
         for label, peer in self.peers.items():
             if label in members:
                 try:
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -1,8 +1,7 @@
-"""The machines whose workers report to this controller: their owner's view of them.
+"""The table of the machines that this controller owns.
 
-The table keeps each machine's lease, fencing token, tasks and commands. Jobs' leaders ask it
-for room and launches, workers' reports go through it, and it emits what becomes of tasks.
-Nothing here does any I/O.
+The table holds each machine's lease, fencing token, tasks and commands. It handles the requests
+of leaders and the reports of workers, and emits the events of tasks. It does no I/O.
 """
 
 from __future__ import annotations
@@ -30,31 +29,31 @@
 
 log = logging.getLogger(__name__)
 
-Key = TaskKey  # the name by which other modules know it
+Key = TaskKey
 
-# Machines whose return is remembered, so that a late report doesn't bring them back.
+# Returned machines that are kept, so that a late report of one does not add it again.
 MAX_GONE_MACHINES = 5000
 
 
 class MachineTable:
-    """State of all machines owned here; every method is free of I/O.
+    """The state of all machines that this controller owns; no method does I/O.
 
     Args:
         job_of: Finds a job's description.
-        is_cancelled: Whether a job is known to be cancelled.
-        emit: Hands an event to the leader of the job with this id.
-        reservation_s: For how long room is kept for tasks whose launch isn't asked for.
-        direct_pause_s: For how long a machine that didn't answer a command gets its commands
-            in the responses to its reports.
+        is_cancelled: Tells whether a job is known to be cancelled.
+        emit: Sends an event to the leader of the job with this id.
+        reservation_s: The seconds after which a reservation that is not launched expires.
+        direct_pause_s: The seconds for which a machine that did not answer a command gets its
+            commands in the responses to its reports.
 
     Attributes:
         machines: The machines, by name.
         gone: Machines whose return is confirmed; their names are not used again.
         types: The catalogue of machine types, by name.
         epoch: The epoch under which the machines are owned.
-        changes: What of the free-room table changed when, so that a cached state is renewed
-            by what changed and not by building every room anew.
-        faults: What jobs' leaders have judged of errors.
+        changes: The log of changes to rooms, so that a refresh of a cached state builds only
+            the rooms that have changed.
+        faults: The verdicts of the jobs' leaders on the causes of errors.
     """
 
     def __init__(
@@ -77,10 +76,11 @@
     # -- ownership -------------------------------------------------------
 
     def begin(self, epoch: Epoch, own_label: str) -> None:
-        """Enter a new epoch: tokens rise and every desired task is adopted anew.
+        """Enter a new epoch: drop lost machines, raise the tokens and clear desired tasks.
 
-        What the reports said of machines that stay ours is kept, so that they
-        take work again at once; that they are settled is not.
+        The new epoch's leaders adopt their tasks again. The last report of a machine that this
+        controller still owns is kept, so that the machine takes work immediately. The machine
+        does not count as fenced until it reports the new token.
         """
         self.epoch = epoch
         for name in [n for n in self.machines if epoch.member_for(n) != own_label]:
@@ -88,20 +88,20 @@
         for machine in self.machines.values():
             machine.token = epoch.first_token + 1
             machine.fenced = machine.fencing = False
-            machine.reset_orders()
+            machine.reset_for_epoch()
         self.mark_all_changed()
 
     def discount_stall(self, gap_s: float) -> None:
-        """Don't count a stall of this process as silence of the machines.
+        """Exclude a stall of this process from the silence of the machines.
 
-        What came during the stall is still to be read.
+        Reports that arrived during the stall have not been read yet.
         """
         for machine in self.machines.values():
             machine.heard += gap_s
             machine.reported_at += gap_s
 
     def machine(self, name: str, now: float) -> Machine:
-        """The machine of that name, which is added where it is not known."""
+        """Return the machine of that name, and add it if it is unknown."""
         assert self.epoch is not None
         found = self.machines.get(name)
         if found is None:
@@ -109,7 +109,7 @@
         return found
 
     def removed(self, names: Iterable[str]) -> None:
-        """Take note that the cloud has confirmed the machines' return."""
+        """Remove machines whose return the cloud has confirmed."""
         for name in names:
             self.gone[name] = None
             if len(self.gone) > MAX_GONE_MACHINES:
@@ -117,49 +117,50 @@
             machine = self.machines.pop(name, None)
             if machine is not None:
                 self.touch(name)
-                # Leaders are told as well: one that took over a moment ago has adopted its
-                # tasks here after it heard of the return, and would wait for ever.
+                # The leaders get an event for each task. A new leader may have adopted tasks
+                # here after it learned of the return, and would otherwise wait forever.
                 for key, desired in machine.desired.items():
                     if desired.phase is not RESERVED:
                         self.emit_gone(name, key)
 
     def jobs_on(self, name: str) -> set[str]:
-        """The jobs with tasks that are on a machine or desired there."""
+        """Return the jobs with tasks that are reported or desired on a machine."""
         machine = self.machines.get(name)
         if machine is None:
             return set()
         return {split_task(key[0])[0] for key in (*machine.desired, *machine.reported_tasks)}
 
-    # -- what changed ----------------------------------------------------
+    # -- changes of rooms ------------------------------------------------
 
     @property
     def room_rev(self) -> int:
-        """The revision of the free-room table."""
+        """The revision of the table of rooms."""
         return self.changes.revision
 
     def touch(self, name: str) -> None:
-        """Note that the machine's room has changed, or that the machine is gone."""
+        """Record that the machine's room has changed, or that the machine has been removed."""
         machine = self.machines.get(name)
         if machine is not None:
             machine.cached_room = None
         self.changes.record(name, len(self.machines))
 
     def mark_all_changed(self) -> None:
-        """Note that the room of any machine may have changed."""
+        """Record that the room of any machine may have changed."""
         for machine in self.machines.values():
             machine.cached_room = None
         self.changes.record_all()
 
     def changed(self, since: int) -> list[str] | None:
-        """Machines that changed after the revision; None: any may have."""
+        """Return the machines that changed after a revision; None if any may have changed."""
         return self.changes.since(since)
 
     # -- reports ---------------------------------------------------------
 
     def accepts_token(self, report: WorkerHeartbeat) -> bool:
-        """Whether no later epoch has given out the report's token.
+        """Return whether the report's token is not one of a later epoch.
 
-        A higher one of our epoch was given out by a peer that took us for ended.
+        A peer may have issued a higher token of the current epoch, because it took this
+        controller for ended.
         """
         assert self.epoch is not None
         return report.token >> TOKEN_COUNTER_BITS <= self.epoch.number
@@ -171,23 +172,23 @@
 
         Args:
             report: The report.
-            now: When it came.
-            renews_lease: Whether the worker sent it to a controller, so that the answer renews
-                its lease; a command's answer holds a report as well, which doesn't.
+            now: When the report arrived.
+            renews_lease: Whether the worker sent the report to a controller, whose answer
+                renews the lease. The report in the answer to a command does not renew it.
 
         Returns:
-            The machine; None for a report that is older than what is known.
+            The machine; None for an outdated report.
         """
         return reports.apply_report(self, report, now, renews_lease)
 
     def emit_again(self, machine: str, key: TaskKey) -> None:
-        """Emit an event again with a later report: the leader could not judge it yet."""
+        """Let the next report emit an event again, because the leader cannot handle it yet."""
         found = self.machines.get(machine)
         if found is not None:
             found.emitted.pop(key, None)
 
     def settled(self, machine: str, key: TaskKey) -> None:
-        """Take note that the job's leader knows that a task is gone."""
+        """Drop a desired task after its leader has learned that it is gone."""
         found = self.machines.get(machine)
         if found is not None and key not in found.reported_tasks:
             desired = found.desired.get(key)
@@ -196,29 +197,29 @@
                 self.touch(machine)
 
     def emit_gone(self, name: str, key: TaskKey) -> None:
-        """Emit that a task is not on a machine and can't start there any more."""
+        """Emit that a task is not on a machine and can no longer be started there."""
         self.emit(job_id(key), TaskEvent(name, *key, GONE, "", False))
 
     # -- health ----------------------------------------------------------
 
     @property
     def failing_jobs(self) -> dict[str, None]:
-        """Jobs that fail by their own fault."""
+        """Jobs that cause their own errors."""
         return self.faults.failing_jobs
 
     def is_unhealthy(self, machine: Machine) -> bool:
-        """Whether the errors on a machine are held against it."""
+        """Return whether the errors on a machine make it unhealthy."""
         return self.faults.is_unhealthy(machine)
 
     def judge(self, name: str, job: str, at_fault: bool) -> None:
-        """Take the verdict of a job's leader on whose fault an error was.
+        """Record the verdict of a job's leader on whether the job or the machine is at fault.
 
-        What a job failed by its own is held against no machine: a few such jobs once closed
-        sound ones.
+        Errors of a job at fault count against no machine. Otherwise a few such jobs could close
+        healthy machines.
         """
         if self.faults.record(job, at_fault):
             log.info("job=%s event=job-failing", job)
-            self._forgive(job)
+            self._remove_errors(job)
         machine = self.machines.get(name)
         if (
             machine is not None
@@ -230,31 +231,35 @@
             self.touch(name)
 
     def ended(self, job: str, status: str) -> None:
-        """Forget the verdict on a job that is over; a user cancels what has a mistake."""
+        """Drop the verdict on a job that has ended.
+
+        The errors of a cancelled job no longer count against machines, because users often
+        cancel jobs that are faulty.
+        """
         self.faults.forget(job)
         if status == "cancelled":
-            self._forgive(job)
+            self._remove_errors(job)
 
-    def _forgive(self, job: str) -> None:
-        """Hold a job's errors against no machine any more."""
+    def _remove_errors(self, job: str) -> None:
+        """Remove a job's errors from all machines."""
         for machine in self.machines.values():
             if machine.errors.pop(job, 0):
                 self.touch(machine.name)
 
-    # -- what the jobs' leaders ask --------------------------------------
+    # -- requests of leaders ---------------------------------------------
 
     def reserve(
         self, job: Job, items: Iterable[tuple[str, int]], attempt: int, now: float
     ) -> list[bool]:
-        """Keep room for tasks of a job, by machine and number; whether each is granted."""
+        """Reserve room for tasks, (machine, number), and return whether each is granted."""
         return assignments.reserve(self, job, items, attempt, now)
 
     def expire(self, now: float) -> None:
-        """Drop reservations whose leader has not come back for them, and room kept too long."""
+        """Drop reservations that were not launched in time, and expired holds of preempted room."""
         assignments.expire(self, now)
 
     def launch(self, items: Iterable[tuple[str, str, int]]) -> list[int]:
-        """Queue launches of (machine, task, attempt); 0 for each that will never be launched."""
+        """Queue launches of (machine, task, attempt); return 0 for each without a reservation."""
         return assignments.launch(self, items)
 
     def stop(self, items: Iterable[tuple[str, str, int, float, bool]]) -> None:
@@ -262,7 +267,7 @@
         assignments.stop(self, items)
 
     def adopt(self, items: Iterable[tuple[str, str, int]], now: float) -> None:
-        """Take over assignments, (machine, task, attempt), that a leader found committed."""
+        """Add committed assignments, (machine, task, attempt), that a leader has read."""
         assignments.adopt(self, items, now)
 
     def preempt(
@@ -274,15 +279,16 @@
         borrowers: Iterable[str] = (),
         count: int = 1,
     ) -> bool:
-        """Stop work of lower rank until `count` tasks of `job` fit.
+        """Stop tasks of lower rank until `count` tasks of `job` fit.
 
-        Of the lowest rank first, and what can save its progress before what can't.
-        What would save for longer than `grace_s` goes back to its last checkpoint.
-        Teams in `borrowers` have borrowed what is now claimed: their work goes whatever
-        its rank, but for replicas.
+        Tasks of the lowest rank are stopped first, and among them those that can save a
+        checkpoint. A task that needs more than `grace_s` to save one is stopped immediately
+        and resumes from its last checkpoint. Teams in `borrowers` use quota that is
+        guaranteed to the job's team, so their tasks are stopped whatever their rank,
+        except for replicas of services.
 
         Returns:
-            Whether a task of the job will fit.
+            Whether at least one task of the job will fit.
         """
         machine = self.machines.get(name)
         return machine is not None and eviction.preempt(
@@ -290,36 +296,36 @@
         )
 
     def drain(self, name: str) -> bool:
-        """Close an idle machine for good; False when something is or may be on it.
+        """Close an idle machine permanently; return False if a task is or may be on it.
 
-        Work without any aim that saves its progress does so and goes on elsewhere: it must
-        not keep an ordinary machine rented.
+        Backfill tasks, those without an objective, must not keep a machine rented. The ones
+        that can save a checkpoint are stopped and continue on another machine.
         """
         machine = self.machines.get(name)
         return machine is None or eviction.drain(self, machine)
 
     def replicas(self, machine: Machine) -> list[tuple[TaskKey, Job]]:
-        """The replicas on a machine that would have to move."""
+        """Return the replicas on a machine, which would have to move off it."""
         return eviction.replicas(self, machine)
 
     # -- commands --------------------------------------------------------
 
     def orders(self, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
-        """The commands to send now, and the launches among them, which become SENT."""
+        """Return the commands to send now and the launches among them, whose tasks become SENT."""
         return commands.take_orders(self, machine)
 
     def answered(self, machine: Machine, orders: list[Order], launches: list[TaskKey]) -> None:
-        """Take note that the worker has executed the commands."""
+        """Record that the worker has executed the commands."""
         commands.note_answered(machine, orders, launches)
 
     def unanswered(self, machine: Machine, launches: list[TaskKey], sent: bool, now: float) -> None:
-        """Take note that no answer came; `sent`: the commands may yet arrive."""
+        """Record that no answer came; `sent` tells whether the commands may still arrive."""
         commands.note_unanswered(machine, launches, sent, now + self.direct_pause_s)
 
     # -- room ------------------------------------------------------------
 
     def open(self, machine: Machine) -> bool:
-        """Whether the machine takes new tasks."""
+        """Return whether the machine takes new tasks."""
         return (
             machine.known
             and not machine.draining
@@ -330,22 +336,22 @@
         )
 
     def room(self, machine: Machine, owner: str = "", now: float | None = None) -> Room:
-        """The machine's free room: all that is desired or still reported is counted.
+        """Return the machine's free room; all desired or reported tasks take room.
 
         Args:
             machine: The machine.
-            owner: The label that the room gets as its owner's.
-            now: The present instant, to say for which job room is kept; None: it isn't said.
+            owner: The label of the owner to set in the room.
+            now: The current time, for the job that the room is held for; None leaves it out.
 
         Returns:
-            A copy that the caller may charge.
+            A copy that the caller may modify.
         """
         built = machine.cached_room
         if built is None or built.open != (self.open(machine) and machine.type in self.types):
             built, all_known = build_room(
                 machine, self.types.get(machine.type), self.open(machine), self.job_of
             )
-            # What is on it with no job known for it may become known without a touch.
+            # A job that is unknown now may become known without a call of `touch`.
             machine.cached_room = built if all_known else None
         room = built.copy()
         room.owner = owner
--- a/clayport/machines/table_parts.py
+++ b/clayport/machines/table_parts.py
@@ -1,7 +1,7 @@
-"""What the modules that work on the table of machines use of it.
+"""Interfaces of the table of machines for the modules that operate on it.
 
-The table calls them and is given to them. They name these interfaces in place of its class, so
-that modules import in one direction only.
+The table passes itself to the functions of these modules. They refer to these interfaces instead
+of the class of the table, which avoids circular imports.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 
 
 class RoomTable(Protocol):
-    """The rooms of machines, and the jobs of what is on them.
+    """The rooms of machines, and the jobs of the tasks on them.
 
     Attributes:
         job_of: Finds a job's description.
-        direct_pause_s: For how long a machine that didn't answer a command gets its commands
-            in the responses to its reports.
+        direct_pause_s: The seconds for which a machine that did not answer a command gets its
+            commands in the responses to its reports.
     """
 
     job_of: Callable[[str], Job | None]
     direct_pause_s: float
 
     def open(self, machine: Machine) -> bool:
-        """Whether the machine takes new tasks."""
+        """Return whether the machine takes new tasks."""
         ...
 
     def room(self, machine: Machine) -> Room:
-        """The machine's free room; a copy that the caller may charge."""
+        """Return a copy of the machine's free room, which the caller may modify."""
         ...
 
     def touch(self, name: str) -> None:
-        """Note that the machine's room has changed, or that the machine is gone."""
+        """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
 
 class StatusTable(Protocol):
-    """What is needed to emit the status of a task.
+    """The part of the table that is needed to emit the status of a task.
 
     Attributes:
-        emit: Hands an event to the leader of the job with this id.
-        faults: What jobs' leaders have judged of errors.
+        emit: Sends an event to the leader of the job with this id.
+        faults: The verdicts of the jobs' leaders on the causes of errors.
     """
 
     emit: Callable[[str, TaskEvent], None]
@@ -54,7 +54,7 @@
 
 
 class ReportTable(StatusTable, Protocol):
-    """What is needed to apply a report.
+    """The part of the table that is needed to apply a report.
 
     Attributes:
         job_of: Finds a job's description.
@@ -65,51 +65,51 @@
     types: dict[str, MachineType]
 
     def machine(self, name: str, now: float) -> Machine:
-        """The machine of that name, which is added where it is not known."""
+        """Return the machine of that name, and add it if it is unknown."""
         ...
 
     def open(self, machine: Machine) -> bool:
-        """Whether the machine takes new tasks."""
+        """Return whether the machine takes new tasks."""
         ...
 
     def touch(self, name: str) -> None:
-        """Note that the machine's room has changed, or that the machine is gone."""
+        """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
 
 class AssignmentTable(StatusTable, Protocol):
-    """What is needed to reserve, launch, stop and adopt tasks.
+    """The part of the table that is needed to reserve, launch, stop and adopt tasks.
 
     Attributes:
         machines: The machines, by name.
-        reservation_s: For how long room is kept for tasks whose launch isn't asked for.
+        reservation_s: The seconds after which a reservation that is not launched expires.
     """
 
     machines: dict[str, Machine]
     reservation_s: float
 
     def machine(self, name: str, now: float) -> Machine:
-        """The machine of that name, which is added where it is not known."""
+        """Return the machine of that name, and add it if it is unknown."""
         ...
 
     def room(self, machine: Machine) -> Room:
-        """The machine's free room; a copy that the caller may charge."""
+        """Return a copy of the machine's free room, which the caller may modify."""
         ...
 
     def touch(self, name: str) -> None:
-        """Note that the machine's room has changed, or that the machine is gone."""
+        """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
     def emit_gone(self, name: str, key: TaskKey) -> None:
-        """Emit that a task is not on a machine and can't start there any more."""
+        """Emit that a task is not on a machine and can no longer be started there."""
         ...
 
 
 class CommandTable(Protocol):
-    """What is needed to choose the commands for a machine.
+    """The part of the table that is needed to choose the commands for a machine.
 
     Attributes:
-        is_cancelled: Whether a job is known to be cancelled.
+        is_cancelled: Tells whether a job is known to be cancelled.
     """
 
     is_cancelled: Callable[[str], bool]
--- a/tests/machines/test_fencing.py
+++ b/tests/machines/test_fencing.py
@@ -1,4 +1,4 @@
-"""Machines that are to be returned, when many are at once."""
+"""Tests of the batching of fences, and of the check whether a silent machine still works."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from tests.world import Clock, simulate
 
 
-class Core:
-    """What fences use of a controller; the cloud takes a request each second."""
+class FakeController:
+    """Stands in for the cloud, the membership and the removal that `MachineFencing` uses."""
 
     def __init__(self) -> None:
         self.epoch: object = self
         self.sent: list[list[str]] = []
-        self.told: list[str] = []
-        self.fails: set[int] = set()  # numbers of the requests that are refused
+        self.announced: list[str] = []
+        self.failing_requests: set[int] = set()  # by number, from 1
 
     def fencing(self) -> MachineFencing:
-        """The routine under test, with this in place of all parts that it uses."""
+        """Return the object under test, with this fake for each part that it uses."""
         parts: Any = self
         return MachineFencing(cloud=parts, membership=parts, removal=parts)
 
@@ -34,112 +34,117 @@
     async def return_now(self, names: list[str]) -> None:
         self.sent.append(names)
         await curio.sleep(0)
-        if len(self.sent) in self.fails:
+        if len(self.sent) in self.failing_requests:
             raise CloudError("503")
 
     async def announce(self, names: list[str]) -> None:
-        self.told += names
+        self.announced += names
 
 
-async def fence_all(fences: MachineFencing, names: list[str]) -> list[str]:
-    async def one(name: str) -> str:
+async def fence_all(fencing: MachineFencing, names: list[str]) -> list[str]:
+    async def fence_one(name: str) -> str:
         try:
-            await fences.fence(name)
+            await fencing.fence(name)
         except CloudError as exc:
             return str(exc)
         return ""
 
-    tasks = [await curio.spawn(one, n) for n in names]
+    tasks = [await curio.spawn(fence_one, n) for n in names]
     return [await t.join() for t in tasks]
 
 
 @pytest.mark.parametrize(
-    "count, fails, requests",
+    "count, failing_requests, requests",
     [
         (1, set(), [1]),
         (100, set(), [100]),
-        (320, set(), [100, 100, 100, 20]),  # each had a request of its own: a hundred seconds
+        (320, set(), [100, 100, 100, 20]),  # one request per machine would take over 100 s
         (320, {2}, [100, 100, 100, 20]),
         (150, {1, 2}, [100, 50]),
     ],
 )
-def test_many_fences_go_together(count: int, fails: set[int], requests: list[int]) -> None:
-    core = Core()
-    core.fails = fails
-    fences = core.fencing()
+def test_fences_are_sent_in_batches(
+    count: int, failing_requests: set[int], requests: list[int]
+) -> None:
+    fake = FakeController()
+    fake.failing_requests = failing_requests
+    fencing = fake.fencing()
     names = [f"i-{n:06d}" for n in range(count)]
-    found = curio.run(fence_all, fences, [*names, names[-1]])  # asked for twice, sent once
-    assert [len(s) for s in core.sent] == requests and [
-        n for names_sent in core.sent for n in names_sent
+    # The last machine is fenced twice and sent once.
+    errors = curio.run(fence_all, fencing, [*names, names[-1]])
+    assert [len(s) for s in fake.sent] == requests and [
+        n for names_sent in fake.sent for n in names_sent
     ] == names
-    # Nobody is told that a machine is gone whose return was refused.
-    refused = {n for number in fails for n in core.sent[number - 1]}
-    assert set(core.told) == set(names) - refused
-    assert [bool(f) for f in found] == [n in refused for n in [*names, names[-1]]]
-    assert not fences.waiting and not fences.sending
+    # A machine whose return failed is not announced as gone.
+    refused = {n for number in failing_requests for n in fake.sent[number - 1]}
+    assert set(fake.announced) == set(names) - refused
+    assert [bool(error) for error in errors] == [n in refused for n in [*names, names[-1]]]
+    assert not fencing.waiting and not fencing.sending
 
 
-def test_what_waits_is_not_returned_in_a_later_epoch() -> None:
-    """Its new owner may have heard the machine meanwhile: it works, and is full again."""
-    core = Core()
-    fences = core.fencing()
+def test_pending_fences_fail_in_a_new_epoch() -> None:
+    """A new owner may have received reports from the machine, and may have placed work on it."""
+    fake = FakeController()
+    fencing = fake.fencing()
 
     async def turn() -> None:
-        core.epoch = object()  # type: ignore[assignment]
+        fake.epoch = object()  # type: ignore[assignment]
 
-    core.turn = turn  # type: ignore[method-assign]
-    found = curio.run(fence_all, fences, ["i-000001", "i-000002"])
-    assert core.sent == [] and all("epoch" in f for f in found)
+    fake.turn = turn  # type: ignore[method-assign]
+    errors = curio.run(fence_all, fencing, ["i-000001", "i-000002"])
+    assert fake.sent == [] and all("epoch" in error for error in errors)
 
 
-def test_an_error_of_any_kind_is_told() -> None:
-    core = Core()
+def test_unexpected_error_fails_the_fence() -> None:
+    fake = FakeController()
 
     async def fail(_: Any) -> None:
         raise ValueError("malformed")
 
-    core.return_now = fail  # type: ignore[method-assign]
-    fences = core.fencing()
-    assert all(curio.run(fence_all, fences, ["i-000001"]))
-    assert not fences.waiting and not fences.sending
+    fake.return_now = fail  # type: ignore[method-assign]
+    fencing = fake.fencing()
+    assert all(curio.run(fence_all, fencing, ["i-000001"]))
+    assert not fencing.waiting and not fencing.sending
 
 
 @pytest.mark.parametrize(
-    "ours, theirs, answers",
+    "own_answer, peer_answer, reachable",
     [(False, False, False), (True, False, True), (False, True, True), (False, None, False)],
 )
-def test_a_silent_machine_is_asked_by_two_at_once(
-    monkeypatch: pytest.MonkeyPatch, ours: bool, theirs: bool | None, answers: bool
+def test_silent_machine_is_checked_by_owner_and_peer_concurrently(
+    monkeypatch: pytest.MonkeyPatch, own_answer: bool, peer_answer: bool | None, reachable: bool
 ) -> None:
-    """One after the other took until the machine's lease was over. Who can't be reached
-    (None) says nothing, and the next is asked."""
+    """Requests sent one after the other would take longer than the machine's lease.
+
+    A peer that cannot be reached (None) is skipped, and the next one is asked.
+    """
 
-    class Asked:
-        def __init__(self, says: bool | None) -> None:
-            self.says = says
+    class FakePeer:
+        def __init__(self, answer: bool | None) -> None:
+            self.answer = answer
 
         async def call(self, *_: Any) -> tuple[bool | None]:
-            await curio.sleep(0.0 if self.says is None else 4.0)
-            if self.says is None:
+            await curio.sleep(0.0 if self.answer is None else 4.0)
+            if self.answer is None:
                 raise PeerError("away")
-            return (self.says,)
+            return (self.answer,)
 
     silence: Any = object.__new__(SilenceWatch)
     silence.peers = {
-        "out": Asked(True),
-        "c1": Asked(None if theirs is None else theirs),
-        "c2": Asked(False),
+        "out": FakePeer(True),
+        "c1": FakePeer(None if peer_answer is None else peer_answer),
+        "c2": FakePeer(False),
     }
     silence.command_s = 3.0
 
     async def inspect(*_: Any) -> bool:
         await curio.sleep(3.0)
-        return ours
+        return own_answer
 
     silence.inspect = inspect
 
     async def main(clock: Clock) -> tuple[bool, float]:
         began = clock()
-        return await silence._answers("i-000001", "m:1", {"c0", "c1", "c2"}), clock() - began
+        return await silence._is_reachable("i-000001", "m:1", {"c0", "c1", "c2"}), clock() - began
 
-    assert simulate(monkeypatch, main) == (answers, 4.0)
+    assert simulate(monkeypatch, main) == (reachable, 4.0)
