--- a/tests/machines/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -1,4 +1,4 @@
-"""Tokens and fences: when an owner may say that a task is gone."""
+"""Tests of the table of machines: fencing tokens, reports, rooms and epochs."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Bench:
-    """An owner with one machine, fed with reports."""
+    """A table of machines with one machine, whose reports the test supplies."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
-        self.over: set[str] = set()  # jobs that are known to be cancelled
+        self.cancelled_jobs: set[str] = set()
         self.owner = MachineTable(
             lambda j: JOB if j == JOB.id else None,
-            self.over.__contains__,
+            self.cancelled_jobs.__contains__,
             lambda j, e: self.events.append(e),
             5.0,
             3.0,
@@ -78,33 +78,33 @@
 @pytest.mark.parametrize(
     "steps, gone",
     [
-        # launched, answered, and absent from a later report
+        # The launch is answered, and a later report does not list the task.
         (["launch", "send", "answer", "report"], True),
-        # the answer is out: absence says nothing, the command may still run
+        # The launch is not answered yet, so the command may still arrive.
         (["launch", "send", "report"], False),
-        # no answer: only a report under the raised token settles it
+        # The launch is not answered, and the report carries a token before the raised one.
         (["launch", "send", "lost", "old_report"], False),
-        # ... and then it is ordered again, not given up
+        # After a report under the raised token the task is launched again.
         (["launch", "send", "lost", "report"], False),
-        # adopted from a record: a report under an earlier token proves nothing
+        # The task is adopted from a record, and the report carries an earlier token.
         (["adopt", "old_report"], False),
         (["adopt", "report"], True),
         (["adopt", "running", "report"], True),
         (["adopt", "running"], False),
-        # reserved only and adopted: never sent
+        # A reserved task is adopted, and its launch is never sent.
         (["reserve", "adopt", "report"], True),
-        # a late report (lower counter) is dropped
+        # A late report, with a lower sequence number, is dropped.
         (["adopt", "running", "late_report"], False),
-        # a higher session: the lease ran out there
+        # A new session shows that the lease has expired.
         (["adopt", "running", "session"], True),
-        # killed before it was sent: settled at once
+        # The task is killed before its launch is sent.
         (["launch", "kill"], True),
-        # killed while the launch is unanswered: not before the fence
+        # The task is killed while its launch is unanswered; only a fenced report proves it gone.
         (["launch", "send", "lost", "kill", "old_report"], False),
         (["launch", "send", "lost", "kill", "report"], True),
     ],
 )
-def test_gone(steps: list[str], gone: bool) -> None:
+def test_task_is_gone_only_by_proof(steps: list[str], gone: bool) -> None:
     bench = Bench()
     bench.report()
     bench.report()
@@ -139,7 +139,7 @@
 
 
 def test_unanswered_command_raises_the_token() -> None:
-    """What may still be on its way is void once the worker has seen a higher token."""
+    """A command in flight is void once the worker has seen a higher token."""
     bench = Bench()
     bench.report()
     bench.launch()
@@ -147,13 +147,13 @@
     _, launches = bench.owner.orders(bench.machine)
     bench.owner.unanswered(bench.machine, launches, True, 0.0)
     assert bench.machine.token > token and not bench.machine.fenced
-    # Never sent at all: nothing to void.
+    # A request that was never sent leaves no command in flight.
     bench.owner.unanswered(bench.machine, [], False, 0.0)
     assert bench.machine.token == token + 1
 
 
-def test_launch_needs_a_standing_reservation() -> None:
-    """A launch request held in the network must not start a settled attempt again."""
+def test_launch_needs_an_existing_reservation() -> None:
+    """A launch request delayed in the network must not start a settled attempt again."""
     bench = Bench()
     bench.report()
     assert bench.owner.launch([("m1", *KEY)]) == [0]
@@ -163,7 +163,7 @@
     assert bench.owner.launch([("elsewhere", *KEY)]) == [0]
 
 
-def test_launch_twice_is_one() -> None:
+def test_launch_is_idempotent() -> None:
     bench = Bench()
     bench.report()
     bench.launch()
@@ -179,8 +179,8 @@
     assert bench.owner.room(bench.machine).cpus == 0.0
 
 
-def test_new_idle_machine_moves_the_room_revision() -> None:
-    """Peers pull a table only when its revision moved: they once never saw new machines."""
+def test_new_idle_machine_raises_the_room_revision() -> None:
+    """Peers fetch a table only if its revision has changed, or they miss new machines."""
     bench = Bench()
     before = bench.owner.room_rev
     bench.report()
@@ -196,9 +196,12 @@
     "raised_by, accepted",
     [(0, True), (1, True), (1 << TOKEN_COUNTER_BITS - 1, True), (1 << TOKEN_COUNTER_BITS, False)],
 )
-def test_only_a_later_epoch_takes_the_machine_away(raised_by: int, accepted: bool) -> None:
-    """A higher token of our epoch, given out by a peer, is taken over: what was sent
-    under the one before can't run any more, and says nothing of what is gone."""
+def test_only_a_token_of_a_later_epoch_is_rejected(raised_by: int, accepted: bool) -> None:
+    """A higher token of the same epoch, issued by a peer, is adopted.
+
+    Commands under the previous token are void, but a report under the new token does not prove
+    that a queued task is gone.
+    """
     bench = Bench()
     bench.report()
     bench.launch()
@@ -213,30 +216,30 @@
 
 
 @pytest.mark.parametrize(
-    "reports, open_",
+    "reports, accepts_work",
     [
         ([(1, True)], True),
-        # Its lease ran out, and it only answers commands.
+        # The lease has expired, and the worker only answers commands.
         ([(1, True), (2, False)], False),
         ([(1, True), (2, False), (2, False)], False),
-        # It reports again, or reported before a command found the next session.
+        # The worker reports again, or reported before a command was answered in its new session.
         ([(1, True), (2, False), (2, True)], True),
         ([(1, True), (2, True), (2, False)], True),
-        # A new owner that only a command has told of it can't know.
+        # A new owner that has only received a command's answer cannot know of an expiry.
         ([(4, False)], True),
     ],
 )
-def test_who_only_answers_after_its_lease_is_closed(
-    reports: list[tuple[int, bool]], open_: bool
+def test_machine_with_expired_lease_takes_no_work(
+    reports: list[tuple[int, bool]], accepts_work: bool
 ) -> None:
     bench = Bench()
     for seq, (session, reported) in enumerate(reports, 1):
         report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, session, seq, 1, [])
         bench.owner.take_report(report, float(seq), reported)
-    assert bench.owner.open(bench.machine) == open_ == bench.owner.room(bench.machine).open
+    assert bench.owner.open(bench.machine) == accepts_work == bench.owner.room(bench.machine).open
 
 
-def test_epoch_keeps_machines_but_settles_nothing() -> None:
+def test_new_epoch_keeps_machines_and_clears_their_tasks() -> None:
     bench = Bench()
     bench.report()
     bench.report(RUN)
@@ -247,7 +250,7 @@
     assert bench.owner.machines == {}
 
 
-def test_sick_machine_closes() -> None:
+def test_unhealthy_machine_takes_no_work() -> None:
     bench = Bench()
     bench.report()
     bench.report((KEY, "exited", "error"))
@@ -256,7 +259,7 @@
     assert not bench.owner.open(bench.machine)
 
 
-def test_preemption_saves_where_there_is_time() -> None:
+def test_preemption_saves_checkpoints_within_the_grace_period() -> None:
     for grace, expected in ((10.0, 4.0), (1.0, 0.0)):
         bench = Bench()
         low = msgspec.convert(
@@ -273,22 +276,22 @@
         ]
 
 
-@pytest.mark.parametrize("over, stopped", [([], False), (["free"], True), (["tight"], False)])
-def test_guarantee_is_claimed_from_those_who_borrowed(over: list[str], stopped: bool) -> None:
+@pytest.mark.parametrize("borrowers, stopped", [([], False), (["free"], True), (["tight"], False)])
+def test_guaranteed_quota_preempts_borrowing_teams(borrowers: list[str], stopped: bool) -> None:
     bench = Bench()
     bench.report()
     bench.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
     claim = msgspec.convert(wire_job(2, owner="tight"), Job)
-    assert bench.owner.preempt(claim, "m1", 9.0, 1.0, over) == stopped
+    assert bench.owner.preempt(claim, "m1", 9.0, 1.0, borrowers) == stopped
     assert len(bench.machine.pending_kills) == stopped
 
 
 @pytest.mark.parametrize(
-    "steps, told",
+    "steps, emitted",
     [(["adopt"], True), (["reserve", "launch"], True), (["reserve"], False), ([], False)],
 )
-def test_homes_hear_of_a_returned_machine(steps: list[str], told: bool) -> None:
-    """A home that took over after the return was announced waited for ever."""
+def test_leaders_get_events_of_a_returned_machine(steps: list[str], emitted: bool) -> None:
+    """A leader that takes over after the return is announced would otherwise wait forever."""
     bench = Bench()
     bench.report()
     if "reserve" in steps:
@@ -299,7 +302,7 @@
         bench.owner.machine("m1", 0.0).known = False
         bench.owner.adopt([("m1", *KEY)], 0.0)
     bench.owner.removed(["m1"])
-    assert bench.gone() == told and "m1" not in bench.owner.machines
+    assert bench.gone() == emitted and "m1" not in bench.owner.machines
 
 
 # -- epochs ---------------------------------------------------------
@@ -310,9 +313,9 @@
     [
         ({}, {"a": "1"}, {"a": "1"}),
         ({"a": "1"}, {"a": "1"}, None),
-        ({"a": "1"}, {"a": "2"}, {"a": "2"}),  # restarted: it has forgotten its counters
+        ({"a": "1"}, {"a": "2"}, {"a": "2"}),  # restarted, and its token counters are lost
         ({"a": "1", "b": "1"}, {"b": "1"}, {"b": "1"}),
-        ({"a": "1"}, {}, None),  # nobody is left to act
+        ({"a": "1"}, {}, None),  # no controller is left
     ],
 )
 def test_successor(
@@ -325,21 +328,21 @@
 
 
 @pytest.mark.parametrize(
-    "me, present, heard, leave",
+    "label, present, heard, leave",
     [
-        ("a", ["a"], [], False),  # alone
-        ("a", ["a", "b", "c"], [], True),  # both live on without us
+        ("a", ["a"], [], False),  # the only controller
+        ("a", ["a", "b", "c"], [], True),  # both peers are present but unreachable
         ("a", ["a", "b", "c"], ["b"], False),
-        ("a", ["a", "b"], [], False),  # of two the first in order stays
+        ("a", ["a", "b"], [], False),  # of two controllers the first in order stays
         ("b", ["a", "b"], [], True),
         ("b", ["a", "b"], ["a"], False),
     ],
 )
-def test_should_leave(me: str, present: list[str], heard: list[str], leave: bool) -> None:
-    assert should_leave(100.0, me, {p: 99.0 for p in heard}, present, 5.0) == leave
+def test_should_leave(label: str, present: list[str], heard: list[str], leave: bool) -> None:
+    assert should_leave(100.0, label, {p: 99.0 for p in heard}, present, 5.0) == leave
 
 
-def test_rendezvous_moves_only_what_the_lost_member_had() -> None:
+def test_rendezvous_moves_only_the_keys_of_a_lost_member() -> None:
     keys = [f"j-{i}" for i in range(300)]
     before = {k: rendezvous(k, ["a", "b", "c"]) for k in keys}
     after = {k: rendezvous(k, ["a", "b"]) for k in keys}
@@ -347,19 +350,19 @@
     assert all(60 < sum(v == m for v in before.values()) < 140 for m in "abc")
 
 
-def test_an_exited_task_that_nobody_cleared_is_told_again() -> None:
-    """Its home's answer was lost; the machine was kept rented until the next epoch."""
+def test_uncleared_exit_is_emitted_again() -> None:
+    """If the leader's answer is lost, the machine would stay rented until the next epoch."""
     bench = Bench()
     bench.report()
     bench.launch()
     bench.owner.answered(bench.machine, *bench.owner.orders(bench.machine))
     done = (KEY, "exited", "done")
     bench.report(done)
-    told = len(bench.events)
+    emitted = len(bench.events)
     bench.report(done)
-    assert len(bench.events) == told and not bench.owner.drain("m1")
+    assert len(bench.events) == emitted and not bench.owner.drain("m1")
     bench.report(done)
-    assert [e[1:5] for e in bench.events[told:]] == [(*KEY, "exited", "done")]
+    assert [e[1:5] for e in bench.events[emitted:]] == [(*KEY, "exited", "done")]
     bench.owner.stop([("m1", *KEY, 0.0, True)])
     bench.report()
     assert bench.owner.drain("m1")
