--- a/clayport/scheduling/backfill.py
+++ b/clayport/scheduling/backfill.py
@@ -1,4 +1,4 @@
-"""What work without an objective may take beside work that has one."""
+"""Limits on the room for jobs without an objective."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from clayport.scheduling.scheduling_pass import SHARE_UPDATES_PER_REPORT
 from clayport.settings import Settings
 
-# The share of the fleet's CPUs that work without an objective may hold beside work with one.
+# The share of the fleet's CPUs that jobs without an objective may use beside jobs with one.
 BACKFILL_SHARE = 0.25
-# Leases of a worker after which work without an objective has waited long.
+# A job without an objective has waited long after this many times a worker's lease.
 LONG_WAIT_LEASES = 20
 
 
 class BackfillLimits:
-    """Bounds work without an objective where it could hinder work that has one.
+    """Limits jobs without an objective where they could hinder jobs with one.
 
     Attributes:
-        long_wait_s: Work without an objective that has waited so long, in seconds, is placed,
-            and has machines rented, like any other (within its share).
-        hindered_jobs: A job of each kind (with GPUs, without) and rank that work without an
-            objective could hinder, as last looked up.
-        lookup_at: When they may be looked up again, in seconds.
+        long_wait_s: The wait, in seconds, after which a job without an objective is placed,
+            and has machines rented, like any other job (within its share).
+        hindered_jobs: For each pair of (whether the job uses GPUs, rank), one job that jobs
+            without an objective could hinder, as of the last lookup.
+        lookup_at: The monotonic time, in seconds, from which `hindered_jobs` may be looked up
+            again.
     """
 
     def __init__(self, *, jobs: JobRegistry, machines: MachineTable, settings: Settings) -> None:
@@ -38,54 +39,58 @@
         self.lookup_at = -math.inf
 
     def begin(self) -> None:
-        """Start an epoch: other jobs may be there."""
+        """Start an epoch, in which this controller may lead other jobs."""
         self.lookup_at = -math.inf
 
     def cpus_left(self, index: Index, rank: int) -> float:
-        """Return the CPUs that work without an objective may take beside work with one that
-        cannot preempt it.
-
-        An array without an objective that fills the fleet for minutes would make all others
-        of its rank late. Its fair share it may take in any case. Work of a higher rank preempts
-        it: bound to a quarter beside that as well, 4,500 tasks waited for most of a day while
-        a third of the fleet was free. The lowest rank is preempted by the others, and counts
-        only against its own bound.
+        """Return the CPUs that jobs without an objective may still take.
+
+        The limit applies beside jobs with an objective that cannot preempt them, because an
+        array without an objective that fills the fleet for minutes would make all other jobs
+        of its rank late. Such an array may always use its fair share. The limit does not apply
+        beside jobs of a higher rank, which can preempt it: with the limit there too, 4,500
+        tasks waited for most of a day while a third of the fleet was free. Backfill of the
+        lowest rank can be preempted by all other ranks, so it counts only against its own
+        limit.
         """
         cpus = backfill_cpus = 0.0
         for pool in index.pools.values():
-            kind = self.machines.types.get(pool.type)
+            machine_type = self.machines.types.get(pool.type)
             totals = pool.count()
-            cpus += totals.machines * kind.cpus if kind is not None else 0.0
+            cpus += totals.machines * machine_type.cpus if machine_type is not None else 0.0
             backfill_cpus += totals.backfill_cpus
         return BACKFILL_SHARE * cpus - (backfill_cpus if rank == RANKS["best_effort"] else 0.0)
 
-    def hinders_objectives(self, job: Job, most: int = RANKS["production"]) -> bool:
-        """Whether there is work with an objective, up to rank `most`, that a job without any
-        could hinder: of its kind, with GPUs or without, since each has machines of its own.
-        (Replicas are placed ahead of all.)
+    def hinders_objectives(self, job: Job, max_rank: int = RANKS["production"]) -> bool:
+        """Return whether the job could hinder jobs with an objective, up to rank `max_rank`.
 
-        Gangs on whole GPU machines once waited for hours of a day on which only arrays had
-        an objective: the arrays of the lowest rank held the quarter that all of them shared.
+        Jobs with and without GPUs are considered separately, because each have machines of
+        their own. When they were not, gangs on whole GPU machines waited for hours on a day on
+        which only arrays had an objective, because arrays of the lowest rank used the quarter
+        of the fleet that all of them shared. Replicas are not considered, because they are
+        placed before all other jobs.
         """
 
-        def same(kind: tuple[bool, int]) -> bool:
-            return kind[0] == (job.gpus > 0) and kind[1] <= most
+        def is_affected(kind: tuple[bool, int]) -> bool:
+            return kind[0] == (job.gpus > 0) and kind[1] <= max_rank
 
         found = [
-            self._can_be_hindered(name) for kind, name in self.hindered_jobs.items() if same(kind)
+            self._can_be_hindered(name)
+            for kind, name in self.hindered_jobs.items()
+            if is_affected(kind)
         ]
         if any(found):
             return True
         now = time.monotonic()
         if found or now >= self.lookup_at:
-            # The newest of each rank is likely to stay longest.
+            # The newest job of each rank is kept because it is likely to stay longest.
             self.lookup_at = now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
             self.hindered_jobs = {
                 (other.gpus > 0, other.rank): name
                 for name, (other, _) in self.jobs.live.items()
                 if self._can_be_hindered(name)
             }
-        return any(same(kind) for kind in self.hindered_jobs)
+        return any(is_affected(kind) for kind in self.hindered_jobs)
 
     def _can_be_hindered(self, name: str) -> bool:
         known = self.jobs.live.get(name)
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -1,4 +1,7 @@
-"""The cached state of the fleet's free resources that tasks are placed from, and its refresh."""
+"""The cached state of the fleet's free resources, and its refresh.
+
+Tasks are placed from this state.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +27,15 @@
 
 log = logging.getLogger(__name__)
 
-# What is taken on a machine: priority rank, whether without GPUs, CPUs, GPUs, memory (GB).
+# Resources in use on a machine: preemption rank, whether the tasks use no GPUs, CPUs, GPUs and
+# memory (GB).
 Usage = tuple[int, bool, float, float, float]
-# One machine in a table of free room, as `frames.MACHINE` lists it: name, address, machine type,
-# zone, whether a spot instance, whether it takes new tasks, free CPUs, GPUs and memory (GB), number
-# of tasks, cached images (separated by spaces), for how long it has been idle (s; negative while
-# it is not), the job that its room is kept for ("": none). A plain tuple, since tables of thousands
-# of machines are pulled: as named ones, rows took half as long again to read.
+# One machine in a table of free room, in the order of `frames.MACHINE`: name, address, machine
+# type, zone, whether it is a spot machine, whether it takes new tasks, free CPUs, GPUs and memory
+# (GB), number of tasks, cached images (separated by spaces), the time for which it has been idle
+# (s; negative while it is not idle), and the job for which the room is reserved ("": none). Rows
+# are plain tuples because tables have thousands of rows: named tuples took 1.5 times as long to
+# read.
 MachineRow = tuple[str, str, str, str, bool, bool, float, float, float, int, str, float, str]
 
 
@@ -39,8 +44,8 @@
 
     Args:
         row: The row.
-        owner: The controller that sent it.
-        usage: What is taken on the machine.
+        owner: The controller that sent the row.
+        usage: The resources in use on the machine.
         now: The monotonic time, in seconds.
     """
     (
@@ -79,7 +84,7 @@
 
 
 def machine_row(room: Room, now: float) -> MachineRow:
-    """Return the row that tells peers of a room; `now` is the monotonic time in seconds."""
+    """Return the row that describes a room to peers; `now` is the monotonic time in seconds."""
     return (
         room.machine,
         room.address,
@@ -98,18 +103,18 @@
 
 
 class CachedState:
-    """The rooms of all machines, as their owners' tables said when they were last pulled.
+    """The rooms of all machines, as last read from the tables of their owners.
 
     Attributes:
-        adaptive_interval: How often all peers' tables are pulled.
+        adaptive_interval: The interval at which all peers' tables are pulled.
         inflight: Tasks, by job and number, that are placed and not committed yet, with their
-            machine and job: what they take is subtracted.
+            machine and job. Their resources stay subtracted from the rooms.
         pulled: For each peer, the revision of its table at the last pull.
-        own_rev: The revision of our own table when it was last read (-1: not yet).
-        stale: Machines whose rooms were charged or closed here, and so differ from what their
-            owner says until they are asked for again.
-        pulling: Peers whose tables are to be pulled soon.
-        starved: Whether the last pass of the placer left work without room.
+        own_table_rev: The revision of this controller's own table at the last read (-1: none).
+        stale: Machines whose rooms were charged or closed here, and therefore differ from
+            their owner's table until the owner is asked for them again.
+        pulling: Peers whose tables are about to be pulled after a preemption.
+        starved: Whether the last pass of the placer left jobs other than backfill without room.
     """
 
     def __init__(
@@ -131,41 +136,44 @@
         self.adaptive_interval = AdaptiveInterval()
         self.inflight: dict[tuple[str, int], tuple[str, Job]] = {}
         self.pulled: dict[str, int] = {}
-        self.own_rev = -1
+        self.own_table_rev = -1
         self.stale: dict[str, None] = {}
         self.pulling: set[str] = set()
         self.starved = False
 
     def begin(self) -> None:
-        """Start an epoch: machines have new owners, and no start is in flight."""
+        """Start an epoch, in which machines have new owners and no start is in flight."""
         self.inflight.clear()
         self.pulled.clear()
-        self.own_rev = -1
+        self.own_table_rev = -1
         self.stale.clear()
 
     def note_own_room(self) -> None:
-        """Wake the placer if the room of our machines has changed since it was last read."""
-        if self.machines.room_rev != self.own_rev:
+        """Wake the placer if the own machines' room has changed since the last read."""
+        if self.machines.room_rev != self.own_table_rev:
             self.routines.signal("place")
 
     def index(self) -> Index:
-        """Return the index of the rooms, with our own machines up to date."""
+        """Return the index of the rooms, with this controller's own machines up to date."""
         self.rooms()
         return self.view.index
 
     def rooms(self) -> Mapping[str, Room]:
-        """Return the rooms by machine; our own are always as their last heartbeats say."""
+        """Return the rooms by machine.
+
+        The rooms of this controller's own machines always reflect their last heartbeats.
+        """
         table = self.machines
         own_stale = [name for name in self.stale if name in table.machines]
-        if table.room_rev != self.own_rev or own_stale:
-            changed = table.changed(self.own_rev) if self.own_rev >= 0 else None
+        if table.room_rev != self.own_table_rev or own_stale:
+            changed = table.changed(self.own_table_rev) if self.own_table_rev >= 0 else None
             names = dict.fromkeys(table.machines if changed is None else [*changed, *own_stale])
-            self.own_rev = table.room_rev
+            self.own_table_rev = table.room_rev
             self.mark_fresh(own_stale)
             now = time.monotonic()
             label = self.membership.label
             found = {name: table.machines[name] for name in names if name in table.machines}
-            self._update(
+            self._replace_rooms(
                 label,
                 [table.room(machine, label, now) for machine in found.values() if machine.known],
                 changed is None,
@@ -174,14 +182,14 @@
         return self.view.rooms
 
     def mark_fresh(self, names: Iterable[str]) -> None:
-        """Note that the rooms of these machines are as their owner says again."""
+        """Mark the rooms of these machines as equal to their owner's table again."""
         for name in names:
             self.stale.pop(name, None)
 
-    def _update(
+    def _replace_rooms(
         self, owner: str, rooms: Iterable[Room], whole: bool, removed: Iterable[str]
     ) -> None:
-        """Replace one owner's rooms, or (not `whole`) those of them that have changed."""
+        """Replace all rooms of one owner (`whole`), or only the changed ones."""
         if whole:
             removed = [name for name, room in self.view.rooms.items() if room.owner == owner]
         for name in removed:
@@ -192,16 +200,16 @@
             self.view.index.add(room)
             self.view.zones[room.machine] = room.zone  # never changes
             updated.add(room.machine)
-        # What was placed and isn't reserved yet stays subtracted.
+        # The resources of tasks that are placed but not committed yet stay subtracted.
         for machine, job in self.inflight.values():
             if machine in updated:
                 self.view.rooms[machine].take(job)
 
     async def refresh_peers(self, changed_only: bool) -> None:
-        """Pull the peers' tables of free room; nothing is written to the state service.
+        """Pull the peers' tables of free room, without any write to the state service.
 
         Args:
-            changed_only: Leave out peers whose table has not changed since the last pull.
+            changed_only: Skip peers whose table has not changed since the last pull.
         """
         epoch = self.membership.epoch
         for label in epoch.members:
@@ -215,8 +223,10 @@
         self.mark_fresh([name for name in self.stale if name not in self.view.rooms])
 
     async def _pull(self, label: str) -> None:
-        """Pull what has changed of a peer's table since the last pull, and the machines whose
-        rooms were charged or closed here meanwhile."""
+        """Pull the changes of a peer's table since the last pull.
+
+        The peer also sends the machines whose rooms were charged or closed here since then.
+        """
         epoch, rooms = self.membership.epoch, self.view.rooms
         charged = [name for name in self.stale if name in rooms and rooms[name].owner == label]
         try:
@@ -235,13 +245,13 @@
         for machine, rank, without_gpus, cpus, gpus, memory_gb in taken:
             usage.setdefault(machine, []).append((rank, without_gpus, cpus, gpus, memory_gb))
         pulled = [room_from_row(row, label, usage.get(row[0], ()), now) for row in rows]
-        self._update(label, pulled, whole, [name for (name,) in removed])
+        self._replace_rooms(label, pulled, whole, [name for (name,) in removed])
 
-    async def pull_soon(self, label: str) -> None:
+    async def pull_after_preemption(self, label: str) -> None:
         """Pull a peer's table once the tasks that it was asked to preempt have ended.
 
-        The room would show with the next heartbeat only, and a start that is to happen
-        within two seconds has no time for that.
+        Otherwise the freed room would show only with the next heartbeat, which is too late for
+        a job that has to start within two seconds.
         """
         if label in self.pulling:
             return
@@ -256,11 +266,11 @@
             self.pulling.discard(label)
 
     def table(self, since: int, names: list[str]) -> tuple[Any, ...]:
-        """Return the fields of `frames.TABLE`: our own table of free room, or its changes.
+        """Return the fields of `frames.TABLE`: the own table of free room, or its changes.
 
         Args:
-            since: The revision that the peer knows (0: none, it gets the whole table).
-            names: Machines to be told of even when they have not changed.
+            since: The revision that the peer knows; 0 requests the whole table.
+            names: Machines to include even if they have not changed.
         """
         table, label = self.machines, self.membership.label
         now = time.monotonic()
@@ -280,11 +290,11 @@
     async def refresh(self) -> None:
         """Pull the peers' tables at an adaptive interval, for as long as the process runs.
 
-        During a lasting shortage tables that have changed are pulled in between as well.
+        During a lasting shortage of room, changed tables are also pulled between two intervals.
         """
         due = time.monotonic() + self.adaptive_interval.interval_s
         pulled_at = -math.inf
-        # Between two pulls in a shortage: what machines report meanwhile comes in one pull.
+        # The least time between two pulls in a shortage, so that one pull covers many reports.
         spacing_s = max(self.adaptive_interval.min_s, self.settings.cluster.workers.report_s) / 2
         while True:
             await self.routines.wait(
@@ -294,9 +304,9 @@
                 continue
             now = time.monotonic()
             if now < min(due, pulled_at + spacing_s):
-                # Each of the peers' heartbeats wakes us: one pull of all that they announce
-                # costs as much as that of a single table. (With five controllers, tables were
-                # a seventh of what a controller computed.)
+                # Each heartbeat of a peer wakes this routine. Waiting lets one round of pulls
+                # serve several heartbeats: with five controllers, tables took a seventh of a
+                # controller's CPU time.
                 await curio.sleep(min(due, pulled_at + spacing_s) - now)
                 now = time.monotonic()
             if now >= due:
@@ -312,8 +322,8 @@
                 for peer in self.peers.values()
                 if peer.label in self.membership.epoch.members
             ):
-                # True shortage: the interval is left alone, but room that a
-                # peer has since announced is looked at.
+                # In a real shortage the interval stays as it is, but changes of free room that
+                # peers have announced since are pulled.
                 pulled_at = now
                 await self.refresh_peers(changed_only=True)
                 self.routines.signal("place")
--- a/clayport/scheduling/candidates.py
+++ b/clayport/scheduling/candidates.py
@@ -1,4 +1,4 @@
-"""Which pools can hold a job, and whether the answer holds for every job of its shape."""
+"""The pools that can hold a job, and whether a search result is valid for equal jobs too."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 def usable_pools(
     job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool
 ) -> list[Pool]:
-    """The pools that may hold a task of the job, by what is the same for all of a pool.
+    """Return the pools that may hold a task of the job.
+
+    Only properties that all machines of a pool share are checked.
 
     Args:
-        job: The job that wants room.
-        index: The rooms.
-        spread: The zones of its other tasks.
-        policy: What keeps work off machines.
-        can_wait: Whether the job keeps off expensive machines.
+        job: The job to place.
+        index: The rooms of all machines.
+        spread: The zones of the job's other tasks.
+        policy: The placement policy.
+        can_wait: Whether to skip expensive machines.
     """
     fitting_types = policy.fitting_types(job)
     zones_matter = job.one_zone or job.spread
@@ -34,5 +36,10 @@
 
 
 def is_cacheable(job: Job, index: Index, spread: Spread, without: Container[str]) -> bool:
-    """Whether the answer is the same for every job of the shape, so that it can be cached."""
-    return not without and job.id not in index.held and not spread.counts and not spread.unknown
+    """Return whether a search result is valid for all jobs with the same requirements."""
+    return (
+        not without
+        and job.id not in index.reserved_jobs
+        and not spread.counts
+        and not spread.unknown
+    )
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -1,11 +1,12 @@
-"""Rooms in an index by what decides where work goes. Pure: no I/O, no clock.
-
-A decision must not cost more on a larger fleet, so nothing here walks or sorts the fleet.
-Machines of one type and zone, spot or not, make a pool. A pool keeps its open rooms sorted in
-the order in which `placement` prefers them: all of them, and for each image that is asked for
-those that have it cached. A change only notes which machine it was about; a sorted view
-catches up with what has changed when it is used, so an image that nobody asks for costs
-nothing.
+"""An index of rooms by the criteria of placement and preemption.
+
+The index does no I/O and reads no clock. The cost of a placement decision must not grow with
+the fleet, so no function here iterates over the whole fleet or sorts it. The machines of one
+type and zone that are all spot or all on-demand form a pool. A pool keeps its open rooms in
+sorted views, in the order in which `placement` prefers them: one view of all open rooms, and
+one view for each requested image, of the rooms that have the image cached. A change only
+records which machine changed. A sorted view applies the changes when it is next used, so an
+image that no job requests costs nothing.
 """
 
 from __future__ import annotations
@@ -22,35 +23,36 @@
 from clayport.scheduling.requirements import EPSILON, allows
 from clayport.scheduling.room import Level, Room, SortKey
 
-# Sorted views by image that a pool keeps: more than a class has images in use at a time, and
-# a bound on the memory that the images of a large fleet take.
+# The sorted views that a pool keeps. The limit exceeds the number of images that one class uses
+# at a time, and bounds the memory for the images of a large fleet.
 MAX_SORTED_VIEWS = 64
-# Questions whose answers are cached.
+# The bound of each result cache: unplaceable jobs, and the pools that a job allows.
 MAX_CACHED_QUESTIONS = 4096
-# Removed machines that a pool still lists as changes, beyond as many as it has machines.
+# Removed machines stay in a pool's list of changes until the list exceeds twice the number of
+# machines by this many entries.
 MAX_REMOVED_MACHINES = 64
 
 
 class SortedRooms:
-    """A pool's open rooms in order of preference.
+    """A sorted view of a pool's open rooms, in order of preference.
 
     Attributes:
         image: The image that the rooms have cached ("": all open rooms).
-        seen: The pool's revision up to which changes are entered.
-        levels: The rooms by level, each level sorted by what is free.
-        keys: The place of each machine.
+        applied_rev: The pool's revision up to which changes have been applied.
+        levels: The rooms by level, each level sorted by free resources.
+        keys: The sort key under which each machine is entered.
     """
 
-    __slots__ = ("image", "keys", "levels", "seen")
+    __slots__ = ("applied_rev", "image", "keys", "levels")
 
     def __init__(self, image: str) -> None:
         self.image = image
-        self.seen = 0
+        self.applied_rev = 0
         self.levels: dict[Level, SortedList] = {}
         self.keys: dict[str, SortKey] = {}
 
     def update(self, room: Room) -> None:
-        """Enter the room as it is now, in place of what was known of it."""
+        """Insert the room under its present sort key, in place of its previous entry."""
         key = room.sort_key
         if key is None:
             key = room.sort_key = (
@@ -70,7 +72,7 @@
         self.keys[room.machine] = key
 
     def remove(self, machine: str) -> None:
-        """Take out a machine that is there."""
+        """Remove the entry of a machine, which must exist."""
         level, entry = self.keys.pop(machine)
         entries = self.levels[level]
         entries.remove(entry)
@@ -78,21 +80,22 @@
             del self.levels[level]
 
 
-# One machine's part of its pool's totals: whether it is open, CPUs that are free, that
-# replicas hold, and that work without an objective holds.
+# One machine's contribution to its pool's totals: whether it is open, free CPUs, CPUs of
+# replicas, and CPUs of tasks of the lowest rank without an objective.
 Counts = tuple[bool, float, float, float]
 NO_COUNTS: Counts = (False, 0.0, 0.0, 0.0)
 NO_RANKS: frozenset[int] = frozenset()
 
 
 class PoolTotals:
-    """Sums over a pool's machines, updated by their changes.
+    """Sums over a pool's machines, updated incrementally.
 
     Attributes:
-        machines: How many are open.
+        machines: The number of open machines.
         free: The free CPUs of all machines.
-        replica_cpus: The CPUs that replicas hold on open machines.
-        backfill_cpus: The CPUs that work without an objective holds on all machines.
+        replica_cpus: The CPUs that replicas use on open machines.
+        backfill_cpus: The CPUs that tasks of the lowest rank without an objective use on all
+            machines.
     """
 
     __slots__ = ("backfill_cpus", "free", "machines", "replica_cpus")
@@ -102,7 +105,7 @@
         self.free = self.replica_cpus = self.backfill_cpus = 0.0
 
     def add(self, row: Counts, sign: int) -> None:
-        """Add one machine's part (`sign` is 1) or take it away (-1)."""
+        """Add one machine's contribution (`sign` is 1) or subtract it (-1)."""
         self.machines += sign * row[0]
         self.free += sign * row[1]
         self.replica_cpus += sign * row[2]
@@ -110,17 +113,18 @@
 
 
 class Pool:
-    """The machines of one type and zone, spot or not.
+    """The machines of one type and zone that are all spot or all on-demand.
 
     Attributes:
-        rooms: Its rooms by machine.
+        rooms: The pool's rooms by machine.
         rev: The index's revision at the pool's last change.
-        changes: The revision of each machine's last change, the latest last.
-        sorted_by_image: The sorted views in use ("": all rooms), the last used last.
-        by_standing: The machines that hold work of a rank, as it counts for preemption.
-        counted: What each machine adds to the totals, and the ranks of its work.
-        counted_rev: The revision up to which changes are counted.
-        totals: The sums, as of `counted_rev`.
+        changes: The revision of each machine's last change, the latest change last.
+        sorted_by_image: The sorted views by image ("": all rooms), the most recently used last.
+        by_preemption_rank: The machines with tasks of each preemption rank (`Job.standing`).
+        counted_machines: Each machine's contribution to the totals, and the preemption ranks of
+            its tasks.
+        counted_rev: The revision up to which changes are included in `totals`.
+        totals: The sums at `counted_rev`.
     """
 
     def __init__(self, type: str, zone: str, spot: bool) -> None:
@@ -129,22 +133,22 @@
         self.rev = 0
         self.changes: OrderedDict[str, int] = OrderedDict()
         self.sorted_by_image: OrderedDict[str, SortedRooms] = OrderedDict()
-        self.by_standing: dict[int, dict[str, None]] = {}
-        self.counted: dict[str, tuple[Counts, frozenset[int]]] = {}
+        self.by_preemption_rank: dict[int, dict[str, None]] = {}
+        self.counted_machines: dict[str, tuple[Counts, frozenset[int]]] = {}
         self.counted_rev = 0
         self.totals = PoolTotals()
 
     def changed(self, since: int) -> Iterator[str]:
-        """Machines that changed after the revision, the latest first."""
+        """Yield the machines that changed after the revision, the latest change first."""
         for machine in reversed(self.changes):
             if self.changes[machine] <= since:
                 return
             yield machine
 
     def sorted_rooms(self, image: str = "") -> SortedRooms:
-        """The rooms that have the image cached (all for ""), sorted, as they are now."""
+        """Return an up-to-date sorted view of the rooms with the image cached (all for "")."""
         found = self.sorted_by_image.get(image)
-        if found is not None and found.seen == self.rev:
+        if found is not None and found.applied_rev == self.rev:
             return found
         if found is None:
             found = self.sorted_by_image[image] = SortedRooms(image)
@@ -152,17 +156,17 @@
                 self.sorted_by_image.popitem(last=False)
         self.sorted_by_image.move_to_end(image)
         rooms, known = self.rooms, found.keys
-        for machine in self.changed(found.seen):
+        for machine in self.changed(found.applied_rev):
             room = rooms.get(machine)
             if room is not None and room.open and (not image or image in room.images):
                 found.update(room)
             elif machine in known:
                 found.remove(machine)
-        found.seen = self.rev
+        found.applied_rev = self.rev
         return found
 
     def count(self) -> PoolTotals:
-        """Update the totals and `by_standing` to the rooms as they are now; return the totals."""
+        """Bring the totals and `by_preemption_rank` up to date, and return the totals."""
         for machine in self.changed(self.counted_rev):
             room = self.rooms.get(machine)
             counts, ranks = NO_COUNTS, NO_RANKS
@@ -174,37 +178,40 @@
                     room.replica_cpus if room.open else 0.0,
                     room.backfill_cpus,
                 )
-            known_counts, known_ranks = self.counted.pop(machine, (NO_COUNTS, NO_RANKS))
+            known_counts, known_ranks = self.counted_machines.pop(machine, (NO_COUNTS, NO_RANKS))
             self.totals.add(known_counts, -1)
             self.totals.add(counts, 1)
             for rank in known_ranks - ranks:
-                self.by_standing[rank].pop(machine, None)
+                self.by_preemption_rank[rank].pop(machine, None)
             for rank in ranks - known_ranks:
-                self.by_standing.setdefault(rank, {})[machine] = None
+                self.by_preemption_rank.setdefault(rank, {})[machine] = None
             if room is not None:
-                self.counted[machine] = (counts, ranks)
+                self.counted_machines[machine] = (counts, ranks)
         self.counted_rev = self.rev
         return self.totals
 
 
-# Whether the pool is expensive for a job, whether it is a spot pool to be avoided, the pool.
+# Whether the pool is expensive for a job, whether it is a spot pool to avoid, and the pool.
 RankedPool = tuple[bool, bool, Pool]
 
 
 class Index:
-    """All rooms, by what placement and preemption ask of them.
+    """All rooms, indexed for placement and preemption.
 
     Attributes:
-        salt: Differs by controller, so that each takes equal machines in another order:
-            else all that have the same cached state would choose the same machine.
+        salt: A string that differs by controller, so that each controller tries equal machines
+            in another order. Otherwise controllers with the same cached state would choose the
+            same machine.
         rooms: The rooms by machine.
-        pools: The pools by type, zone and whether they are of spot machines.
-        rev: Counts the changes of all rooms.
-        held: The jobs for which preemption has made room, and on how many machines.
-        unplaceable: Questions without an answer, and the revision up to which that is known.
-        policy: The policy under which they have none.
-        before_trial: While a trial runs, the rooms that it changed, each with a copy from
-            before (None: it wasn't there).
+        pools: The pools by type, zone and whether their machines are spot machines.
+        rev: The revision of the index: the number of changes of all rooms.
+        reserved_jobs: The jobs for which preemption has reserved rooms, with the numbers of
+            machines.
+        unplaceable: The cache keys of searches that found no room, each with the revision for
+            which that is known.
+        policy: The policy under which the entries of `unplaceable` hold.
+        before_trial: During a trial, the rooms that it changed, each with a copy of its state
+            before the trial (None: the room did not exist).
     """
 
     def __init__(self, salt: str = "", rooms: Iterable[Room] = ()) -> None:
@@ -213,7 +220,7 @@
         self.pools: dict[tuple[str, str, bool], Pool] = {}
         self._allowed: dict[tuple[object, ...], list[Pool]] = {}
         self.rev = 0
-        self.held: Counter[str] = Counter()
+        self.reserved_jobs: Counter[str] = Counter()
         self.unplaceable: dict[tuple[object, ...], int] = {}
         self.policy: object = None
         self.before_trial: dict[str, tuple[Room, Room] | None] | None = None
@@ -223,7 +230,7 @@
     # -- changes ---------------------------------------------------------
 
     def add(self, room: Room) -> None:
-        """Enter a machine's room, new or as it is known now."""
+        """Add a machine's room, or replace the previous one."""
         self.remove(room.machine)
         key = (room.type, room.zone, room.spot)
         pool = self.pools.get(key)
@@ -231,31 +238,31 @@
             pool = self.pools[key] = Pool(*key)
             self._allowed.clear()
         elif len(pool.changes) > 2 * len(pool.rooms) + MAX_REMOVED_MACHINES:
-            self._forget(pool)
+            self._compact_changes(pool)
         room.tie_breaker = crc32(f"{self.salt}{room.machine}".encode()) / 2**32
         room.name_hash = crc32(room.machine.encode()) / 2**32
         room.index = self
         self.rooms[room.machine] = pool.rooms[room.machine] = room
         if room.hold:
-            self.held[room.hold] += 1
-        self.touch(room)
+            self.reserved_jobs[room.hold] += 1
+        self.note_change(room)
 
     def remove(self, machine: str) -> None:
-        """Take a machine's room out, if it is there."""
+        """Remove a machine's room, if it exists."""
         room = self.rooms.get(machine)
         if room is None:
             return
-        self.touch(room)
+        self.note_change(room)
         del self.rooms[machine]
         del self.pools[room.type, room.zone, room.spot].rooms[machine]
         room.index = None
         if room.hold:
-            self.held[room.hold] -= 1
-            if not self.held[room.hold]:
-                del self.held[room.hold]
+            self.reserved_jobs[room.hold] -= 1
+            if not self.reserved_jobs[room.hold]:
+                del self.reserved_jobs[room.hold]
 
-    def touch(self, room: Room) -> None:
-        """Note that the room is about to change, or has just been entered."""
+    def note_change(self, room: Room) -> None:
+        """Record that the room is about to change, or has just been added."""
         if self.before_trial is not None and room.machine not in self.before_trial:
             self.before_trial[room.machine] = room, room.copy()
         self.rev += 1
@@ -264,11 +271,11 @@
         pool.rev = pool.changes[room.machine] = self.rev
         pool.changes.move_to_end(room.machine)
 
-    def _forget(self, pool: Pool) -> None:
-        """Drop removed machines from the list of changes, once all views have caught up.
+    def _compact_changes(self, pool: Pool) -> None:
+        """Drop removed machines from the list of changes, after bringing all views up to date.
 
-        Only between changes: a view that catches up after a change is noted and before it
-        is carried out would miss it.
+        This must not run between the record of a change and the change itself, because a view
+        that is brought up to date in between would miss the change.
         """
         for image in list(pool.sorted_by_image):
             pool.sorted_rooms(image)
@@ -278,19 +285,19 @@
 
     @contextmanager
     def trial(self, without: Iterable[str] = (), extra: Iterable[Room] = ()) -> Iterator[None]:
-        """Try changes out: when the context ends, all rooms are as they were before it.
+        """Undo all changes of rooms when the context ends.
 
-        Nothing else may use the index meanwhile.
+        No other code may use the index during the trial.
 
         Args:
-            without: Machines to take out first.
-            extra: Rooms to enter first, of machines that aren't there.
+            without: Machines to remove first.
+            extra: Rooms to add first; rooms of machines that exist already are ignored.
 
         Raises:
-            RuntimeError: A trial is under way already.
+            RuntimeError: Another trial is in progress.
         """
         if self.before_trial is not None:
-            raise RuntimeError("a trial is under way")
+            raise RuntimeError("a trial placement is already in progress")
         before = self.before_trial = {}
         try:
             for machine in list(without):
@@ -306,20 +313,20 @@
                 if known is None:
                     self.remove(machine)
                     continue
-                # The same object is restored, since others refer to it.
+                # The same object is restored because other objects refer to it.
                 room, copy = known
                 if self.rooms.get(machine) is room:
-                    self.touch(room)
+                    self.note_change(room)
                     room.restore(copy)
                 else:
                     self.remove(machine)
                     room.restore(copy)
                     self.add(room)
 
-    # -- questions -------------------------------------------------------
+    # -- queries ---------------------------------------------------------
 
     def allowed(self, job: Job) -> list[Pool]:
-        """The pools that the job's own conditions allow."""
+        """Return the pools that the job's requirements for type, zone and spot allow."""
         key = (job.types and tuple(job.types), job.zone, job.spot)
         found = self._allowed.get(key)
         if found is None:
@@ -329,19 +336,19 @@
         return found
 
     def unplaceable_under(self, policy: object) -> dict[tuple[object, ...], int]:
-        """The questions without an answer under the policy, with the revision that it is as of."""
+        """Return the searches known to find no room under the policy, with their revisions."""
         if policy is not self.policy or len(self.unplaceable) > MAX_CACHED_QUESTIONS:
             self.policy = policy
             self.unplaceable.clear()
         return self.unplaceable
 
     def changed_rooms(self, job: Job, since: int) -> Iterator[Room]:
-        """Rooms of pools that the job's conditions allow, if changed since the revision."""
+        """Yield the rooms of the pools that the job allows that changed after the revision."""
         return self.changed(self.allowed(job), since)
 
     @staticmethod
     def changed(pools: Iterable[Pool], since: int) -> Iterator[Room]:
-        """Rooms of the pools that have changed since the revision."""
+        """Yield the rooms of the pools that changed after the revision."""
         for pool in pools:
             if pool.rev > since:
                 for machine in pool.changed(since):
@@ -352,14 +359,16 @@
     def in_order(
         self, job: Job, pools: Iterable[RankedPool], uncached: frozenset[str] | None
     ) -> Iterator[Room]:
-        """Rooms with the CPUs and GPUs for one task, the preferred first.
+        """Yield rooms that may have enough CPUs and GPUs for one task, the preferred first.
 
-        The order is the one of `placement.place`. Rooms may be charged meanwhile.
+        The order is that of `placement.place`. Rooms may be charged during the iteration. The
+        views are sorted by the sum of CPUs and GPUs, so the caller has to check `Room.fits`.
 
         Args:
-            job: The job that wants room.
-            pools: The pools to look at, with what ranks them.
-            uncached: The types whose machines will do without the image; None: all.
+            job: The job to place.
+            pools: The pools to search, with the criteria that rank them.
+            uncached: The machine types on which a task may start although the image has to be
+                fetched first; None: all types.
         """
         ranked: dict[tuple[bool, bool], list[Pool]] = {}
         for expensive, avoid, pool in pools:
@@ -374,7 +383,7 @@
     def _in_order_of_image(
         self, job: Job, free_gpus: bool, pools: list[Pool], uncached: frozenset[str] | None
     ) -> Iterator[Room]:
-        """Rooms of equally ranked pools: with the image cached first, and spot before others."""
+        """Yield rooms of equally ranked pools: cached image first, then spot before on-demand."""
         for cached in (True, False):
             for spot in (True, False):
                 views = [
@@ -388,7 +397,7 @@
     def _merged(
         self, job: Job, free_gpus: bool, views: list[SortedRooms], skip_cached: bool
     ) -> Iterator[Room]:
-        """Rooms of several sorted views: those with most replicas, then the fullest first."""
+        """Merge sorted views: the rooms with most replica CPUs first, then the fullest first."""
         need = (job.cpus + job.gpus - 3 * EPSILON,)
         levels: dict[float, list[SortedList]] = {}
         for view in views:
@@ -406,13 +415,13 @@
     def with_lower_rank(
         self, pools: Iterable[Pool], rank: int, without: Container[str] = ()
     ) -> Iterator[Room]:
-        """Rooms with work of a lower rank, as it counts for preemption."""
+        """Yield the rooms with tasks whose preemption rank is lower than `rank`."""
         for pool in pools:
             pool.count()
-            seen: set[str] = set()
-            for standing, machines in pool.by_standing.items():
-                if standing < rank:
-                    seen.update(machines)
-            for machine in sorted(seen):
+            with_lower: set[str] = set()
+            for task_rank, machines in pool.by_preemption_rank.items():
+                if task_rank < rank:
+                    with_lower.update(machines)
+            for machine in sorted(with_lower):
                 if machine not in without:
                     yield pool.rooms[machine]
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -1,6 +1,6 @@
-"""Placing tasks by the cached state of free room. Pure: no I/O, no clock.
+"""Placement of tasks from the cached state of free room.
 
-Names imported under their own names are for modules that still import them from here.
+The functions do no I/O and read no clock.
 """
 
 from __future__ import annotations
@@ -31,35 +31,44 @@
 ) -> list[Room]:
     """Choose machines for tasks of a job, and charge the rooms and the spread for them.
 
-    In order: machines that aren't expensive; without free GPUs, for work that needs none;
-    with the image cached; spot machines, where they may be used; with replicas, since these
-    stay, so that other machines empty; then the fullest, so that others become idle and can
-    be returned.
+    The order of preference, most important criterion first:
+
+    1. machines that are not expensive for the job;
+    2. machines without free GPUs, for jobs that need no GPUs;
+    3. machines that have the image cached;
+    4. spot machines, if the job may use them;
+    5. machines with the most replicas, because replicas stay and other machines can become
+       empty;
+    6. the fullest machines, so that other machines become idle and can be returned.
+
+    If `avoid_spot` is set, spot machines come after all others that criteria 1 and 2 rank alike.
 
     Args:
-        job: The job. A gang gets machines for all `wanted` tasks or none.
-        wanted: For how many of its tasks.
-        index: The rooms.
-        spread: The zones of its other tasks.
-        policy: What keeps work off machines; None: nothing does.
-        can_wait: Whether the job can wait for a machine that isn't expensive.
-        avoid_spot: Whether the job would be late if its machine were taken back: it keeps off
-            spot machines while others have room, and leaves them to work with checkpoints.
-        without: Machines that aren't considered.
-        avoid_idle_on_demand: Whether to keep off idle on-demand machines, which would stay
-            rented for this job alone.
-        uncached: The types whose machines will do without the image; None: all.
-        reserve: The machines on which room for a larger task is left.
+        job: The job. A gang gets machines for all `wanted` tasks or for none.
+        wanted: The number of tasks to place.
+        index: The rooms of all machines.
+        spread: The zones of the job's other tasks.
+        policy: The placement policy; None if no policy applies.
+        can_wait: Whether to skip expensive machines because the job can wait for others.
+        avoid_spot: Whether to prefer other machines to spot machines, because the job would be
+            late if the cloud took its machine back. This leaves the spot machines to jobs with
+            checkpoints.
+        without: Machines that are not considered.
+        avoid_idle_on_demand: Whether to skip idle on-demand machines, which would stay rented
+            for this job alone.
+        uncached: The machine types on which a task may start although the image has to be
+            fetched first; None: all types.
+        reserve: The machines that have to keep room for a larger task.
 
     Returns:
-        One entry for each task that found room, `wanted` at most.
+        One entry for each task that found room, at most `wanted`.
     """
     policy = policy or NO_POLICY
     if wanted <= 0:
         return []
-    # A question without an answer has none until a room that changes fits.
+    # A job that found no room finds none until a changed room fits, so this result is cached.
     cacheable = is_cacheable(job, index, spread, without)
-    question = (
+    cache_key = (
         shape(job),
         job.one_zone,
         job.spread,
@@ -70,13 +79,13 @@
         reserve and (reserve.share, reserve.job.id),
     )
     unplaceable = index.unplaceable_under(policy)
-    since = unplaceable.get(question) if cacheable else None
+    since = unplaceable.get(cache_key) if cacheable else None
     if since is not None and not any(
         accepts(job, room, policy, reserve)
         and not (avoid_idle_on_demand and not room.spot and room.idle)
         for room in index.changed_rooms(job, since)
     ):
-        unplaceable[question] = index.rev
+        unplaceable[cache_key] = index.rev
         return []
     pools = _ranked_pools(job, index, spread, policy, can_wait, avoid_spot)
     if job.one_zone and not spread.counts and not spread.unknown:
@@ -93,25 +102,26 @@
         if len(chosen) == wanted:
             break
     if job.kind == GANG and len(chosen) < wanted:
-        _give_back(job, chosen, spread)
+        _undo_charges(job, chosen, spread)
         chosen = []
     if cacheable and not chosen:
-        unplaceable[question] = index.rev
+        unplaceable[cache_key] = index.rev
     return chosen
 
 
 def accepts(job: Job, room: Room, policy: Policy, reserve: LargeTaskReserve | None) -> bool:
-    """Whether the room, as it is, may take a task of the job.
+    """Return whether the room may take a task of the job in its present state.
 
-    The job that its GPUs are for, and the one that room is kept for, must still fit.
+    A task of the GPU job that the policy protects on this machine, and of the job for which
+    the machine is reserved, must still fit afterwards.
     """
     if not room.fits(job):
         return False
     gpu_job = policy.protected_job(job, room)
     if gpu_job is not None and not room.fits_both_after_preemption(job, gpu_job):
         return False
-    large = reserve.against(job, room) if reserve is not None else None
-    return large is None or room.fits_both(job, large)
+    large_job = reserve.large_job_for(job, room) if reserve is not None else None
+    return large_job is None or room.fits_both(job, large_job)
 
 
 def can_hold(
@@ -123,11 +133,11 @@
     can_wait: bool,
     without: set[str],
 ) -> bool:
-    """Whether the rooms surely hold so many tasks of the job.
+    """Return whether the rooms certainly hold `wanted` tasks of the job.
 
-    Each machine is counted for one job alone: those counted are added to `without`. Nothing
-    is charged, so it costs little where there is room to spare; False says only that a
-    trial has to find out.
+    Each machine is counted for one job only: the counted machines are added to `without`.
+    No room is charged, so the check is cheap if there is plenty of room. False does not mean
+    that the tasks do not fit; only a trial placement can tell.
     """
     if job.kind == GANG or job.one_zone:
         return False
@@ -150,7 +160,7 @@
 def _ranked_pools(
     job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool, avoid_spot: bool
 ) -> list[RankedPool]:
-    """The pools that the job may use, with what ranks them among each other."""
+    """Return the pools that the job may use, each with the criteria that rank it."""
     return [
         (policy.expensive(job, pool), avoid_spot and pool.spot, pool)
         for pool in usable_pools(job, index, spread, policy, can_wait)
@@ -160,10 +170,10 @@
 def _pools_of_best_zone(
     job: Job, wanted: int, index: Index, pools: list[RankedPool], without: Container[str]
 ) -> list[RankedPool]:
-    """The pools of the best zone for a job whose tasks have to be in one.
+    """Return the pools of the best zone for a job whose tasks all have to be in one zone.
 
-    That is one that holds all of it, then one with the image cached, then the one with the
-    least room to spare, since larger gangs need what is free to be together.
+    A zone that holds all tasks is preferred, then a zone with the image cached, then the zone
+    with the least room to spare, because larger gangs need much free room in one zone.
     """
     if len({pool.zone for _, _, pool in pools}) <= 1:
         return pools
@@ -195,18 +205,21 @@
     policy: Policy,
     reserve: LargeTaskReserve | None,
 ) -> int:
-    """Charge a room that a task fits for as many as it may take; return how many these are."""
+    """Charge a room for as many tasks as it may take, and return their number.
+
+    At least one task of the job must fit the room's free resources.
+    """
     gpu_job = policy.protected_job(job, room)
-    large = reserve.against(job, room) if reserve is not None else None
-    # Where each task may change whether the next one is allowed, they go one by one.
-    one_by_one = job.one_zone or job.spread or gpu_job is not None or large is not None
+    large_job = reserve.large_job_for(job, room) if reserve is not None else None
+    # Tasks are charged one by one if each of them can change whether the next is allowed.
+    charge_singly = job.one_zone or job.spread or gpu_job is not None or large_job is not None
     placed = 0
     while (
         spread.allows(room.zone)
         and (gpu_job is None or room.fits_both_after_preemption(job, gpu_job))
-        and (large is None or room.fits_both(job, large))
+        and (large_job is None or room.fits_both(job, large_job))
     ):
-        count = 1 if one_by_one else min(wanted - placed, capacity(job, room))
+        count = 1 if charge_singly else min(wanted - placed, capacity(job, room))
         room.take(job, count)
         spread.add(room.zone, count)
         placed += count
@@ -215,8 +228,8 @@
     return placed
 
 
-def _give_back(job: Job, chosen: list[Room], spread: Spread) -> None:
-    """Undo what was charged for the tasks that found room."""
+def _undo_charges(job: Job, chosen: list[Room], spread: Spread) -> None:
+    """Undo the charges for the chosen rooms and their zones."""
     for room in chosen:
         room.take(job, -1)
         spread.counts[room.zone] -= 1
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -1,4 +1,4 @@
-"""The placer's pass over the waiting jobs: in which order they are placed, and what starts."""
+"""The placer, which places the waiting jobs in order of urgency in scheduling passes."""
 
 from __future__ import annotations
 
@@ -46,19 +46,19 @@
 from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
-# Passes in the time between two heartbeats of a worker, at most.
+# The maximum number of passes between two heartbeats of a worker.
 PASSES_PER_REPORT = 50
-# Jobs looked at and tasks placed in one pass: as much as a few full transactions start, and
-# some ten milliseconds, in which no heartbeat is answered.
+# The maximum number of jobs considered and tasks placed in one pass. These tasks fill a few
+# transactions, and such a pass takes some ten milliseconds, in which no heartbeat is answered.
 MAX_PASS_WORK = 1000
 
 
 class TransactionBounds(Protocol):
-    """Knows how much one transaction may change."""
+    """Provides the bounds of one transaction."""
 
     @property
     def start_chunks(self) -> int:
-        """Chunks that a transaction of starts may change, beside the quota."""
+        """The number of chunks that a transaction of starts may change besides the quota."""
         ...
 
 
@@ -66,10 +66,11 @@
     """Places the waiting jobs, and hands the starts to the jobs' routines.
 
     Attributes:
-        swept_at: When the queue was last swept, in seconds.
+        swept_at: The monotonic time of the queue's last full sweep, in seconds.
         owed: The fair share of each class or team that is owed one.
-        owed_until: Until when that holds, in seconds.
-        granted_cpus: The CPUs that tasks were placed on for them since it was looked up.
+        owed_until: The monotonic time until which `owed` is valid, in seconds.
+        granted_cpus: For each class or team, the CPUs of the tasks placed since `owed` was
+            looked up.
     """
 
     def __init__(
@@ -141,23 +142,23 @@
         self.granted_cpus: dict[AccountKey, float] = {}
 
     def policy(self) -> Policy:
-        """Return what keeps tasks off machines, as `PolicyCache.current` does."""
+        """Return the placement policy, as `PolicyCache.current` does."""
         return self.policy_cache.current()
 
     def learn(self, job: Job) -> None:
-        """Take an accepted job into account, as `PolicyCache.learn` does."""
+        """Invalidate the policy if it does not cover an accepted job (see `PolicyCache.learn`)."""
         self.policy_cache.learn(job)
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Whether a replica may move, as `ReplicaMigration.movable` says."""
+        """Return whether a replica may move, as `ReplicaMigration.movable` does."""
         return self.replica_migration.movable(job, number, machine, drain)
 
     def connect(self, *, dispatcher: TransactionBounds) -> None:
-        """Set the parts that are built later than this one."""
+        """Set the components that are created after this one."""
         self.dispatcher = dispatcher
 
     def begin(self) -> None:
-        """Start an epoch: jobs have new leaders, and peers have told nothing."""
+        """Start an epoch, in which jobs have new leaders and no peer has reported demand yet."""
         self.demand_report.begin()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
@@ -165,7 +166,7 @@
         self.backfill.begin()
 
     async def place_all(self) -> None:
-        """Make a pass over the waiting jobs whenever something changed, for as long as we run."""
+        """Run a pass over the waiting jobs after each change, for as long as the process runs."""
         pause_s = self.settings.cluster.workers.report_s / PASSES_PER_REPORT
         while True:
             await self.routines.wait("place", self.membership.lease_ttl_s / 2)
@@ -176,16 +177,16 @@
                     self.queue.sweep()
                 self._pass(now)
                 await self.routines.flush()
-            # Changes come one by one, and a pass takes them all.
+            # The pause lets one pass handle several changes.
             await curio.sleep(pause_s)
 
     def _pass(self, now: float) -> None:
-        """Look at what waits and may have found room since, the most urgent first.
+        """Try to place the waiting jobs that may find room now, the most urgent first.
 
-        Of bounded work: what is left goes on in the next pass, when others have had their
-        turn. It costs as much as has happened, however many jobs wait: groups that can find
-        nothing are postponed, and of the others no more is looked at once one has found less
-        than it wants.
+        The work of one pass is bounded. The next pass continues with the remaining jobs, after
+        other routines have run. The cost depends on what has changed and not on the number of
+        waiting jobs: groups that cannot find room are postponed, and a group's other jobs are
+        skipped after one of them has found less room than it wants.
         """
         queue = self.queue
         queue.catch_up(now)
@@ -196,7 +197,7 @@
             now,
             self.cached_state.index(),
             self.policy(),
-            self._owed_now(now),
+            self._current_owed(now),
             self.reserves.current,
             self.granted_cpus,
         )
@@ -206,13 +207,14 @@
         for group in queue.groups.values():
             (postponed if is_postponed(group, current, True) else active).append(group)
         if any(group.example.job.kind != SERVICE for group in active):
-            # Then nobody gathers: what has come free is not left to those of a lower rank.
+            # Postponed groups that let free room accumulate take part in this pass as well, so
+            # that the free room does not go to jobs of a lower rank.
             active += [group for group in postponed if not is_postponed(group, current, False)]
         for managed in self._in_order(active, current):
             if current.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
-            self._serve(managed, current)
+            self._place_job(managed, current)
         self.postponements.postpone(current)
         self.reserves.update(current)
         if current.starved and not self.cached_state.starved:
@@ -220,8 +222,8 @@
             self.routines.signal("demand")
         self.cached_state.starved = current.starved
 
-    def _owed_now(self, now: float) -> dict[AccountKey, FairShare]:
-        """Who is owed a fair share, looked up anew a few times between two heartbeats."""
+    def _current_owed(self, now: float) -> dict[AccountKey, FairShare]:
+        """Return the fair shares owed, looked up several times between two heartbeats."""
         if now >= self.owed_until:
             self.owed_until = (
                 now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
@@ -231,13 +233,14 @@
         return self.owed
 
     def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
-        """The jobs of the groups as they are to be looked at.
+        """Yield the jobs of the groups in the order in which they are to be placed.
 
-        Of a group that found less than it wanted only those that room is held for.
+        After a job of a group found less room than it wants, only the group's jobs with
+        reserved rooms follow.
         """
         entries, serial = self.queue.entries, itertools.count()
         heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
-        held = {name: None for name in current.index.held if name in entries}
+        reserved = {name: None for name in current.index.reserved_jobs if name in entries}
 
         def push(rest: Iterator[str]) -> None:
             name = next(rest, None)
@@ -245,11 +248,11 @@
                 managed = entries[name].managed
                 heappush(heap, (self._order(managed, current), next(serial), managed, rest))
 
-        for name in held:
+        for name in reserved:
             push(iter((name,)))
         for group in groups:
             for subqueue in group.subqueues.values():
-                push(name for name in subqueue if name not in held)
+                push(name for name in subqueue if name not in reserved)
         while heap:
             _, _, managed, rest = heappop(heap)
             yield managed
@@ -258,14 +261,14 @@
             else:
                 push(rest)
 
-    def _serve(self, managed: ManagedJob, current: SchedulingPass) -> None:
-        """Find room for one job, or have it made; what is found is to be started."""
+    def _place_job(self, managed: ManagedJob, current: SchedulingPass) -> None:
+        """Find room for one job or request preemption, and hand over the tasks that found room."""
         job = managed.job
         if job.backfill and job.rank not in current.backfill_cpus_left:
             current.backfill_cpus_left[job.rank] = self.backfill.cpus_left(current.index, job.rank)
         if managed.at_fault and managed.assigned > managed.running:
-            # One trial at a time. (Not none while others of it run: a replica that had
-            # failed on three sick machines would have been missing for good.)
+            # A job at fault gets one trial at a time, even while other tasks of it run. Without
+            # any trial, a replica that failed on three unhealthy machines would never return.
             return
         current.work += 1
         wanted = self._wanted(managed, current)
@@ -278,7 +281,7 @@
             current.starved = current.starved or not job.backfill
             self.reserves.note_unplaced(job)
             if (
-                job.id not in current.index.held
+                job.id not in current.index.reserved_jobs
                 and not managed.errors
                 and not managed.lost_machines
             ):
@@ -287,10 +290,10 @@
             self.reserves.note_placed(job)
         current.work += len(chosen)
         if chosen:
-            self._begin(managed, chosen, current)
+            self._hand_over(managed, chosen, current)
 
     def _wanted(self, managed: ManagedJob, current: SchedulingPass) -> int:
-        """Tasks to look for: what one transaction holds, and the job may have."""
+        """Return for how many tasks to seek room: a transaction's worth that the job may start."""
         job = managed.job
         wanted = min(
             managed.pending,
@@ -302,16 +305,16 @@
             wanted = min(wanted, 1)
         missing_cpus = current.missing_cpus(account_keys(job))
         if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
-            # It goes first for what is owed, and no further: the rest would be stopped again
-            # for whoever it went before.
+            # The array goes first only for the share that is owed. Tasks beyond it would be
+            # preempted again for the jobs that the array overtook.
             wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
         if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
             cpus = max(current.backfill_cpus_left[job.rank], missing_cpus)
             wanted = int(max(0.0, min(wanted, cpus / job.cpus)))
         return wanted
 
-    def _begin(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
-        """Hand the rooms that were found to the job's routine, which starts the tasks there."""
+    def _hand_over(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
+        """Hand the chosen rooms to the job's routine, which starts the tasks there."""
         for room in chosen:
             if room.machine in managed.preempted_room:
                 left, until = managed.preempted_room[room.machine]
@@ -322,7 +325,7 @@
                 current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
             )
         for room in chosen[len(numbers) :]:
-            room.take(managed.job, -1)  # the next transaction's
+            room.take(managed.job, -1)  # left for the next transaction
         managed.starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
@@ -330,10 +333,10 @@
         self.routines.signal(managed.name)
 
     def _order(self, managed: ManagedJob, current: SchedulingPass) -> tuple[float, ...]:
-        """The sort key of a job: by rank, then as the queue orders them.
+        """Return the sort key of a job: its rank, then its position in the queue.
 
-        Who is owed a fair share and hasn't had it comes after replicas and before all others;
-        what is owed to a team comes before what it borrows.
+        Jobs whose class or team is owed a fair share come after replicas and before all other
+        jobs. Jobs within their team's guarantee come before jobs beyond it.
         """
         job = managed.job
         band, (start_by, rev, _), _ = self.queue.standing(managed, current.now)
@@ -344,10 +347,10 @@
         return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
 
     def _within_limit(self, job: Job, wanted: int) -> int:
-        """Tasks that the team's limit leaves room for, as far as known here.
+        """Return `wanted`, bounded by what the team's limit leaves as far as known here.
 
-        What was read long ago is not believed: other controllers may have released
-        some since, and nothing else would ever make us look again.
+        Usage that was read too long ago is ignored, because other controllers may have released
+        some since then, and no event would trigger another attempt.
         """
         limit = self.quotas.limits.get(job.team, (0.0, 0.0))
         used, _, at = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
--- a/clayport/scheduling/policy.py
+++ b/clayport/scheduling/policy.py
@@ -1,4 +1,7 @@
-"""What keeps work off machines that have the free resources for it. Pure: no I/O, no clock."""
+"""Rules that keep tasks off machines on which they would fit.
+
+The module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -9,23 +12,24 @@
 from clayport.scheduling.requirements import EPSILON, MachineClass, shape
 from clayport.scheduling.room import Room
 
-# How much above the cheapest type's price a type is expensive: beyond what types of
-# different size differ by, well below what GPUs add.
+# A type is expensive if its price per task exceeds the cheapest type's by this factor. The
+# factor exceeds the price differences between types of different size and is far below the
+# extra price of GPUs.
 EXPENSIVE_FACTOR = 3.0
 
 
 class Policy:
-    """What keeps work off machines that it would fit.
+    """Rules that keep tasks off machines on which they would fit.
 
-    Work without GPUs leaves room on machines with GPUs for the largest job that needs them,
-    since that fits nowhere else. Work that can wait keeps off types that cost
-    `EXPENSIVE_FACTOR` times what it would cost elsewhere and that no job with GPUs needs, so
-    that they can be returned.
+    Tasks without GPUs leave room on GPU machines for the largest job that needs the GPUs,
+    because that job fits nowhere else. Jobs that can wait avoid types that cost more than
+    `EXPENSIVE_FACTOR` times the cheapest type and that no GPU job needs, so that these
+    machines can be returned.
 
     Attributes:
         types: The machine types that can be rented.
         gpu_jobs: For each type with GPUs, the largest job that may need them.
-        services: One service of each shape, the largest first.
+        services: One service for each combination of CPUs and memory, the largest first.
     """
 
     def __init__(self, jobs: Iterable[Job], types: Iterable[MachineType]) -> None:
@@ -36,19 +40,19 @@
         self.services = [shapes[k] for k in sorted(shapes, reverse=True)]
         self._expensive_types: dict[tuple[Any, ...], set[str]] = {}
         self._fitting_types: dict[tuple[Any, ...], frozenset[str]] = {}
-        self._shapes = {(j.cpus, j.gpus, j.memory_gb, j.kind == SERVICE) for j in jobs}
+        self._requirements = {(j.cpus, j.gpus, j.memory_gb, j.kind == SERVICE) for j in jobs}
 
     def covers(self, job: Job) -> bool:
-        """Whether the policy would be the same with this job among those it was made from."""
+        """Return whether adding this job would leave the policy unchanged."""
         return (job.gpus == 0 and job.kind != SERVICE) or (
             job.cpus,
             job.gpus,
             job.memory_gb,
             job.kind == SERVICE,
-        ) in self._shapes
+        ) in self._requirements
 
-    def same(self, other: Policy) -> bool:
-        """Whether the other policy decides the same for every job and room."""
+    def is_equivalent(self, other: Policy) -> bool:
+        """Return whether the other policy makes the same decision for every job and room."""
         return (
             self.types == other.types
             and [shape(j) for j in self.services] == [shape(j) for j in other.services]
@@ -57,24 +61,27 @@
         )
 
     def rejects(self, job: Job, room: Room) -> bool:
-        """Whether a task of the job would take what a job with GPUs needs there."""
+        """Return whether a task of the job would take room that a GPU job needs there."""
         gpu_job = self.protected_job(job, room)
         return gpu_job is not None and not room.fits_both_after_preemption(job, gpu_job)
 
     def protected_job(self, job: Job, room: Room) -> Job | None:
-        """The job with GPUs that a task of this one has to leave room for there, if any."""
+        """Return the GPU job for which a task of `job` has to leave room there, if any."""
         return self._protected_job_on(room) if job.gpus == 0 else None
 
     def _protected_job_on(self, room: MachineClass) -> Job | None:
         gpu_job = self.gpu_jobs.get(room.type)
         return gpu_job if gpu_job is not None and (gpu_job.spot or not room.spot) else None
 
-    def blocked(self, room: Room, kind: MachineType) -> float:
-        """The CPUs by which work that isn't preempted exceeds what the type's job with GPUs leaves.
+    def blocked(self, room: Room, machine_type: MachineType) -> float:
+        """Return the CPUs that have to be freed before the type's protected GPU job fits.
+
+        Only tasks without GPUs that the GPU job cannot preempt are counted. If these tasks
+        take too much memory, the result is at least 1.
 
         Args:
-            room: The machine, with the work that it has.
-            kind: Its type.
+            room: The room, with the resources in use.
+            machine_type: The machine type of the room.
         """
         gpu_job = self._protected_job_on(room)
         if gpu_job is None:
@@ -84,12 +91,12 @@
             if without_gpus and rank >= gpu_job.rank:
                 cpus += used_cpus
                 memory_gb += used_gb
-        if memory_gb > kind.memory_gb - gpu_job.memory_gb + EPSILON:
-            return max(1.0, cpus - kind.cpus + gpu_job.cpus)
-        return max(0.0, cpus - kind.cpus + gpu_job.cpus - EPSILON)
+        if memory_gb > machine_type.memory_gb - gpu_job.memory_gb + EPSILON:
+            return max(1.0, cpus - machine_type.cpus + gpu_job.cpus)
+        return max(0.0, cpus - machine_type.cpus + gpu_job.cpus - EPSILON)
 
     def fitting_types(self, job: Job) -> frozenset[str] | None:
-        """The types of which an empty machine holds a task of the job; None: not known."""
+        """Return the types whose empty machines hold a task of the job; None: not known."""
         if not self.types:
             return None
         key = (job.cpus, job.gpus, job.memory_gb)
@@ -105,7 +112,7 @@
         return found
 
     def expensive_types(self, job: Job) -> set[str]:
-        """The types whose price per task of the job is far above the cheapest one's."""
+        """Return the types whose price per task of the job is far above the cheapest type's."""
         key = (job.cpus, job.gpus, job.memory_gb, tuple(job.types or ()), job.zone)
         found = self._expensive_types.get(key)
         if found is None:
@@ -121,21 +128,21 @@
         return found
 
     def expensive(self, job: Job, pool: MachineClass) -> bool:
-        """Whether the pool's machines are expensive for the job, and no job with GPUs needs them.
+        """Return whether the pool's machines are expensive for the job and no GPU job needs them.
 
-        The same for all machines of a pool.
+        The result is the same for all machines of a pool.
         """
         return pool.type in self.expensive_types(job) and self._protected_job_on(pool) is None
 
 
-def tasks_per_machine(job: Job, kind: MachineType) -> int:
-    """How many tasks of the job an empty machine of the type holds."""
+def tasks_per_machine(job: Job, machine_type: MachineType) -> int:
+    """Return how many tasks of the job an empty machine of the type holds."""
     bounds = [
         int((have + EPSILON) / need)
         for have, need in (
-            (kind.cpus, job.cpus),
-            (kind.gpus, job.gpus),
-            (kind.memory_gb, job.memory_gb),
+            (machine_type.cpus, job.cpus),
+            (machine_type.gpus, job.gpus),
+            (machine_type.memory_gb, job.memory_gb),
         )
         if need > 0
     ]
@@ -143,49 +150,52 @@
 
 
 def largest_gpu_jobs(jobs: Iterable[Job], types: Iterable[MachineType]) -> dict[str, Job]:
-    """For each type with GPUs, the job with the most CPUs of those that need GPUs and fit it."""
+    """Return, for each type with GPUs, the GPU job with the most CPUs that fits the type."""
     found: dict[str, Job] = {}
     gpu_jobs = {(j.cpus, j.gpus, j.memory_gb): j for j in jobs if j.gpus > 0}.values()
-    for kind in types:
+    for machine_type in types:
         for job in gpu_jobs:
             if (
-                kind.gpus > 0
-                and fits(job, kind)
-                and (kind.name not in found or job.cpus > found[kind.name].cpus)
+                machine_type.gpus > 0
+                and fits(job, machine_type)
+                and (machine_type.name not in found or job.cpus > found[machine_type.name].cpus)
             ):
-                found[kind.name] = job
+                found[machine_type.name] = job
     return found
 
 
-# Keeps no work off any machine.
+# The policy that keeps no tasks off any machine.
 NO_POLICY = Policy((), ())
 
 
 class LargeTaskReserve(NamedTuple):
-    """A share of the machines is kept free of smaller tasks that leave a large one no room.
+    """A share of the machines that keep room for a large task.
 
-    They are the same machines at all controllers, by a hash of their names.
+    A smaller task may use such a machine only if a large task still fits beside it. A hash of
+    the machines' names selects the machines, so all controllers select the same ones.
 
     Attributes:
         job: The job of the large tasks.
-        share: The share of the machines that can hold one of them, 0 to 1.
-        types: The types of which an empty machine holds one; None where that isn't known.
+        share: The reserved share of the machines that can hold a large task, 0 to 1.
+        types: The types whose empty machines hold a large task; None: not known.
     """
 
     job: Job
     share: float
     types: frozenset[str] | None
 
-    def against(self, job: Job, room: Room) -> Job | None:
-        """The job that a task of `job` has to leave room for there, if any."""
-        large = self.job
+    def large_job_for(self, job: Job, room: Room) -> Job | None:
+        """Return the job for which a task of `job` has to leave room there, if any."""
+        large_job = self.job
         if (
             room.name_hash >= self.share
             or (self.types is not None and room.type not in self.types)
-            or not room.allows(large)
+            or not room.allows(large_job)
             or not (
-                large.cpus > job.cpus or large.gpus > job.gpus or large.memory_gb > job.memory_gb
+                large_job.cpus > job.cpus
+                or large_job.gpus > job.gpus
+                or large_job.memory_gb > job.memory_gb
             )
         ):
             return None
-        return large
+        return large_job
--- a/clayport/scheduling/policy_cache.py
+++ b/clayport/scheduling/policy_cache.py
@@ -1,4 +1,4 @@
-"""The policy that holds for the jobs known here, made anew only when they ask for it."""
+"""A cache of the placement policy for the jobs that this controller knows."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PolicyCache:
-    """Keeps the policy as long as it says the same."""
+    """Caches the policy, and keeps the same object while its decisions stay the same."""
 
     def __init__(self, *, catalogue: Catalogue, jobs: JobRegistry, settings: Settings) -> None:
         self.catalogue = catalogue
@@ -23,10 +23,11 @@
         self._valid_until = -1e9
 
     def current(self) -> Policy:
-        """Return the policy for all jobs known, those just ended included.
+        """Return the policy for all known jobs, including those that ended recently.
 
-        It is made anew when a job comes that it does not cover, or prices change, and now and
-        then, since jobs go; as long as it says the same, it is the same object.
+        The policy is recomputed when an accepted job is not covered, when the catalogue
+        changes, and once per report interval, because jobs end. While its decisions stay the
+        same, the same object is returned.
         """
         now = time.monotonic()
         if (
@@ -43,13 +44,13 @@
             ],
             self.catalogue.types,
         )
-        if self._policy is None or not found.same(self._policy):
+        if self._policy is None or not found.is_equivalent(self._policy):
             self._policy = found
         self._types = self.catalogue.types
         self._valid_until = now + self.settings.cluster.workers.report_s
         return self._policy
 
     def learn(self, job: Job) -> None:
-        """Have the policy made anew if it does not cover a job that has been accepted."""
+        """Invalidate the cached policy if it does not cover an accepted job."""
         if self._policy is not None and not self._policy.covers(job):
             self._valid_until = -1e9
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -1,4 +1,7 @@
-"""Where stopping work of lower rank makes room for a job. Pure: no I/O, no clock."""
+"""The choice of machines on which preempting tasks of lower rank makes room for a job.
+
+The functions do no I/O and read no clock.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
 
-# The highest rank to be stopped, whether the machine is better avoided, how much isn't free
-# yet, and the machine's name: the least is the best offer.
+# The highest rank to preempt, whether the machine is a spot machine to avoid, the resources that
+# are not free yet, the machine's name, and its room. The smallest offer is the best.
 Offer = tuple[int, bool, float, str, Room]
 
 
@@ -23,59 +26,61 @@
     index: Index,
     spread: Spread,
     policy: Policy,
-    most: int | None = None,
+    max_rank: int | None = None,
     avoid_spot: bool = False,
     can_wait: bool = False,
     without: Container[str] = (),
     uncached: frozenset[str] | None = None,
 ) -> list[tuple[Room, int]]:
-    """Find where stopping work of lower rank makes room at the least cost.
+    """Find the machines on which preempting tasks of lower rank makes room at the least cost.
 
-    For all tasks at once: for an array of hundreds of tasks, one machine after the other
-    took longer than the array had. The spread is charged, the rooms are not.
+    All tasks are handled in one call because, for an array of hundreds of tasks, handling one
+    machine at a time took longer than the array's time limit. The spread is charged, but the
+    rooms are not.
 
     Args:
-        job: The job that wants room.
-        wanted: For how many of its tasks.
-        index: The rooms.
-        spread: The zones of its other tasks.
-        policy: What keeps work off machines.
-        most: The highest rank to be stopped; None: any below the job's.
-        avoid_spot: Whether to prefer machines that aren't spot machines.
-        can_wait: Whether to keep off expensive machines.
-        without: Machines that aren't considered.
-        uncached: The types whose machines will do without the image; None: all.
+        job: The job to make room for.
+        wanted: The number of tasks to make room for.
+        index: The rooms of all machines.
+        spread: The zones of the job's other tasks.
+        policy: The placement policy.
+        max_rank: The highest rank that may be preempted; None: any rank below the job's.
+        avoid_spot: Whether to prefer other machines to spot machines.
+        can_wait: Whether to skip expensive machines.
+        without: Machines that are not considered.
+        uncached: The machine types on which a task may start although the image has to be
+            fetched first; None: all types.
 
     Returns:
-        The machines, and for how many tasks each makes room.
+        The rooms, each with the number of tasks that it will hold.
     """
     cacheable = is_cacheable(job, index, spread, without)
-    question = (
+    cache_key = (
         "preempt",
         shape(job),
         job.one_zone,
         job.spread,
-        most,
+        max_rank,
         can_wait,
         uncached and (uncached, job.image),
     )
     unplaceable = index.unplaceable_under(policy)
-    since = unplaceable.get(question) if cacheable else None
+    since = unplaceable.get(cache_key) if cacheable else None
     pools = usable_pools(job, index, spread, policy, can_wait)
     if since is None:
         rooms = index.with_lower_rank(pools, job.rank, without)
     else:
         rooms = index.changed(pools, since)
-    offers = _offers(job, rooms, policy, most, avoid_spot, uncached)
+    offers = _offers(job, rooms, policy, max_rank, avoid_spot, uncached)
     if not offers:
         if cacheable:
-            unplaceable[question] = index.rev
+            unplaceable[cache_key] = index.rev
         return []
     if since is not None:
-        # A changed room offers something again: choose among all rooms.
-        del unplaceable[question]
+        # Preemption on a changed room makes room again, so choose among all rooms.
+        del unplaceable[cache_key]
         return preempt(
-            job, wanted, index, spread, policy, most, avoid_spot, can_wait, without, uncached
+            job, wanted, index, spread, policy, max_rank, avoid_spot, can_wait, without, uncached
         )
     return _choose(job, wanted, offers, spread)
 
@@ -84,11 +89,11 @@
     job: Job,
     rooms: Iterable[Room],
     policy: Policy,
-    most: int | None,
+    max_rank: int | None,
     avoid_spot: bool,
     uncached: frozenset[str] | None,
 ) -> list[Offer]:
-    """The rooms in which stopping work makes room for a task, with what that costs."""
+    """Return the rooms in which preemption makes room for a task, with the cost of each."""
     offers = []
     for room in rooms:
         if (
@@ -99,13 +104,13 @@
         ):
             continue
         cost = room.preemption_cost(job)
-        if cost is not None and (most is None or cost[0] <= most):
+        if cost is not None and (max_rank is None or cost[0] <= max_rank):
             offers.append((cost[0], avoid_spot and room.spot, cost[1], room.machine, room))
     return offers
 
 
 def _choose(job: Job, wanted: int, offers: list[Offer], spread: Spread) -> list[tuple[Room, int]]:
-    """The best offers, as many as the tasks need; the spread is charged."""
+    """Return the best offers that together hold the tasks, and charge the spread for them."""
     found: list[tuple[Room, int]] = []
     for rank, _, _, _, room in sorted(offers, key=lambda offer: offer[:4]):
         count = 0
--- a/clayport/scheduling/refresh.py
+++ b/clayport/scheduling/refresh.py
@@ -1,18 +1,19 @@
-"""How often the cached state of the machines' free room is refreshed.
-
-The adaptive interval of "Accelerating VM Placement with Adaptive Caching", Fig. 4: above the
-upper threshold of the share of declined starts the interval halves, below the lower one it
-grows 1.1 times. The paper's rule judges a window of few attempts by a single declined one;
-here such a window is carried into the next one. A true shortage of room is not counted: what
-fits nowhere in the cached state is not attempted.
+"""The interval at which the cached state of the machines' free room is refreshed.
+
+The rule is the adaptive interval of "Accelerating VM Placement with Adaptive Caching", Fig. 4.
+The interval halves if the ratio of declined starts exceeds the upper threshold, and grows by a
+factor of 1.1 if the ratio is below the lower threshold. The paper's rule lets a single declined
+start decide a window of few attempts; this module carries such a window over into the next one.
+A real shortage of room does not count, because tasks that fit nowhere in the cached state are
+not attempted.
 """
 
 from __future__ import annotations
 
 HIGH_DECLINED_RATIO, LOW_DECLINED_RATIO = 0.05, 0.03
 SPEED_UP, SLOW_DOWN = 0.5, 1.1
-# One declined start among this many attempts is just at the upper threshold: among fewer, a
-# single one would already count as too many.
+# One declined start among this many attempts equals the upper threshold. Among fewer attempts a
+# single declined start would exceed it.
 MIN_ATTEMPTS = round(1 / HIGH_DECLINED_RATIO)
 
 
@@ -21,11 +22,11 @@
 
     Attributes:
         interval_s: The present interval, in seconds.
-        min_s: The shortest, in seconds.
-        max_s: The longest, in seconds.
-        placed: Tasks whose start machines' owners granted in the present window.
-        declined: Tasks whose start they declined.
-        ratio: The share of declined ones in the last window that was judged.
+        min_s: The shortest interval, in seconds.
+        max_s: The longest interval, in seconds.
+        placed: Task starts that machines' owners granted in the present window.
+        declined: Task starts that machines' owners declined in the present window.
+        ratio: The ratio of declined starts in the last window that was evaluated.
     """
 
     def __init__(self, start_s: float = 10.0, least_s: float = 1.0, most_s: float = 60.0) -> None:
@@ -34,12 +35,12 @@
         self.ratio = 0.0
 
     def count(self, placed: int, declined: int) -> None:
-        """Count tasks whose start a machine's owner has granted and declined."""
+        """Count task starts that a machine's owner has granted and declined."""
         self.placed += placed
         self.declined += declined
 
     def step(self) -> float:
-        """End a window: judge it, and return the next interval in seconds."""
+        """Evaluate the present window, and return the next interval in seconds."""
         attempts = self.placed + self.declined
         if 0 < attempts < MIN_ATTEMPTS and self.declined:
             return self.interval_s
--- a/clayport/scheduling/requirements.py
+++ b/clayport/scheduling/requirements.py
@@ -1,4 +1,4 @@
-"""What a task asks of a machine: its conditions and its resources."""
+"""The requirements of a task: its constraints on machines, and its resources."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from clayport.model import Job
 
-# Amounts of resources that differ by less are taken as equal.
+# Amounts of resources that differ by less than this are considered equal.
 EPSILON = 1e-6
 
 
 class MachineClass(Protocol):
-    """What a machine has in common with all of its pool."""
+    """The properties that a machine shares with all machines of its pool."""
 
     @property
     def type(self) -> str:
@@ -19,15 +19,15 @@
 
     @property
     def zone(self) -> str:
-        """The zone that the machine is in."""
+        """The zone in which the machine is."""
 
     @property
     def spot(self) -> bool:
-        """Whether the cloud may take the machine back."""
+        """Whether it is a spot machine, which the cloud may take back."""
 
 
 def allows(job: Job, pool: MachineClass) -> bool:
-    """Whether the job's own conditions allow the pool's machines: type, zone and spot or not."""
+    """Return whether the job's requirements for type, zone and spot allow the pool's machines."""
     return (
         (job.types is None or pool.type in job.types)
         and (job.spot or not pool.spot)
@@ -36,7 +36,7 @@
 
 
 def shape(job: Job) -> tuple[Any, ...]:
-    """A key that is equal for jobs whose tasks can run on the same machines in the same way."""
+    """Return a key that is equal for jobs whose tasks have the same requirements."""
     return (
         job.cpus,
         job.gpus,
--- a/clayport/scheduling/reserves.py
+++ b/clayport/scheduling/reserves.py
@@ -1,4 +1,4 @@
-"""Machines kept free of smaller tasks for large ones that are owed a fair share."""
+"""Machines that keep room for large tasks whose class or team is owed a fair share."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from clayport.scheduling.requirements import shape
 from clayport.scheduling.scheduling_pass import SchedulingPass
 
-# Of the machines, how many times the share that is still owed to somebody who found no room
-# is kept free of smaller work, in steps of one in so many.
+# The reserved share of the machines is this multiple of the fair share that is still owed,
+# rounded up to steps of 1/RESERVE_STEPS.
 RESERVED_SHARE, RESERVE_STEPS = 1.0, 8
 
 
 class Reserves:
-    """Knows who found no room for its fair share, and what is reserved for it.
+    """Tracks classes and teams that found no room for their fair share, and the reserve for them.
 
-    A task that takes more of a machine than the rest would wait for ever, since each smaller
-    room that comes free is taken as soon as it is there.
+    Without a reserve, a task that needs more of a machine than other tasks would wait forever,
+    because smaller tasks take every smaller amount of room as soon as it becomes free.
 
     Attributes:
-        current: What is reserved, if anything is.
-        unplaced_jobs: For each class or team that found no room, the first such job.
+        current: The present reserve, if there is one.
+        unplaced_jobs: For each class or team that found no room, its first such job.
     """
 
     def __init__(self) -> None:
@@ -31,24 +31,24 @@
         self.unplaced_jobs: dict[AccountKey, Job] = {}
 
     def begin(self) -> None:
-        """Start an epoch: nothing is reserved."""
+        """Start an epoch without a reserve."""
         self.current = None
         self.unplaced_jobs = {}
 
     def note_unplaced(self, job: Job) -> None:
-        """Note that tasks of a job found no room."""
+        """Record that tasks of a job found no room."""
         for account in account_keys(job):
             self.unplaced_jobs.setdefault(account, job)
 
     def note_placed(self, job: Job) -> None:
-        """Note that all tasks of a job that room was looked for have found it."""
+        """Record that the search found room for all tasks of a job that it was made for."""
         for account in account_keys(job):
             self.unplaced_jobs.pop(account, None)
 
     def update(self, scheduling_pass: SchedulingPass) -> None:
-        """Choose the reserve for the next pass: for whoever lacks most of its fair share.
+        """Choose the reserve for the next pass, for the class or team that lacks most of its share.
 
-        What needs GPUs has them kept free by the policy.
+        GPU jobs get no reserve, because the policy keeps room for them.
         """
         self.unplaced_jobs = {
             account: job
@@ -56,17 +56,17 @@
             if account in scheduling_pass.owed and scheduling_pass.owed[account].missing > 0
         }
         reserve: LargeTaskReserve | None = None
-        for account, found in self.unplaced_jobs.items():
+        for account, unplaced_job in self.unplaced_jobs.items():
             owed = scheduling_pass.owed[account]
-            if found.gpus == 0 and owed.total > 0:
+            if unplaced_job.gpus == 0 and owed.total > 0:
                 share = min(1.0, RESERVED_SHARE * owed.missing / owed.total)
                 steps = math.ceil(share * RESERVE_STEPS) / RESERVE_STEPS
                 if reserve is None or steps > reserve.share:
                     reserve = LargeTaskReserve(
-                        found, steps, scheduling_pass.policy.fitting_types(found)
+                        unplaced_job, steps, scheduling_pass.policy.fitting_types(unplaced_job)
                     )
-        # Postponed groups are looked at again when it changes: while it says the same, it stays
-        # the same object.
+        # Postponed groups are tried again when the reserve is another object, so an equal reserve
+        # must stay the same object.
         if (
             reserve is None
             or self.current is None
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -9,41 +9,45 @@
 from clayport.model import RANKS, Job
 from clayport.scheduling.requirements import EPSILON, allows
 
-# The capacity for tasks that ask for nothing.
+# The capacity of a room for tasks that request no resources.
 MAX_TASKS = 10**6
 
-Level = tuple[bool, float]  # whether GPUs are free, minus the CPUs that replicas hold
-Entry = tuple[float, float, str]  # CPUs and GPUs left, tie breaker, machine
+Level = tuple[bool, float]  # whether GPUs are free, minus the CPUs of replicas
+Entry = tuple[float, float, str]  # sum of free CPUs and GPUs, tie breaker, machine
 SortKey = tuple[Level, Entry]
 
 
 class ChangeListener(Protocol):
-    """Whoever has to know of a room's changes before they are made."""
+    """An observer that is notified before a room changes."""
 
-    def touch(self, room: Room) -> None:
-        """Note that the room is about to change."""
+    def note_change(self, room: Room) -> None:
+        """Record that the room is about to change."""
 
 
 class Room:
     """A machine's free resources as the cached state shows them.
 
-    Placements subtract from them at once; the next report of the machine replaces them.
+    A placement subtracts its tasks at once. The machine's next report replaces the room.
 
     Attributes:
         open: Whether the machine takes new tasks.
-        cpus: Free CPUs; `gpus` and `memory_gb` likewise.
-        tasks: How many tasks the machine has.
-        backfill_tasks: How many of them have no objective: they alone leave it idle.
+        cpus: Free CPUs.
+        gpus: Free GPUs.
+        memory_gb: Free memory in GB.
+        tasks: The number of tasks on the machine.
+        backfill_tasks: The number of tasks of the lowest rank without an objective. A machine
+            with only such tasks counts as idle.
         images: The images that the machine has cached.
-        idle_since: When it became idle; infinite while it is not.
-        owner: The controller that decides on the machine.
-        used: What is taken, by the rank as it counts for preemption and whether the tasks
-            use no GPUs: CPUs, GPUs and memory.
-        hold: The job for which preemption has made room here ("": none).
-        index: Who is told of changes.
+        idle_since: The monotonic time at which the machine became idle, in seconds; infinite
+            while the machine is not idle.
+        owner: The controller to which the machine's worker reports.
+        used: The CPUs, GPUs and memory in use, by preemption rank (`Job.standing`) and whether
+            the tasks use no GPUs.
+        hold: The job for which the room is reserved after a preemption ("": none).
+        index: The listener that is notified of changes.
         tie_breaker: A hash, salted by controller, that orders otherwise equal machines.
-        name_hash: A hash of the name, the same at all controllers, below 1.
-        sort_key: The place among the pool's rooms, while that is known.
+        name_hash: A hash of the machine's name in [0, 1), the same at all controllers.
+        sort_key: The cached sort key within the pool; None if it has to be recomputed.
     """
 
     __slots__ = (
@@ -97,10 +101,10 @@
         self.tie_breaker = 0.0
         self.name_hash = 1.0
         self.sort_key: SortKey | None = None
-        self.used = {(rank, plain): [c, g, m] for rank, plain, c, g, m in used}
+        self.used = {(rank, without_gpus): [c, g, m] for rank, without_gpus, c, g, m in used}
 
     def copy(self) -> Room:
-        """Return a copy that no index knows, for trials that charge the rooms they use."""
+        """Return a copy that belongs to no index, so that it can be charged on its own."""
         other = Room.__new__(Room)
         other.machine, other.address, other.type = self.machine, self.address, self.type
         other.zone, other.spot, other.owner = self.zone, self.spot, self.owner
@@ -111,24 +115,24 @@
         return other
 
     def restore(self, other: Room) -> None:
-        """Take over all that changes in a room from a copy of it."""
+        """Restore all mutable resource fields from a copy of the room."""
         self.open, self.cpus, self.gpus = other.open, other.cpus, other.gpus
         self.memory_gb, self.tasks = other.memory_gb, other.tasks
         self.backfill_tasks = other.backfill_tasks
         self.used = {k: list(v) for k, v in other.used.items()}
 
     def close(self) -> None:
-        """Take nothing more until the room is renewed."""
+        """Accept no further tasks until a report replaces the room."""
         if self.index is not None:
-            self.index.touch(self)
+            self.index.note_change(self)
         self.open = False
 
     def allows(self, job: Job) -> bool:
-        """Whether the job's own conditions allow the machine: type, zone and spot or not."""
+        """Return whether the job's requirements for type, zone and spot allow the machine."""
         return allows(job, self)
 
     def fits(self, job: Job) -> bool:
-        """Whether a task of the job fits what is free now."""
+        """Return whether a task of the job fits the free resources."""
         return (
             self.open
             and self.hold in ("", job.id)
@@ -138,24 +142,24 @@
         )
 
     def take(self, job: Job, count: int = 1) -> None:
-        """Subtract `count` tasks of the job (negative: give them back)."""
+        """Subtract the resources of `count` tasks of the job (negative: release them)."""
         if self.index is not None:
-            self.index.touch(self)
+            self.index.note_change(self)
         cpus, gpus, memory_gb = job.cpus * count, job.gpus * count, job.memory_gb * count
         self.cpus -= cpus
         self.gpus -= gpus
         self.memory_gb -= memory_gb
         self.tasks += count
-        standing = job.standing
-        if standing < 0:
+        preemption_rank = job.standing
+        if preemption_rank < 0:
             self.backfill_tasks += count
-        taken = self.used.setdefault((standing, job.gpus == 0), [0.0, 0.0, 0.0])
+        taken = self.used.setdefault((preemption_rank, job.gpus == 0), [0.0, 0.0, 0.0])
         taken[0] += cpus
         taken[1] += gpus
         taken[2] += memory_gb
 
     def fits_both(self, job: Job, other: Job) -> bool:
-        """Whether a task of `job` leaves room for one of `other` as the machine is now."""
+        """Return whether a task of `job` leaves enough free resources for one of `other`."""
         return (
             self.cpus - job.cpus + EPSILON >= other.cpus
             and self.gpus - job.gpus + EPSILON >= other.gpus
@@ -163,10 +167,10 @@
         )
 
     def fits_both_after_preemption(self, job: Job, gpu_job: Job) -> bool:
-        """Whether a task of `job` leaves room for a later one of `gpu_job`.
+        """Return whether a task of `job` leaves room for a later task of `gpu_job`.
 
-        By then other tasks with GPUs have ended, and work of lower rank than `gpu_job` has
-        been preempted.
+        The check assumes that all other tasks with GPUs have ended by then, and that tasks of
+        a lower rank than `gpu_job` have been preempted.
         """
         cpus, memory_gb = self.cpus - job.cpus, self.memory_gb - job.memory_gb
         if job.rank < gpu_job.rank:
@@ -179,25 +183,26 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no task but those without an objective is here."""
+        """Whether the machine has no tasks except `backfill_tasks`."""
         return self.tasks <= self.backfill_tasks
 
     @property
     def backfill_cpus(self) -> float:
-        """The CPUs that work without an objective holds here."""
+        """The CPUs used by tasks of the lowest rank without an objective."""
         return sum(used[0] for (rank, _), used in self.used.items() if rank < 0)
 
     @property
     def replica_cpus(self) -> float:
-        """The CPUs that replicas hold: the machine stays for them anyway."""
+        """The CPUs used by replicas, which keep the machine rented in any case."""
         return self.used.get((RANKS["production"], True), [0.0])[0]
 
     def preemption_cost(self, job: Job) -> tuple[int, float] | None:
-        """What has to be stopped to make room for one task of the job.
+        """Return the cost of preempting enough tasks to make room for one task of the job.
 
         Returns:
-            The highest rank that would have to be stopped, and how much of the task's CPUs
-            and memory isn't free yet; None where stopping work of lower rank isn't enough.
+            The highest preemption rank that would have to be stopped, and the sum of the CPUs
+            and GB of memory that the task lacks now; None if stopping all tasks of lower rank
+            would not be enough.
         """
         limit = job.rank
         lower = [key for key in self.used if key[0] < limit]
@@ -218,7 +223,7 @@
         return None
 
     def capacity_after_preemption(self, job: Job, highest_rank: int) -> int:
-        """How many tasks of the job fit once work of ranks up to `highest_rank` is stopped."""
+        """Return how many tasks of the job fit after ranks up to `highest_rank` are preempted."""
         room = self.copy()
         for (rank, _), (cpus, gpus, memory_gb) in self.used.items():
             if rank <= highest_rank and rank < job.rank:
@@ -229,7 +234,7 @@
 
 
 def capacity(job: Job, room: Room) -> int:
-    """How many tasks of the job fit into the room."""
+    """Return how many tasks of the job fit into the room's free resources."""
     bounds = [MAX_TASKS]
     for have, need in (
         (room.cpus, job.cpus),
--- a/clayport/scheduling/room_finder.py
+++ b/clayport/scheduling/room_finder.py
@@ -1,4 +1,4 @@
-"""Where the tasks of a waiting job find room: what is free, and what preemption will free."""
+"""The search for room for the tasks of a waiting job: free room, and room made by preemption."""
 
 from __future__ import annotations
 
@@ -20,36 +20,38 @@
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
 
-# The standing of work of the lowest rank without an objective (`Job.standing`).
-NO_OBJECTIVE_STANDING = -1
+# The preemption rank (`Job.standing`) of jobs of the lowest rank without an objective.
+LOWEST_BACKFILL_RANK = -1
 
 
 def types_fetched_within(
     types: Mapping[str, MachineType], job: Job, within_s: float
 ) -> frozenset[str] | None:
-    """Return the types whose machines have the job's image in time if they fetch it now.
+    """Return the types whose machines can fetch the job's image within `within_s` seconds.
 
     Args:
         types: All machine types by name.
         job: The job.
-        within_s: The time, in seconds.
+        within_s: The time limit in seconds.
 
     Returns:
-        The names of the types; None: all of them.
+        The names of the types; None if all of them qualify.
     """
-    found = frozenset(name for name, kind in types.items() if _fetch_time_s(job, kind) < within_s)
+    found = frozenset(
+        name for name, machine_type in types.items() if _fetch_time_s(job, machine_type) < within_s
+    )
     return None if len(found) == len(types) else found
 
 
-def _fetch_time_s(job: Job, kind: MachineType) -> float:
-    """How long machines without the job's image take to fetch it; rates differ by a third."""
-    if kind.fetch_gb_per_s <= 0:
+def _fetch_time_s(job: Job, machine_type: MachineType) -> float:
+    """Return the longest time to fetch the job's image; real rates vary by up to a third."""
+    if machine_type.fetch_gb_per_s <= 0:
         return 0.0
-    return job.image_gb / kind.fetch_gb_per_s * 4 / 3
+    return job.image_gb / machine_type.fetch_gb_per_s * 4 / 3
 
 
 class RoomFinder:
-    """Finds room for one job at a time, or has it made."""
+    """Finds free room for one job at a time, or requests preemption for it."""
 
     def __init__(
         self,
@@ -75,23 +77,24 @@
     def find(
         self, managed: ManagedJob, wanted: int, current: SchedulingPass
     ) -> tuple[list[Room], int]:
-        """Choose free rooms for tasks of a job, and have room made for those that find none.
+        """Choose free rooms for tasks of a job, and request preemption for the other tasks.
 
         Args:
             managed: The job.
-            wanted: For how many of its tasks.
-            current: The pass that looks.
+            wanted: The number of tasks to find room for.
+            current: The scheduling pass.
 
         Returns:
-            The rooms, charged, and for how many tasks room was looked for in the end (fewer
-            than wanted, where some is being made).
+            The chosen rooms, which are charged, and the number of tasks for which free room
+            was sought. That number is smaller than `wanted` if preemption is making room for
+            some of the tasks, or if the job is at fault.
         """
-        search = self._search(managed, current)
+        search = self._search_conditions(managed, current)
         job, now, age_s = managed.job, current.now, search.age_s
         limit = self.objectives.wait_limits.get(job.job_class)
         chosen: list[Room] = []
         if managed.at_fault:
-            # No room is made, and no guarantee claimed, for what will hardly use it.
+            # The job is likely to fail again, so neither preempt tasks nor claim a guarantee.
             chosen = search.place(wanted, can_wait=True)
             wanted = len(chosen)
         elif limit is not None and age_s < limit and job.kind != GANG:
@@ -103,7 +106,7 @@
         if len(chosen) < wanted and not search.can_wait and job.kind != GANG:
             chosen += self._find_expensive(search, wanted - len(chosen))
         if len(chosen) < wanted and now >= managed.next_preempt_at:
-            self._make_anywhere(search, wanted - len(chosen))
+            self._preempt_anywhere(search, wanted - len(chosen))
         if (
             len(chosen) < wanted
             and now >= max(managed.next_preempt_at, managed.next_claim_at)
@@ -112,8 +115,8 @@
             self._claim_guarantee(search)
         return chosen, wanted
 
-    def _search(self, managed: ManagedJob, current: SchedulingPass) -> RoomSearch:
-        """What room for the job is looked for by in this pass."""
+    def _search_conditions(self, managed: ManagedJob, current: SchedulingPass) -> RoomSearch:
+        """Return the conditions of the search for room for the job in this pass."""
         job = managed.job
         without: Collection[str] = (
             {*managed.avoided(), *managed.lost_machines}
@@ -127,21 +130,21 @@
             current=current,
             age_s=age_s,
             without=without,
-            # Not on ordinary machines that it alone would keep rented.
+            # The job must not keep an on-demand machine rented for itself alone.
             avoid_idle_on_demand=job.backfill
             and age_s < self.backfill.long_wait_s
             and self.backfill.hinders_objectives(job),
             can_wait=can_wait,
             avoid_spot=self.objectives.avoid_spot(job, age_s),
             spread=self._spread(managed),
-            max_rank=self.room_maker.spare_owed(
+            max_rank=self.room_maker.spare_fair_shares(
                 job, self.room_maker.max_preempted_rank(job, age_s, can_wait), current
             ),
             reserve=None if job.kind == SERVICE or current.is_owed(job) else current.reserve,
         )
 
     def _spread(self, managed: ManagedJob) -> Spread:
-        """The zones of the job's assigned tasks, where its own must keep to or off them."""
+        """Return the zones of the job's assigned tasks, if the job restricts its zones."""
         zones = []
         if managed.job.one_zone or managed.job.spread:
             for _, _, machine in managed.assignments():
@@ -151,10 +154,11 @@
     def _find_in_time(
         self, search: RoomSearch, wanted: int, left_s: float
     ) -> tuple[list[Room], int]:
-        """Room for a job that is to start within `left_s` seconds.
+        """Find room for a job that has to start within `left_s` seconds.
 
-        It starts in time only where the image is, or comes soon enough: rather than fetch it
-        elsewhere, work of lower rank is preempted there.
+        The job starts in time only on machines that have the image cached or can fetch it
+        within that time. Tasks of the lowest rank are preempted on these machines in preference
+        to starting elsewhere.
         """
         managed = search.managed
         uncached = types_fetched_within(self.machines.types, managed.job, left_s)
@@ -162,7 +166,7 @@
         if len(chosen) < wanted and search.max_rank >= 0:
             if search.current.now < managed.next_preempt_at:
                 wanted = len(chosen)
-            elif not managed.preempted and self.room_maker.make(
+            elif not managed.preempted and self.room_maker.make_room(
                 search,
                 wanted - len(chosen),
                 grace_s=0.0,
@@ -174,37 +178,40 @@
         return chosen, wanted
 
     def _find_expensive(self, search: RoomSearch, wanted: int) -> list[Room]:
-        """Room on expensive machines too, for a job that can't wait.
+        """Find room on all machines, including expensive ones, for a job that cannot wait.
 
-        Only for what work of lower rank on others can't make way for: they would be kept
-        rented for what could run cheaply.
+        Tasks of lower rank are preempted on inexpensive machines first. Expensive machines are
+        used only for the remaining tasks, because each task there keeps an expensive machine
+        rented.
         """
         managed, now = search.managed, search.current.now
         if search.max_rank >= 0 and now >= managed.next_preempt_at:
-            self.room_maker.make(
+            self.room_maker.make_room(
                 search,
                 wanted,
                 grace_s=self.room_maker.grace_s(managed.job, search.age_s),
                 max_rank=search.max_rank,
                 can_wait=True,
             )
-        coming = sum(count for count, until in managed.preempted_room.values() if now < until)
-        return search.place(max(0, wanted - coming))
+        expected = sum(count for count, until in managed.preempted_room.values() if now < until)
+        return search.place(max(0, wanted - expected))
 
-    def _make_anywhere(self, search: RoomSearch, wanted: int) -> None:
-        """Have work of lower rank preempted on any machine.
+    def _preempt_anywhere(self, search: RoomSearch, wanted: int) -> None:
+        """Request preemption of tasks of lower rank on any machine.
 
-        Backfill preempts only backfill of a lower rank.
+        A backfill job preempts only backfill of the lowest rank.
         """
         job = search.managed.job
         if not job.backfill and search.max_rank >= 0:
             grace_s = self.room_maker.grace_s(job, search.age_s)
-            self.room_maker.make(search, wanted, grace_s=grace_s, max_rank=search.max_rank)
+            self.room_maker.make_room(search, wanted, grace_s=grace_s, max_rank=search.max_rank)
         elif job.backfill and job.standing >= 0:
-            self.room_maker.make(search, wanted, grace_s=math.inf, max_rank=NO_OBJECTIVE_STANDING)
+            self.room_maker.make_room(
+                search, wanted, grace_s=math.inf, max_rank=LOWEST_BACKFILL_RANK
+            )
 
     def _claim_guarantee(self, search: RoomSearch) -> None:
-        """Claim the guarantee of the job's team from those who have borrowed."""
+        """Claim the guarantee of the job's team from teams that exceed their guarantees."""
         managed, current = search.managed, search.current
         job = managed.job
         fitting_types = current.policy.fitting_types(job)
@@ -219,7 +226,7 @@
             ],
             search.spread,
         )
-        # A look at all machines: not with each pass.
+        # The search iterates over all machines, so it does not run in every pass.
         managed.next_claim_at = current.now + self.membership.lease_ttl_s / 6
         if machines:
             managed.next_preempt_at = current.now + self.membership.lease_ttl_s
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -1,4 +1,4 @@
-"""Room made for a job by preempting tasks of lower rank."""
+"""Requests for preemption of tasks of lower rank to make room for a job."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from clayport.transport.peers import Peer, PeerError
 
 
-def _forget_shown(managed: ManagedJob, now: float) -> None:
-    """Forget room that was made for a job and shows in the tables by now."""
+def _drop_expired(managed: ManagedJob, now: float) -> None:
+    """Drop entries of preempted room that the tables of free room show by now."""
     managed.preempted_room = {
         machine: (count, until)
         for machine, (count, until) in managed.preempted_room.items()
@@ -33,7 +33,7 @@
 
 
 class RoomMaker:
-    """Decides which tasks may be preempted for a job, and asks their machines' owners."""
+    """Decides which ranks may be preempted for a job, and sends requests to machines' owners."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.routines = routines
         self.settings = settings
 
-    def make(
+    def make_room(
         self,
         search: RoomSearch,
         wanted: int,
@@ -67,26 +67,28 @@
         can_wait: bool = False,
         uncached: frozenset[str] | None = None,
     ) -> bool:
-        """Have work of lower rank preempted for tasks of the job, if that helps.
+        """Request preemption of tasks of lower rank if that makes room for tasks of the job.
 
-        Room that is being made already, and doesn't show yet, is not made again elsewhere.
+        Room from earlier preemptions that the tables do not show yet counts against `wanted`,
+        so that it is not made a second time elsewhere.
 
         Args:
-            search: The search that found too little.
-            wanted: For how many tasks.
-            grace_s: How long the preempted tasks may take to save, in seconds.
+            search: The search that found too little room.
+            wanted: The number of tasks to make room for.
+            grace_s: The time that preempted tasks may take to save, in seconds.
             max_rank: The highest rank that may be preempted.
-            can_wait: Whether to keep off expensive machines.
-            uncached: The types whose machines will do without the image; None: all.
+            can_wait: Whether to skip expensive machines.
+            uncached: The machine types on which a task may start although the image has to be
+                fetched first; None: all types.
 
         Returns:
             Whether room is being made.
         """
         managed, current, without = search.managed, search.current, search.without
         job, now = managed.job, current.now
-        _forget_shown(managed, now)
-        coming = sum(count for count, _ in managed.preempted_room.values())
-        wanted = min(wanted - coming, 1 if job.kind == GANG else wanted)
+        _drop_expired(managed, now)
+        expected = sum(count for count, _ in managed.preempted_room.values())
+        wanted = min(wanted - expected, 1 if job.kind == GANG else wanted)
         if wanted <= 0:
             return True
         found = preempt(
@@ -107,32 +109,40 @@
             + (0.0 if grace_s <= 0 else min(grace_s, self.settings.cluster.workers.gang_peer_s))
         )
         if found:
-            # Only then: where no lower rank can be stopped, a higher one, or what other
-            # teams borrow, is to be asked for in the same pass.
+            # The pause starts only if tasks were found. Otherwise the same pass may still try
+            # a higher rank, or claim what other teams use beyond their guarantees.
             managed.next_preempt_at = now + self.membership.lease_ttl_s / 6
         for room, count in found:
             managed.preempted_room[room.machine] = (count, shown_at)
             self.routines.spawn(self.request(room.machine, job, grace_s, (), count))
-        return bool(found) or coming > 0
+        return bool(found) or expected > 0
 
     async def request(
-        self, machine: str, job: Job, grace_s: float, over: Iterable[str] = (), count: int = 1
+        self,
+        machine: str,
+        job: Job,
+        grace_s: float,
+        borrowing_teams: Iterable[str] = (),
+        count: int = 1,
     ) -> bool:
-        """Ask a machine's owner to make room for tasks of the job.
+        """Ask a machine's owner to preempt tasks for the job.
 
         Args:
             machine: The machine.
             job: The job.
-            grace_s: How long the preempted tasks may take to save, in seconds.
-            over: Teams that have borrowed and whose work of any rank may be preempted.
-            count: For how many tasks of the job.
+            grace_s: The time that preempted tasks may take to save, in seconds.
+            borrowing_teams: Teams that exceed their guarantees. Their tasks of any rank may be
+                preempted.
+            count: The number of tasks of the job to make room for.
 
         Returns:
             Whether the owner makes room.
         """
         owner = self.membership.epoch.member_for(machine)
         if owner == self.membership.label:
-            done = self.machines.preempt(job, machine, grace_s, time.monotonic(), over, count)
+            done = self.machines.preempt(
+                job, machine, grace_s, time.monotonic(), borrowing_teams, count
+            )
             self.fleet.poke(machine)
             return done
         try:
@@ -146,7 +156,7 @@
                             job.id,
                             count,
                             grace_s,
-                            [(team,) for team in over],
+                            [(team,) for team in borrowing_teams],
                         ),
                     )
                 )[0]
@@ -154,16 +164,17 @@
         except (PeerError, KeyError):
             return False
         if done and grace_s <= 0:
-            self.routines.spawn(self.cached_state.pull_soon(owner))
+            self.routines.spawn(self.cached_state.pull_after_preemption(owner))
         return done
 
     def max_preempted_rank(self, job: Job, age_s: float, can_wait: bool) -> int:
         """Return the highest rank that may be preempted for the job; -1: none.
 
-        A job that has its rank from one that depends on it preempts what its own rank would,
-        and the lowest rank, until it has no time left for room to become free: of the tasks
-        on a saturated fleet a tenth were stopped for pipelines that had a minute to spare.
-        (Not even the lowest was tried: they then took all free room, and made other work late.)
+        A job that inherits its rank from a job that depends on it preempts only what its own
+        rank allows, or the lowest rank, as long as it can wait. If it used the inherited rank,
+        a tenth of the tasks on a saturated fleet were stopped for pipelines that had a minute
+        to spare. If it did not preempt even the lowest rank, these pipelines took all free
+        room and made other jobs late.
         """
         own = self.jobs.dependencies.own_rank(job)
         limit = self.objectives.wait_limits.get(job.job_class)
@@ -171,10 +182,10 @@
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
 
-    def spare_owed(self, job: Job, max_rank: int, current: SchedulingPass) -> int:
-        """Return `max_rank`, lowered to spare those who hold no more than their fair share.
+    def spare_fair_shares(self, job: Job, max_rank: int, current: SchedulingPass) -> int:
+        """Return `max_rank`, lowered to protect other classes that are owed a fair share.
 
-        What they have been given isn't taken away again, except for replicas.
+        Room granted for a fair share is not taken away again, except for replicas.
         """
         if job.kind == SERVICE or not current.owed:
             return max_rank
@@ -184,10 +195,11 @@
         return max_rank
 
     def grace_s(self, job: Job, age_s: float) -> float:
-        """Return how long preempted tasks may take to save, in seconds.
+        """Return the time that preempted tasks may take to save, in seconds.
 
-        As long as they need, but not while it may make a start late that is to be soon (six
-        seconds of saving and a fetch did). A replica that is down is missed every second.
+        Replicas, and jobs that can still start within their class's limit, grant no time.
+        Users miss a replica in every second in which it is down, and six seconds of saving
+        plus an image fetch have made such a start late. For other jobs the time is unlimited.
         """
         limit = self.objectives.wait_limits.get(job.job_class)
         return 0.0 if job.kind == SERVICE or (limit is not None and age_s < limit) else math.inf
--- a/clayport/scheduling/room_search.py
+++ b/clayport/scheduling/room_search.py
@@ -1,4 +1,4 @@
-"""The search for room for the tasks of one job, within one pass of the placer."""
+"""The conditions of a search for room for one job in one pass of the placer."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 @dataclass(slots=True)
 class RoomSearch:
-    """What room for one job is looked for by.
+    """The conditions of a search for room for one job.
 
     Attributes:
         managed: The job.
-        current: The pass that looks.
-        age_s: For how long the job has waited, in seconds.
-        without: Machines that aren't considered.
-        avoid_idle_on_demand: Whether to keep off idle on-demand machines.
-        can_wait: Whether the job can wait for a machine that isn't expensive.
-        avoid_spot: Whether the job would be late if its machine were taken back.
+        current: The scheduling pass.
+        age_s: How long the job has waited, in seconds.
+        without: Machines that are not considered.
+        avoid_idle_on_demand: Whether to skip idle on-demand machines.
+        can_wait: Whether the job can wait for a machine that is not expensive.
+        avoid_spot: Whether to prefer other machines to spot machines, because the job would be
+            late if the cloud took its machine back.
         spread: The zones of the job's other tasks.
-        max_rank: The highest rank that may be preempted for it; -1: none.
-        reserve: The machines on which room for a larger task is left.
+        max_rank: The highest rank that may be preempted for the job; -1: none.
+        reserve: The machines that have to keep room for a larger task.
     """
 
     managed: ManagedJob
@@ -47,9 +48,10 @@
         """Choose and charge free rooms.
 
         Args:
-            wanted: For how many tasks.
-            can_wait: Whether to keep off expensive machines.
-            uncached: The types whose machines will do without the image; None: all.
+            wanted: The number of tasks to place.
+            can_wait: Whether to skip expensive machines.
+            uncached: The machine types on which a task may start although the image has to be
+                fetched first; None: all types.
         """
         return place(
             self.managed.job,
--- a/clayport/scheduling/scheduling_pass.py
+++ b/clayport/scheduling/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""What one pass of the placer goes by, and what it has found out so far."""
+"""The inputs and intermediate results of one pass of the placer."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from clayport.scheduling.policy import LargeTaskReserve, Policy
 from clayport.scheduling.queueing.shares import AccountKey, FairShare, account_keys
 
-# How often fair shares are looked up in the time between two heartbeats of a worker.
+# The number of fair share lookups between two heartbeats of a worker.
 SHARE_UPDATES_PER_REPORT = 10
 
 
 @dataclass(slots=True)
 class SchedulingPass:
-    """What one pass over the waiting jobs goes by, and what it has found out so far.
+    """The inputs and intermediate results of one pass over the waiting jobs.
 
     Attributes:
         now: The monotonic time of the pass, in seconds.
-        index: The free rooms.
-        policy: What keeps tasks off machines.
+        index: The index of the rooms.
+        policy: The placement policy.
         owed: The fair share of each class or team that is owed one.
-        reserve: The machines kept free of smaller work, if any are.
-        granted_cpus: The CPUs that tasks were placed on for each class or team since `owed`
-            was looked up.
-        backfill_cpus_left: By rank, the CPUs that work without an objective may still take
-            beside work that cannot preempt it; looked up once such work waits.
+        reserve: The machines that have to keep room for a larger task, if any.
+        granted_cpus: For each class or team, the CPUs of the tasks placed since `owed` was
+            looked up.
+        backfill_cpus_left: By rank, the CPUs that jobs without an objective may still take
+            beside jobs that cannot preempt them; looked up when the pass reaches such a job.
         unsatisfied: Groups that found less room than they want, with the index's revision at
             that time.
-        starved: Whether work other than backfill is left without room.
-        work: Jobs looked at and tasks placed.
+        starved: Whether jobs other than backfill are left without room.
+        work: The number of jobs considered and tasks placed.
     """
 
     now: float
@@ -46,7 +46,7 @@
     work: int = 0
 
     def missing_cpus(self, accounts: Iterable[AccountKey]) -> float:
-        """Return the CPUs that the accounts still lack of their fair shares, at most."""
+        """Return the most CPUs that one of the accounts still lacks of its fair share."""
         return max(
             (
                 owed.missing - self.granted_cpus.get(account, 0.0)
@@ -57,5 +57,5 @@
         )
 
     def is_owed(self, job: Job) -> bool:
-        """Whether the job's class or team lacks some of its fair share."""
+        """Return whether the job's class or team lacks some of its fair share."""
         return job.kind != SERVICE and self.missing_cpus(account_keys(job)) > 0
--- a/clayport/scheduling/spread.py
+++ b/clayport/scheduling/spread.py
@@ -1,4 +1,4 @@
-"""The zones of a job's tasks, and which ones its affinity or anti-affinity still allows."""
+"""The zones of a job's tasks, and the zones that its affinity or anti-affinity still allows."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Spread:
-    """The zones in which a job's tasks are, and which it may still use.
+    """The zones of a job's tasks, and the constraint on further zones.
 
-    Tasks whose zone isn't known (their machine has not been seen since a
-    restart) count against every zone, since they may be in any.
+    The zone of a task is unknown if its machine has not reported since a restart. Such a task
+    counts against every zone, because it may be in any of them.
 
     Attributes:
-        unknown: How many tasks are in a zone that isn't known.
-        counts: How many tasks are in each zone.
+        unknown: The number of tasks whose zone is unknown.
+        counts: The number of tasks in each zone.
     """
 
     def __init__(self, job: Job, zones: Iterable[str | None]) -> None:
@@ -26,20 +26,20 @@
             self.add(zone)
 
     def copy(self) -> Spread:
-        """Return a copy that can be changed on its own."""
+        """Return an independent copy."""
         other = Spread(self.job, ())
         other.unknown, other.counts = self.unknown, dict(self.counts)
         return other
 
     def add(self, zone: str | None, count: int = 1) -> None:
-        """Count so many more tasks in the zone (None: it isn't known)."""
+        """Count `count` more tasks in the zone (None: unknown)."""
         if zone is None:
             self.unknown += count
         else:
             self.counts[zone] = self.counts.get(zone, 0) + count
 
     def allows(self, zone: str) -> bool:
-        """Whether one more task may be put into the zone."""
+        """Return whether one more task may be placed in the zone."""
         if self.job.one_zone and (self.unknown or any(z != zone for z in self.counts)):
             return False
         if self.job.spread:
--- a/clayport/scheduling/view.py
+++ b/clayport/scheduling/view.py
@@ -1,4 +1,4 @@
-"""The machines and their free room as this controller has last seen them."""
+"""The machines and their free room as this controller last read them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 class ClusterView:
-    """Free room of all machines, indexed.
+    """The free room of all machines, indexed for placement.
 
     Attributes:
-        index: The rooms by what decides where a task fits.
-        rooms: The rooms by machine; the index changes them.
-        zones: The zone of each machine ever seen and not yet returned; it never changes.
+        index: The index of the rooms.
+        rooms: The rooms by machine; only the index changes this mapping.
+        zones: The zone of each known machine that is not returned yet. A machine's zone never
+            changes.
     """
 
     def __init__(self, label: str) -> None:
