--- a/tests/scheduling/test_index.py
+++ b/tests/scheduling/test_index.py
@@ -1,4 +1,4 @@
-"""The index against the plain search, through changes, trials and machines that go."""
+"""Tests of the index against a linear search, with changes, trials and removed machines."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from tests.world import TYPES, ZONES
 from tests.world import job as wire_job
 
-KINDS = msgspec.convert(TYPES, list[MachineType])
-BY_NAME = {k.name: k for k in KINDS}
+MACHINE_TYPES = msgspec.convert(TYPES, list[MachineType])
+TYPES_BY_NAME = {t.name: t for t in MACHINE_TYPES}
 
 
-def make(number: int, **fields: Any) -> Job:
+def make_job(number: int, **fields: Any) -> Job:
     return msgspec.convert(wire_job(number, **fields), Job)
 
 
 JOBS = [
-    make(n, **fields)
+    make_job(n, **fields)
     for n, fields in enumerate(
         [
             {},
@@ -65,32 +65,32 @@
 
 
 class Fleet:
-    """The same rooms twice: in an index, and in a list."""
+    """Holds the same rooms twice: in an index, and in a dict for the linear search."""
 
     def __init__(self, seed: int, machines: int) -> None:
         self.rng = random.Random(seed)
         self.index = Index("c1")
         self.rooms: dict[str, Room] = {}
         for number in range(machines):
-            self.show(number)
+            self.report(number)
 
-    def show(self, number: int) -> None:
-        """What a report says of a machine, with whatever it has on it by now."""
+    def report(self, number: int) -> None:
+        """Apply a report of a machine with a random state and random tasks."""
         rng = self.rng
         name = f"i-{number:04d}"
         known = self.rooms.get(name)
-        kind = BY_NAME[known.type] if known else rng.choice(KINDS)
+        machine_type = TYPES_BY_NAME[known.type] if known else rng.choice(MACHINE_TYPES)
         zone, spot = (known.zone, known.spot) if known else (rng.choice(ZONES), rng.random() < 0.4)
         room = Room(
             name,
             "",
-            kind.name,
+            machine_type.name,
             zone,
             spot,
             rng.random() < 0.9,
-            kind.cpus,
-            kind.gpus,
-            kind.memory_gb,
+            machine_type.cpus,
+            machine_type.gpus,
+            machine_type.memory_gb,
             0,
             rng.sample(["web", "img-1", "other"], rng.randrange(3)),
             math.inf,
@@ -104,12 +104,12 @@
         self.rooms[name] = room
         self.index.add(room.copy())
 
-    def drop(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         self.rooms.pop(f"i-{number:04d}", None)
         self.index.remove(f"i-{number:04d}")
 
-    def same(self) -> None:
-        """Both hold the same, and the totals are what a sum over the rooms gives."""
+    def check_equal(self) -> None:
+        """Check that both hold the same rooms, and that the totals equal sums over the rooms."""
         state = {n: (r.open, r.cpus, r.gpus, r.memory_gb, r.tasks) for n, r in self.rooms.items()}
         assert state == {
             n: (r.open, r.cpus, r.gpus, r.memory_gb, r.tasks) for n, r in self.index.rooms.items()
@@ -145,26 +145,26 @@
         max_size=40,
     ),
 )
-def test_the_index_answers_as_the_plain_search(
+def test_index_agrees_with_linear_search(
     seed: int, machines: int, steps: list[tuple[str, int, int, int, bool, bool]]
 ) -> None:
     fleet = Fleet(seed, machines)
-    policies = [Policy(JOBS, KINDS), Policy((), KINDS)]
-    for what, number, which, wanted, can_wait, avoid_spot in steps:
-        job, rooms, policy = JOBS[which], list(fleet.rooms.values()), policies[0]
+    policies = [Policy(JOBS, MACHINE_TYPES), Policy((), MACHINE_TYPES)]
+    for action, number, job_index, wanted, can_wait, avoid_spot in steps:
+        job, rooms, policy = JOBS[job_index], list(fleet.rooms.values()), policies[0]
         zones = [fleet.rng.choice([*ZONES, None]) for _ in range(fleet.rng.randrange(3))]
-        if what == "show":
-            fleet.show(number)
-        elif what == "drop":
-            fleet.drop(number)
-        elif what == "policy":
+        if action == "show":
+            fleet.report(number)
+        elif action == "drop":
+            fleet.remove(number)
+        elif action == "policy":
             policies.reverse()
-        elif what == "close":
+        elif action == "close":
             room = fleet.index.rooms.get(f"i-{number:04d}")
             if room is not None:
                 room.close()
                 fleet.rooms[room.machine].open = False
-        elif what == "preempt":
+        elif action == "preempt":
             expected = plain.preempt(
                 job, wanted, rooms, Spread(job, zones), policy, wanted % 4, avoid_spot
             )
@@ -172,8 +172,8 @@
                 job, wanted, fleet.index, Spread(job, zones), policy, wanted % 4, avoid_spot
             )
             assert [(r.machine, n) for r, n in found] == [(r.machine, n) for r, n in expected]
-        elif what == "trial":
-            # What is tried leaves nothing behind, machines taken out or put in included.
+        elif action == "trial":
+            # A trial leaves no changes behind, also if it removes and adds machines.
             extra = Room("i-new", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
             with fleet.index.trial([f"i-{number:04d}"], [extra]):
                 place(job, wanted, fleet.index, Spread(job, ()), policy, can_wait, avoid_spot)
@@ -185,24 +185,29 @@
                 job, wanted, fleet.index, Spread(job, zones), policy, can_wait, avoid_spot
             )
             assert [r.machine for r in chosen] == [r.machine for r in expected]
-        fleet.same()
+        fleet.check_equal()
 
 
-def test_what_is_gone_is_forgotten() -> None:
-    """Cloud machines come and go by the thousand; a change that fell into the tidying up was
-    once missed, and machines that were gone were offered for preemption."""
+def test_removed_machines_are_dropped_from_the_changes() -> None:
+    """Removed machines are dropped from a pool's changes, and are not offered for preemption.
+
+    Thousands of cloud machines are added and removed over time. A view that is brought up to
+    date between the record of a change and the change itself misses the change, and offers
+    removed machines for preemption.
+    """
     index, low, high = Index(), JOBS[1], JOBS[10]
     for number in range(20 * MAX_REMOVED_MACHINES):
         room = Room(f"i-{number}", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
         room.take(low, 4)
         index.add(room)
-        if number % 9 == 8:  # several at once: there are fewer to remember with each
-            for gone in range(number - 8, number - 2):
-                index.remove(f"i-{gone}")
-            for old in range(number - 11, number - 8):
-                index.remove(f"i-{old}")
+        if number % 9 == 8:  # each removal in a row lowers the limit of recorded changes
+            for removed in range(number - 8, number - 2):
+                index.remove(f"i-{removed}")
+            for earlier in range(number - 11, number - 8):
+                index.remove(f"i-{earlier}")
         found = {
-            r.machine for r, _ in preempt(high, 99, index, Spread(high, ()), Policy([], KINDS))
+            r.machine
+            for r, _ in preempt(high, 99, index, Spread(high, ()), Policy([], MACHINE_TYPES))
         }
         assert found == set(index.rooms)
     (pool,) = index.pools.values()
@@ -211,8 +216,8 @@
     )
 
 
-def test_nowhere_is_known_until_something_changes() -> None:
-    """A question without an answer costs what has changed, not the fleet."""
+def test_search_without_result_is_repeated_only_for_changed_rooms() -> None:
+    """Repeating a search that found no room costs as much as has changed, not the whole fleet."""
     index, job = Index(), JOBS[0]
     full = [
         Room(f"m{n}", "", "plain", "north", False, True, 1, 0, 64, 0, (), 0.0, "c0")
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -1,4 +1,4 @@
-"""Placing from the snapshot, the rooms kept, and what is rented."""
+"""Tests of placement, preemption, and the plan of machines to rent."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 from tests.world import TYPES
 from tests.world import job as wire_job
 
-KINDS = msgspec.convert(TYPES, list[MachineType])
-PLAIN, ACCEL = KINDS
+MACHINE_TYPES = msgspec.convert(TYPES, list[MachineType])
+PLAIN, ACCEL = MACHINE_TYPES
 
 
-def make(number: int = 1, **fields: Any) -> Job:
+def make_job(number: int = 1, **fields: Any) -> Job:
     return msgspec.convert(wire_job(number, **fields), Job)
 
 
@@ -60,55 +60,57 @@
     "fields, where, placed",
     [
         ({}, {}, 3),
-        ({"pieces": 9}, {}, 4),  # 8 CPUs hold four of two
+        ({"pieces": 9}, {}, 4),  # 8 CPUs hold four tasks of 2 CPUs each
         ({"flavors": ["accel"]}, {}, 0),
         ({"site": "south"}, {}, 0),
         ({"loaners": False}, {"spot": True}, 0),
-        ({"ram_gb": 30.0}, {}, 2),  # memory is short first
+        ({"ram_gb": 30.0}, {}, 2),  # memory is the limit
         ({"cards": 1.0}, {}, 0),
         ({}, {"open": False}, 0),
-        ({}, {"hold": "j-000002"}, 0),  # kept for another job
+        ({}, {"hold": "j-000002"}, 0),  # reserved for another job
         ({}, {"hold": "j-000001"}, 3),
-        ({"pieces": 9, "shape": "ensemble"}, {}, 0),  # whole or not at all
+        ({"pieces": 9, "shape": "ensemble"}, {}, 0),  # a gang is placed whole or not at all
         ({"pieces": 4, "shape": "ensemble"}, {}, 4),
     ],
 )
 def test_place(fields: dict[str, Any], where: dict[str, Any], placed: int) -> None:
-    job = make(**fields)
-    there = room(**where)
-    before = (there.cpus, there.gpus, there.memory_gb)
-    assert len(place(job, job.tasks, Index("", [there]), Spread(job, ()))) == placed
-    assert there.cpus == before[0] - placed * job.cpus  # subtracted at once, and only then
+    job = make_job(**fields)
+    machine_room = room(**where)
+    before = (machine_room.cpus, machine_room.gpus, machine_room.memory_gb)
+    assert len(place(job, job.tasks, Index("", [machine_room]), Spread(job, ()))) == placed
+    assert machine_room.cpus == before[0] - placed * job.cpus  # subtracted for placed tasks only
 
 
 @pytest.mark.parametrize(
     "fields, others, zones",
     [
         ({"together": True}, ["south"], ["south"]),
-        ({"together": True}, [None], []),  # may be anywhere: wait
+        ({"together": True}, [None], []),  # the unknown zone may be any zone
         ({"together": True}, [], ["north", "south"]),
         ({"scatter": True, "pieces": 1}, [], ["north", "south"]),
         ({"scatter": True, "pieces": 4}, ["north", "north"], ["south"]),
         ({"scatter": True, "pieces": 5}, ["north", "north"], ["north", "south"]),
-        ({"scatter": True, "pieces": 2}, [None], []),  # counts against every zone
+        ({"scatter": True, "pieces": 2}, [None], []),  # an unknown zone counts against every zone
     ],
 )
-def test_zones(fields: dict[str, Any], others: list[str | None], zones: list[str]) -> None:
-    spread = Spread(make(**fields), others)
+def test_spread_allows_zones(
+    fields: dict[str, Any], others: list[str | None], zones: list[str]
+) -> None:
+    spread = Spread(make_job(**fields), others)
     assert [z for z in ("north", "south") if spread.allows(z)] == zones
 
 
-def test_image_first_then_fullest() -> None:
-    job = make(pieces=1)
+def test_cached_image_is_preferred_then_the_fullest_machine() -> None:
+    job = make_job(pieces=1)
     cached = room("m1", images=("img-1",))
     full = room("m2", cpus=2.0)
     assert place(job, 1, Index("", [full, cached]), Spread(job, ()))[0] is cached
-    job = make(bundle="other", pieces=1)
+    job = make_job(bundle="other", pieces=1)
     assert place(job, 1, Index("", [cached, full]), Spread(job, ()))[0] is full
 
 
-def test_controllers_with_equal_snapshots_do_not_herd() -> None:
-    job = make(pieces=1)
+def test_controllers_with_equal_state_choose_different_machines() -> None:
+    job = make_job(pieces=1)
     first = {
         place(job, 1, Index(salt, [room(f"m{i}") for i in range(8)]), Spread(job, ()))[0].machine
         for salt in ("c0", "c1", "c2", "c3", "c4")
@@ -116,20 +118,21 @@
     assert len(first) > 1
 
 
-def test_work_without_gpus_leaves_room_for_who_needs_them() -> None:
-    gpu_job = make(2, cards=2.0, vcpus=14.0, loaners=False)
-    policy = Policy([gpu_job], KINDS)
-    normal, low = make(pieces=8), make(3, pieces=8, rank="best_effort")
+def test_jobs_without_gpus_leave_room_for_gpu_jobs() -> None:
+    gpu_job = make_job(2, cards=2.0, vcpus=14.0, loaners=False)
+    policy = Policy([gpu_job], MACHINE_TYPES)
+    normal, low = make_job(pieces=8), make_job(3, pieces=8, rank="best_effort")
     assert len(place(normal, 8, Index("", [room(kind=ACCEL)]), Spread(normal, ()), policy)) == 1
-    # Lower ranks may fill it, since they make way; spot machines the guest can't use.
+    # Lower ranks may fill the machine, because the GPU job preempts them. The GPU job cannot use
+    # a spot machine, so no room is left for it there.
     assert len(place(low, 8, Index("", [room(kind=ACCEL)]), Spread(low, ()), policy)) == 8
     spot = Index("", [room(kind=ACCEL, spot=True)])
     assert len(place(normal, 8, spot, Spread(normal, ()), policy)) == 8
 
 
-def test_patient_work_keeps_off_dear_machines() -> None:
-    job = make()
-    policy = Policy([], KINDS)
+def test_jobs_that_can_wait_avoid_expensive_machines() -> None:
+    job = make_job()
+    policy = Policy([], MACHINE_TYPES)
     assert (
         place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy, can_wait=True) == []
     )
@@ -137,34 +140,36 @@
 
 
 @pytest.mark.parametrize("images, machine", [((), "s1"), (("img-1",), "n1")])
-def test_a_gang_of_one_leaves_pairs_of_machines_together(
+def test_gang_prefers_cached_image_then_zone_with_least_room(
     images: tuple[str, ...], machine: str
 ) -> None:
     rooms = [room("n1", images=images), room("n2"), room("s1", zone="south")]
-    job = make(pieces=1, shape="ensemble", together=True, vcpus=8.0)
+    job = make_job(pieces=1, shape="ensemble", together=True, vcpus=8.0)
     assert [r.machine for r in place(job, 1, Index("", rooms), Spread(job, ()))] == [machine]
-    job = make(pieces=2, shape="ensemble", together=True, vcpus=8.0)
+    job = make_job(pieces=2, shape="ensemble", together=True, vcpus=8.0)
     rooms = [room("n1"), room("n2"), room("s1", zone="south", images=("img-1",))]
     assert {r.zone for r in place(job, 2, Index("", rooms), Spread(job, ()))} == {"north"}
 
 
 @pytest.mark.parametrize("avoid_spot, first", [(False, "cheap"), (True, "plain")])
-def test_what_would_be_late_if_lost_keeps_off_spot_machines(avoid_spot: bool, first: str) -> None:
-    job = make(pieces=5)
+def test_avoid_spot_prefers_on_demand_machines(avoid_spot: bool, first: str) -> None:
+    job = make_job(pieces=5)
     rooms = [room("cheap", spot=True, images=("img-1",)), room("plain")]
     chosen = [
         r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, avoid_spot)
     ]
-    assert len(chosen) == 5 and chosen[0] == first  # preferred, not required
+    assert len(chosen) == 5 and chosen[0] == first  # a preference, not a requirement
     rooms = [room("cheap", spot=True), room("plain")]
     for each in rooms:
-        each.take(make(2, rank="best_effort"), 4)
-    found = preempt(job, 1, Index("", rooms), Spread(job, ()), Policy([], KINDS), None, avoid_spot)
+        each.take(make_job(2, rank="best_effort"), 4)
+    found = preempt(
+        job, 1, Index("", rooms), Spread(job, ()), Policy([], MACHINE_TYPES), None, avoid_spot
+    )
     assert [r.machine for r, _ in found] == [first]
 
 
 @pytest.mark.parametrize(
-    "rank, victim, stopped",
+    "rank, victim, preempted",
     [
         ("production", "normal", True),
         ("high", "normal", True),
@@ -174,38 +179,38 @@
         ("high", "production", False),
     ],
 )
-def test_only_lower_ranks_are_preempted(rank: str, victim: str, stopped: bool) -> None:
+def test_only_lower_ranks_are_preempted(rank: str, victim: str, preempted: bool) -> None:
     full = room()
-    full.take(make(2, rank=victim), 4)
-    job = make(rank=rank)
-    found = preempt(job, 1, Index("", [full]), Spread(job, ()), Policy([], KINDS))
-    assert found == ([(full, 1)] if stopped else [])
+    full.take(make_job(2, rank=victim), 4)
+    job = make_job(rank=rank)
+    found = preempt(job, 1, Index("", [full]), Spread(job, ()), Policy([], MACHINE_TYPES))
+    assert found == ([(full, 1)] if preempted else [])
 
 
-def test_room_for_a_large_array_is_made_on_several_machines_at_once() -> None:
+def test_preemption_for_a_large_array_uses_several_machines() -> None:
     rooms = [room(f"m{i}") for i in range(4)]
     for each in rooms:
-        each.take(make(2, rank="best_effort"), 4)
-    job = make(pieces=10)
-    found = preempt(job, 10, Index("", rooms), Spread(job, ()), Policy([], KINDS))
+        each.take(make_job(2, rank="best_effort"), 4)
+    job = make_job(pieces=10)
+    found = preempt(job, 10, Index("", rooms), Spread(job, ()), Policy([], MACHINE_TYPES))
     assert sorted(n for _, n in found) == [2, 4, 4]
-    job = make(pieces=10, scatter=True)
-    found = preempt(job, 10, Index("", rooms), Spread(job, ()), Policy([], KINDS))
+    job = make_job(pieces=10, scatter=True)
+    found = preempt(job, 10, Index("", rooms), Spread(job, ()), Policy([], MACHINE_TYPES))
     assert sum(n for _, n in found) == 5
 
 
-def test_short_keeps_zones_of_what_was_placed() -> None:
-    job = make(pieces=2, scatter=True)
-    left = unmet_demand(Index("", [room()]), [Demand(job, 2)], Policy([], KINDS))
+def test_unmet_demand_keeps_zones_of_placed_tasks() -> None:
+    job = make_job(pieces=2, scatter=True)
+    left = unmet_demand(Index("", [room()]), [Demand(job, 2)], Policy([], MACHINE_TYPES))
     assert [(n.tasks, n.zones) for n in left] == [(1, ("north",))]
-    # ... so that the next machine is rented where it can be used.
-    assert plan_rentals(KINDS, left, set(), 0.0, Policy([], KINDS), {}) == [
+    # The next machine is rented in a zone that the job can still use.
+    assert plan_rentals(MACHINE_TYPES, left, set(), 0.0, Policy([], MACHINE_TYPES), {}) == [
         ("plain", "south", True)
     ]
 
 
 @pytest.mark.parametrize(
-    "fields, refused, bought",
+    "fields, refused, rented",
     [
         ({}, set(), [("plain", "north", True)]),
         ({"loaners": False}, set(), [("plain", "north", False)]),
@@ -214,46 +219,48 @@
         ({"cards": 1.0, "loaners": False}, set(), [("accel", "north", False)] * 2),
     ],
 )
-def test_shopping(fields: dict[str, Any], refused: set[Any], bought: list[Any]) -> None:
-    job = make(**fields)
-    found = plan_rentals(KINDS, [Demand(job, 3)], refused, 0.0, Policy([], KINDS), {})
-    assert sorted((k, s) for k, _, s in found) == sorted((k, s) for k, _, s in bought)
+def test_plan_rentals(fields: dict[str, Any], refused: set[Any], rented: list[Any]) -> None:
+    job = make_job(**fields)
+    found = plan_rentals(
+        MACHINE_TYPES, [Demand(job, 3)], refused, 0.0, Policy([], MACHINE_TYPES), {}
+    )
+    assert sorted((k, s) for k, _, s in found) == sorted((k, s) for k, _, s in rented)
     if len(found) == 1:
-        assert found == bought
+        assert found == rented
 
 
-def test_dear_machines_only_for_work_they_can_save() -> None:
-    job = make(site="north")
+def test_expensive_machines_are_rented_only_if_the_job_can_be_in_time() -> None:
+    job = make_job(site="north")
     refused = {("plain", "north", True), ("plain", "north", False)}
-    policy = Policy([], KINDS)
-    assert plan_rentals(KINDS, [Demand(job, 1)], refused, 0.0, policy, {job.id: 1.0}) == []
-    assert plan_rentals(KINDS, [Demand(job, 1)], refused, 0.0, policy, {job.id: 60.0}) != []
+    policy = Policy([], MACHINE_TYPES)
+    assert plan_rentals(MACHINE_TYPES, [Demand(job, 1)], refused, 0.0, policy, {job.id: 1.0}) == []
+    assert plan_rentals(MACHINE_TYPES, [Demand(job, 1)], refused, 0.0, policy, {job.id: 60.0}) != []
 
 
-def test_work_with_time_waits_for_room() -> None:
-    early, late = Demand(make(1), 3, 5.0), Demand(make(2), 3, 80.0)
+def test_urgent_demand_leaves_out_jobs_that_can_wait() -> None:
+    early, late = Demand(make_job(1), 3, 5.0), Demand(make_job(2), 3, 80.0)
     assert urgent_demand([early, late], {"batch": 90.0}, 64.0) == [late]
-    assert urgent_demand([early], {}, 64.0) == [early]  # nothing is said: at once
-    [there] = urgent_demand([early], {"batch": 90.0}, 0.0)  # nothing is there yet
-    assert there.job == early.job and there.tasks == 1  # three in a row are in time
-    near = Demand(make(3), 3, 70.0)
-    assert urgent_demand([near], {"batch": 90.0}, 64.0) == [near]  # too near for cheap ones
-    assert urgent_demand([near], {"batch": 90.0}, 64.0, 1.0, 1.0) == []  # but not late yet
+    assert urgent_demand([early], {}, 64.0) == [early]  # no time limit is set: rent at once
+    [there] = urgent_demand([early], {"batch": 90.0}, 0.0)  # the fleet is empty
+    assert there.job == early.job and there.tasks == 1  # three tasks in sequence are in time
+    near = Demand(make_job(3), 3, 70.0)
+    assert urgent_demand([near], {"batch": 90.0}, 64.0) == [near]  # late by the safety margins
+    assert urgent_demand([near], {"batch": 90.0}, 64.0, 1.0, 1.0) == []  # not late without them
 
 
-def test_spare_room_is_what_arrives_while_a_machine_boots() -> None:
+def test_spare_room_covers_arrivals_while_a_machine_boots() -> None:
     arrivals = Arrivals(300.0, 0.0)
-    web = make(1, jobclass="web", shape="daemon", pieces=2, loaners=False)
+    web = make_job(1, jobclass="web", shape="daemon", pieces=2, loaners=False)
     for at in range(30, 300, 10):
         arrivals.note(web, float(at))
-    found = spare_room([web], arrivals, KINDS, {"web"}, 300.0)
+    found = spare_room([web], arrivals, MACHINE_TYPES, {"web"}, 300.0)
     assert [(n.job.job_class, n.tasks) for n in found] == [("web", 4)]
-    assert spare_room([], Arrivals(300.0, 0.0), KINDS, {"web"}, 10.0) == []
+    assert spare_room([], Arrivals(300.0, 0.0), MACHINE_TYPES, {"web"}, 10.0) == []
 
 
-def test_what_waited_for_the_start_is_no_rate() -> None:
+def test_backlog_at_start_does_not_count_as_arrival_rate() -> None:
     arrivals = Arrivals(300.0, 0.0)
-    web = make(1, jobclass="web", shape="daemon", pieces=5, loaners=False)
+    web = make_job(1, jobclass="web", shape="daemon", pieces=5, loaners=False)
     for at in range(70):
         arrivals.note(web, at / 7)
     assert arrivals.expected("web", 50.0, 11.0) == 0.0
@@ -262,5 +269,5 @@
 
 
 def test_fits() -> None:
-    assert fits(make(), PLAIN) and not fits(make(vcpus=9.0), PLAIN)
-    assert not fits(make(flavors=["accel"]), PLAIN) and not fits(make(site="west"), PLAIN)
+    assert fits(make_job(), PLAIN) and not fits(make_job(vcpus=9.0), PLAIN)
+    assert not fits(make_job(flavors=["accel"]), PLAIN) and not fits(make_job(site="west"), PLAIN)
--- a/tests/scheduling/test_refresh.py
+++ b/tests/scheduling/test_refresh.py
@@ -1,4 +1,4 @@
-"""The adaptive refresh interval, step by step."""
+"""Tests of the adaptive refresh interval."""
 
 import pytest
 
@@ -11,11 +11,11 @@
         (100, 0, 11.0),  # nothing declined: grows 1.1 times
         (0, 0, 11.0),  # no attempts: ratio 0
         (94, 6, 5.0),  # above 5 %: halves
-        (95, 5, 10.0),  # exactly 5 %: left alone
-        (96, 4, 10.0),  # between the thresholds: left alone
-        (97, 3, 10.0),  # exactly 3 %: left alone
+        (95, 5, 10.0),  # exactly 5 %: unchanged
+        (96, 4, 10.0),  # between the thresholds: unchanged
+        (97, 3, 10.0),  # exactly 3 %: unchanged
         (98, 2, 11.0),  # below 3 %: grows
-        (4, 1, 10.0),  # one declined of five attempts: too few to judge
+        (4, 1, 10.0),  # one of five declined: too few attempts to evaluate
     ],
 )
 def test_step(placed: int, declined: int, expected: float) -> None:
