--- a/clayport/scheduling/backfill.py
+++ b/clayport/scheduling/backfill.py
@@ -12,7 +12,8 @@
 from clayport.scheduling.scheduling_pass import SHARE_UPDATES_PER_REPORT
 from clayport.settings import Settings
 
-# The share of the fleet's CPUs that jobs without an objective may use beside jobs with one.
+# The share of the fleet's CPUs that jobs without an objective may use while they could hinder
+# jobs with one.
 BACKFILL_SHARE = 0.25
 # A job without an objective has waited long after this many times a worker's lease.
 LONG_WAIT_LEASES = 20
@@ -45,13 +46,13 @@
     def cpus_left(self, index: Index, rank: int) -> float:
         """Return the CPUs that jobs without an objective may still take.
 
-        The limit applies beside jobs with an objective that cannot preempt them, because an
-        array without an objective that fills the fleet for minutes would make all other jobs
-        of its rank late. Such an array may always use its fair share. The limit does not apply
-        beside jobs of a higher rank, which can preempt it: with the limit there too, 4,500
-        tasks waited for most of a day while a third of the fleet was free. Backfill of the
-        lowest rank can be preempted by all other ranks, so it counts only against its own
-        limit.
+        The limit applies while there are jobs with an objective that cannot preempt backfill
+        of the given rank, because an array without an objective that fills the fleet for
+        minutes would make all other jobs of its rank late. Such an array may always use its
+        fair share. Jobs of a higher rank can preempt the array, so the limit does not apply for
+        their sake: when it did, 4,500 tasks waited for most of a day while a third of the fleet
+        was free. Backfill of the lowest rank can be preempted by all other ranks, so it counts
+        only against the limit of its own rank.
         """
         cpus = backfill_cpus = 0.0
         for pool in index.pools.values():
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -198,7 +198,7 @@
         updated = set()
         for room in rooms:
             self.view.index.add(room)
-            self.view.zones[room.machine] = room.zone  # never changes
+            self.view.zones[room.machine] = room.zone  # a machine's zone is fixed
             updated.add(room.machine)
         # The resources of tasks that are placed but not committed yet stay subtracted.
         for machine, job in self.inflight.values():
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -115,7 +115,7 @@
         return other
 
     def restore(self, other: Room) -> None:
-        """Restore all mutable resource fields from a copy of the room."""
+        """Restore all fields that placement and preemption change from a copy of the room."""
         self.open, self.cpus, self.gpus = other.open, other.cpus, other.gpus
         self.memory_gb, self.tasks = other.memory_gb, other.tasks
         self.backfill_tasks = other.backfill_tasks
@@ -132,7 +132,7 @@
         return allows(job, self)
 
     def fits(self, job: Job) -> bool:
-        """Return whether a task of the job fits the free resources."""
+        """Return whether the room is open to the job and a task of it fits the free resources."""
         return (
             self.open
             and self.hold in ("", job.id)
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -171,10 +171,10 @@
         """Return the highest rank that may be preempted for the job; -1: none.
 
         A job that inherits its rank from a job that depends on it preempts only what its own
-        rank allows, or the lowest rank, as long as it can wait. If it used the inherited rank,
-        a tenth of the tasks on a saturated fleet were stopped for pipelines that had a minute
-        to spare. If it did not preempt even the lowest rank, these pipelines took all free
-        room and made other jobs late.
+        rank allows, or the lowest rank, as long as it can wait. With the inherited rank, a
+        tenth of the tasks on a saturated fleet were stopped for pipelines that had a minute to
+        spare. When pipelines preempted no rank at all, they took all free room and made other
+        jobs late.
         """
         own = self.jobs.dependencies.own_rank(job)
         limit = self.objectives.wait_limits.get(job.job_class)
--- a/clayport/scheduling/scheduling_pass.py
+++ b/clayport/scheduling/scheduling_pass.py
@@ -27,7 +27,8 @@
         granted_cpus: For each class or team, the CPUs of the tasks placed since `owed` was
             looked up.
         backfill_cpus_left: By rank, the CPUs that jobs without an objective may still take
-            beside jobs that cannot preempt them; looked up when the pass reaches such a job.
+            while jobs with an objective that cannot preempt them exist; looked up when the pass
+            reaches such a job.
         unsatisfied: Groups that found less room than they want, with the index's revision at
             that time.
         starved: Whether jobs other than backfill are left without room.
