--- a/clayport/limits/__init__.py
+++ b/clayport/limits/__init__.py
@@ -1,10 +1,10 @@
-"""Limits on what a client asks: when to retry, how much at once, and what not to take on.
+"""Retries, concurrency limits and admission control.
 
-Every client (state service, cloud, peers, workers) goes by the same decisions, and the
-controller's own admission control goes by the same backlog. `retry`, `inflight` and `admission`
-are pure: they get the time and answer with seconds. `gate` makes routines wait. Nothing here
-knows what is asked of whom. No rule of safety rests on any of it: what it decides is when,
-never whether something has happened.
+The clients of the state service, the cloud, the peers and the workers use the same retry policies
+and concurrency limits. The user API uses the admission control. `retry`, `inflight` and `admission`
+are pure: they take the time as an argument and return seconds. `gate` suspends routines. Nothing in
+this package depends on the contents of requests. No safety property relies on this package, because
+it decides only when requests are sent.
 """
 
 from clayport.limits.admission import AdmissionControl
--- a/clayport/limits/admission.py
+++ b/clayport/limits/admission.py
@@ -1,18 +1,18 @@
-"""Admission control: what is refused at once, and when to retry. Pure: no I/O, no clock."""
+"""Admission control for user requests; this module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
 import math
 
-# The least that a refused client is told to wait, in seconds.
+# The shortest time that a refused client is told to wait, in seconds.
 MIN_RETRY_AFTER_S = 1.0
 
 
 class AdmissionControl:
-    """Refuses at once what couldn't be served in time, by the cost of what waits.
+    """Refuses requests that can't be served in time, judged by the cost of the backlog.
 
-    Bounded sockets alone let in requests that then wait in line until their users have
-    left, come again, and wait behind their own first request.
+    A limit on sockets alone is not enough. It admits requests that wait until their users give up
+    and retry, and the retries then wait behind the abandoned requests.
 
     Args:
         max_backlog_s: The backlog up to which requests are admitted.
@@ -25,8 +25,8 @@
     def retry_after_s(self, backlog_s: float) -> int:
         """Return 0 to admit a request, otherwise the whole seconds after which to retry.
 
-        By then the backlog is worked off down to half of what is admitted, so that not all
-        who were refused are refused again together.
+        By then the backlog has fallen to half of `max_backlog_s`, so that the refused clients
+        aren't all refused again when they retry together.
         """
         if backlog_s <= self.max_backlog_s:
             return 0
--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -1,4 +1,4 @@
-"""Routines that wait for their turn at a bounded server, or for its recovery."""
+"""Routines that wait for a request slot at a server, or for the server to recover."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 
 class GateClosedError(Exception):
-    """The turn would not come in time: nothing was sent."""
+    """No slot became free in time, and the request was not sent."""
 
 
 class Circuit:
-    """Routines that wait to retry at one server.
+    """Coordinates the routines that wait to retry at one server.
 
-    Each waits until its turn comes, and all no longer than until the server serves again.
+    Each routine waits for the pause that the retry policy sets. As soon as the server serves a
+    request again, all of them continue.
 
     Args:
-        retries: When requests to the server are retried.
+        retries: The retry policy of the server.
 
     Attributes:
         failing: Whether the server failed to serve the latest request.
-        recovered: Is set when the server serves after a failure.
+        recovered: An event that is set when the server serves a request after a failure.
     """
 
     def __init__(self, retries: RetryPolicy) -> None:
@@ -36,11 +37,11 @@
         self.recovered = curio.Event()
 
     def begin(self, deadline: Deadline | None = None) -> Attempt:
-        """Begin a request that is to be retried for as long as the deadline allows."""
+        """Begin a request that may be retried until the deadline."""
         return self.retries.begin(time.monotonic(), deadline)
 
     async def back_off(self, attempt: Attempt) -> bool:
-        """Wait until the request may be retried; return False where that would be too late."""
+        """Wait until the request may be retried; return False if that is after the deadline."""
         pause = attempt.next_pause(time.monotonic())
         if pause is None:
             return False
@@ -49,7 +50,7 @@
         return True
 
     async def record(self, serving: bool) -> None:
-        """Note whether the server served the latest request; wake those who wait if so."""
+        """Record whether the server served the latest request; wake the waiting routines if so."""
         if serving and self.failing:
             event, self.recovered = self.recovered, curio.Event()
             await event.set()
@@ -57,11 +58,11 @@
 
 
 class Slot:
-    """A request's place among those in flight.
+    """A request in flight.
 
     Attributes:
         started_at: When the request was sent, in seconds on the monotonic clock.
-        served: To be set by the request once it has been answered.
+        served: Whether the server answered the request; set by the routine that sends it.
     """
 
     __slots__ = ("served", "started_at")
@@ -72,18 +73,18 @@
 
 
 class Gate:
-    """Lets at most as many requests through at a time as `inflight` allows.
+    """Admits at most as many concurrent requests as `inflight` allows.
 
-    The others queue, those of higher priority first, and leave when they have waited too long.
+    Other requests queue by priority, and fail when they have waited too long.
 
     Args:
         inflight: The limit of requests in flight.
-        max_wait_s: How long a request without a deadline waits.
+        max_wait_s: The longest that a request waits for a slot.
     """
 
     def __init__(self, inflight: ConcurrencyLimit, max_wait_s: float) -> None:
         self.inflight, self.max_wait_s = inflight, max_wait_s
-        # A heap of (negated priority, number of arrival, event that is set on admission).
+        # A heap of (negated priority, arrival number, event that is set on admission).
         self.queue: list[tuple[float, int, curio.Event]] = []
         self.arrivals = 0
 
@@ -91,7 +92,7 @@
     async def slot(
         self, priority: float = 0.0, deadline: Deadline | None = None
     ) -> AsyncIterator[Slot]:
-        """Wait for a slot, and hold it for the time of the context.
+        """Wait for a slot, and hold it until the context exits.
 
         Raises:
             GateClosedError: No slot became free in time.
@@ -109,7 +110,7 @@
             await self._admit()
 
     async def _wait(self, priority: float, deadline: Deadline) -> None:
-        """Wait in the queue until a slot has been acquired on this request's behalf."""
+        """Wait in the queue until `_admit` has acquired a slot for this request."""
         admitted = curio.Event()
         self.arrivals += 1
         entry = (-priority, self.arrivals, admitted)
@@ -119,7 +120,8 @@
             await curio.timeout_after(limit, admitted.wait)
         except BaseException as exc:
             if admitted.is_set():
-                # Admitted just as it left: its slot goes to the next.
+                # The request was admitted while it was timing out or being cancelled, so its slot
+                # goes to the next request.
                 self.inflight.cancel()
                 await self._admit()
             elif entry in self.queue:
@@ -130,7 +132,7 @@
             raise
 
     async def _admit(self) -> None:
-        """Admit requests from the queue while there are slots."""
+        """Admit requests from the queue while slots are free."""
         while self.queue and not self.inflight.full:
             _, _, admitted = heapq.heappop(self.queue)
             self.inflight.acquire()
--- a/clayport/limits/inflight.py
+++ b/clayport/limits/inflight.py
@@ -1,34 +1,35 @@
-"""The concurrency limit of requests to one server. Pure: no I/O, no clock."""
+"""The concurrency limit of requests to one server; this module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
-# The share that a limit is reduced to when requests go unanswered or are refused.
+# The factor by which the limit is multiplied when requests fail or are slow.
 DECREASE_FACTOR = 0.7
-# Answers that take so many times as long as the fastest of late have been queueing at the
-# server: more requests in flight would only queue longer.
+# An answer that takes more than this multiple of the fastest recent time has queued at the server.
+# More requests in flight would only queue longer.
 SLOW_RATIO = 4.0
-# The share by which the fastest time moves towards each slower one: a server that has become
-# slower for good is not taken for one that is overloaded for ever.
+# The share by which the fastest time moves towards each slower one. Without this drift a server
+# that has become slower permanently would count as overloaded forever.
 FASTEST_DRIFT = 0.01
-# A time before all others on the monotonic clock, in seconds.
+# A time earlier than any reading of the monotonic clock, in seconds.
 NEVER = -1e9
 
 
 class ConcurrencyLimit:
-    """An adaptive concurrency limit: additive increase, multiplicative decrease, as TCP's.
+    """An adaptive concurrency limit with additive increase and multiplicative decrease, as in TCP.
 
-    It rises by one for each full round that is answered well, and falls to a share when a
-    request is not: at most once for all that were in flight when that showed.
+    The limit rises by one for each full round of requests that are answered fast. It falls by
+    `DECREASE_FACTOR` when a request fails or is slow, but only once for all requests that were in
+    flight at that time.
 
     Args:
-        initial: The limit to begin with.
+        initial: The initial limit.
         minimum: The limit never falls below this.
         maximum: The limit never rises above this.
 
     Attributes:
-        limit: The present limit; its whole part counts.
-        in_flight: Requests that have been sent and are not over.
-        fastest_s: About the shortest time of late in which a request was answered.
+        limit: The current limit; only its integer part counts.
+        in_flight: The number of requests that have been sent and are not finished.
+        fastest_s: The approximate shortest recent time in which a request was answered.
         reduced_at: When the limit was last reduced, in seconds on the monotonic clock.
     """
 
@@ -41,7 +42,7 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further request may be sent now."""
+        """Return whether no further request may be sent now."""
         return self.in_flight >= int(self.limit)
 
     def acquire(self) -> None:
@@ -49,11 +50,11 @@
         self.in_flight += 1
 
     def cancel(self) -> None:
-        """Take back the count of a request that was not sent after all."""
+        """Stop counting a request that was acquired but not sent."""
         self.in_flight -= 1
 
     def release(self, now: float, took_s: float, served: bool) -> None:
-        """Note that a request is over: answered after `took_s`, or refused or not answered."""
+        """Record the end of a request after `took_s`; `served` tells whether it was answered."""
         busy = self.in_flight * 2 >= self.limit
         self.in_flight -= 1
         if served:
@@ -62,13 +63,14 @@
             else:
                 self.fastest_s += FASTEST_DRIFT * (took_s - self.fastest_s)
             if took_s <= SLOW_RATIO * self.fastest_s:
-                # An idle client learns nothing of what the server could take.
+                # The limit rises only under load. An idle client doesn't learn the capacity of the
+                # server.
                 if busy:
                     self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
                 return
             if not busy:
-                return  # slow, and not because of us
+                return  # too few requests in flight to be the cause of the delay
         if now - took_s >= self.reduced_at:
-            # It was sent after the last reduction: that was not enough.
+            # The request was sent after the last reduction, which was therefore not enough.
             self.limit = max(self.minimum, self.limit * DECREASE_FACTOR)
             self.reduced_at = now
--- a/clayport/limits/retry.py
+++ b/clayport/limits/retry.py
@@ -1,4 +1,4 @@
-"""When to ask again. Pure: no I/O, no clock."""
+"""Deadlines, retry budgets and backoff; this module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Deadline(NamedTuple):
-    """The moment by which an answer is of use.
+    """The time after which the answer to a request is useless.
 
-    It is passed on with the request, so that what is asked on its behalf never takes longer
-    than the client will wait.
+    The deadline is passed on with the request, so that no request made on its behalf outlasts the
+    client's wait.
 
     Attributes:
-        at: The moment, in seconds on the monotonic clock; infinite where there is none.
+        at: The time, in seconds on the monotonic clock; infinite without a deadline.
     """
 
     at: float = math.inf
@@ -24,38 +24,38 @@
         """Return the deadline `seconds` after `now`."""
         return Deadline(now + seconds)
 
-    def left(self, now: float, most_s: float = math.inf) -> float:
-        """Return the seconds left, `most_s` at most; never negative."""
-        return max(0.0, min(most_s, self.at - now))
+    def left(self, now: float, max_s: float = math.inf) -> float:
+        """Return the seconds left, `max_s` at most; never negative."""
+        return max(0.0, min(max_s, self.at - now))
 
     def allows(self, now: float, needs_s: float = 0.0) -> bool:
-        """Return whether what takes `needs_s` seconds ends before the deadline."""
+        """Return whether a step that takes `needs_s` seconds ends before the deadline."""
         return now + needs_s < self.at
 
     def fraction(self, now: float, share: float) -> Deadline:
-        """Return an earlier deadline, for a step that must leave time for others."""
+        """Return the deadline after the given share of the time left, for one of several steps."""
         return Deadline(now + self.left(now) * share) if self.at < math.inf else self
 
 
 class RetryBudget:
-    """A retry budget: how many retries all clients of one server may make together.
+    """A token bucket for the retries of all routines that send requests to one server.
 
-    Each first try earns a share of a retry and each second earns more, up to a bound: while
-    the server serves nobody notices, and while it doesn't, a thousand routines that wait for
-    it ask no more often than a few did. (Each of a controller's hundred jobs asked again by
-    itself during an outage; when it was over, the answers came behind what was asked again.)
+    Each first attempt earns a fraction of a retry, and retries also accrue with time, up to a
+    maximum. While the server serves requests, the budget delays no retry. During an outage, a
+    thousand waiting routines together send no more retries than a few would. Without the budget
+    each of a controller's hundred jobs retried on its own during an outage, and after the outage
+    answers were delayed behind the retries.
 
-    A retry that exceeds the budget is not refused but told how long to wait for its turn:
-    most routines can't give up.
+    A retry that exceeds the budget is delayed, not refused, because most routines can't give up.
 
     Args:
-        per_request: Retries that each first try earns.
-        maximum: Retries that can be saved up.
-        per_s: Retries that each second earns.
-        now: The present time, in seconds on the monotonic clock.
+        per_request: Retries that each first attempt earns.
+        maximum: The most retries that can accumulate.
+        per_s: Retries that accrue per second.
+        now: The current time, in seconds on the monotonic clock.
 
     Attributes:
-        level: Retries that are left as of `at`; negative where some are booked ahead.
+        level: Retries available at the time `at`; negative if retries are reserved in advance.
         at: When the level was last computed, in seconds on the monotonic clock.
     """
 
@@ -64,23 +64,23 @@
         self.level, self.at = maximum, now
 
     def _earn(self, now: float) -> None:
-        """Add what has been earned since the level was last computed."""
+        """Add the retries that have accrued since the level was last computed."""
         self.level = min(self.maximum, self.level + max(0.0, now - self.at) * self.per_s)
         self.at = max(self.at, now)
 
     def record_request(self, now: float) -> None:
-        """Note a first try, which earns a share of a retry."""
+        """Record a first attempt, which earns a fraction of a retry."""
         self._earn(now)
         self.level = min(self.maximum, self.level + self.per_request)
 
     def reserve(self, now: float) -> float:
-        """Book a retry; return the seconds until its turn comes."""
+        """Reserve a retry; return the seconds until it may be sent."""
         self._earn(now)
         self.level -= 1.0
         return max(0.0, -self.level / self.per_s)
 
     def refund(self) -> None:
-        """Put back a retry that was booked and is not made after all."""
+        """Return a reserved retry that will not be sent."""
         self.level = min(self.maximum, self.level + 1.0)
 
 
@@ -88,10 +88,11 @@
     """The retry policy of one server.
 
     Args:
-        base_pause_s: Bounds the first pause from above; half of it bounds each from below.
-        max_pause_s: The longest pause.
-        budget: The retries of all clients together.
-        uniform: Draws from a range: controllers must not retry in step.
+        base_pause_s: Sets the range of pauses: no pause is shorter than half of it, and the first
+            is at most 1.5 times as long.
+        max_pause_s: The longest pause, except for the wait that the budget imposes.
+        budget: The budget that all requests to the server share.
+        uniform: Draws a random number from a range, so that controllers don't retry in step.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
         self.budget, self.uniform = budget, uniform
 
     def begin(self, now: float, deadline: Deadline | None = None) -> Attempt:
-        """Begin a request that is to be retried for as long as the deadline allows."""
+        """Begin a request that may be retried until the deadline."""
         self.budget.record_request(now)
         return Attempt(self, deadline or Deadline())
 
@@ -115,7 +116,7 @@
 
     Attributes:
         retries: The retry policy of the server.
-        deadline: By when the answer is of use.
+        deadline: The time after which the answer is useless.
         last_pause_s: The pause before the latest retry.
     """
 
@@ -126,11 +127,11 @@
         self.last_pause_s = retries.base_pause_s / 2
 
     def next_pause(self, now: float) -> float | None:
-        """Return the seconds to wait before the next retry; None where it would be too late.
+        """Return the seconds to wait before the next retry; None if that is after the deadline.
 
-        Decorrelated jitter: between half the base and three times the pause before. It
-        spreads clients that began together as well as full jitter does, and unlike that
-        never retries at once.
+        The pause uses decorrelated jitter: it lies between half the base and three times the
+        previous pause. This spreads clients that started together as well as full jitter does,
+        but never retries immediately.
         """
         policy = self.retries
         base_s = policy.base_pause_s
@@ -145,5 +146,5 @@
         return max(pause, turn)
 
     def served(self) -> None:
-        """Note that the request was answered: the next pause begins anew."""
+        """Record that the request was answered, and reset the backoff."""
         self.last_pause_s = self.retries.base_pause_s / 2
--- a/clayport/scheduling/__init__.py
+++ b/clayport/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Where and in which order tasks are to start: pure decisions and the placer that applies them."""
+"""Queueing, placement and preemption of tasks: pure decisions and the placer that applies them."""
--- a/clayport/scheduling/demand_report.py
+++ b/clayport/scheduling/demand_report.py
@@ -1,4 +1,4 @@
-"""The demand of waiting jobs, as peers are told of it and tell of theirs."""
+"""The demand of waiting jobs, as controllers report it to each other."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-# Demand told to peers: enough jobs to fill any fleet, and a bounded frame.
+# The most jobs in a report to peers: enough to fill any fleet, while the frame stays bounded.
 MAX_DEMAND_ROWS = 500
 
 
@@ -23,10 +23,11 @@
     """One waiting job, in the order of `frames.DEMAND`.
 
     Attributes:
-        job: Its id.
-        tasks: How many of its tasks wait.
-        age_s: For how long they have waited, in seconds.
-        zones: The zones of its other tasks, separated by spaces, where that matters.
+        job: The job's id.
+        tasks: The number of its waiting tasks.
+        age_s: For how long these tasks have waited, in seconds.
+        zones: The zones of its assigned tasks, separated by spaces; empty unless the job has
+            a rule about zones.
     """
 
     job: str
@@ -36,11 +37,11 @@
 
 
 class DemandReport:
-    """The demand of the jobs led here, and of those that peers lead.
+    """The demand of the jobs that this controller leads and of the jobs that its peers lead.
 
     Attributes:
-        peer_rows: What each peer told last, as plain tuples of the same fields.
-        bound_logged_until: When it may be logged again that not all demand was told.
+        peer_rows: The latest report of each peer, as plain tuples of the same fields.
+        next_bound_log_at: The earliest time at which a truncated report is logged again.
     """
 
     def __init__(
@@ -56,15 +57,18 @@
         self.queue = queue
         self.view = view
         self.peer_rows: dict[str, list[DemandRow]] = {}
-        self.bound_logged_until = -1e9
+        self.next_bound_log_at = -1e9
 
     def begin(self) -> None:
-        """Start an epoch: peers have told nothing in it."""
+        """Start an epoch: drop the reports that peers sent in the epoch before."""
         self.peer_rows.clear()
 
     def own_rows(self) -> list[DemandRow]:
-        """Return what waits here, bounded: the most urgent jobs are told of, the others once
-        these have been served."""
+        """Return the demand of the jobs led here, at most `MAX_DEMAND_ROWS` rows.
+
+        Jobs that are being placed come first, then the waiting jobs of the groups of highest
+        rank. A job that is left out is reported once the jobs before it have been served.
+        """
         now = time.monotonic()
         queue = self.queue
         queue.catch_up(now)
@@ -82,8 +86,8 @@
         )
         for name in waiting:
             if len(found) >= MAX_DEMAND_ROWS:
-                if now >= self.bound_logged_until:
-                    self.bound_logged_until = now + 20 * self.membership.lease_ttl_s
+                if now >= self.next_bound_log_at:
+                    self.next_bound_log_at = now + 20 * self.membership.lease_ttl_s
                     log.info(
                         "event=demand-bounded told=%d jobs=%d",
                         MAX_DEMAND_ROWS,
@@ -109,7 +113,7 @@
         )
 
     def whole_epoch(self) -> list[Demand]:
-        """Return the demand of all members of the epoch, the most urgent first."""
+        """Return the demand reported by all members of the epoch, the most urgent first."""
         rows = self.own_rows()
         for label in self.membership.epoch.members:
             if label != self.membership.label:
--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -1,11 +1,11 @@
-"""The graph of jobs that depend on others: what is ready, what is cancelled, what is urgent.
+"""The dependency graph of jobs: readiness, cascading cancellation and inherited urgency.
 
-A job is ready once the final record of every prerequisite (each job that it names) says `done`.
-It is to be cancelled once the final record of a prerequisite, or of one of theirs, says
-`cancelled`. Final records never change, so neither is ever taken back.
+A job is ready once the final record of each of its prerequisites says `done`. A job is to be
+cancelled once the final record of a direct or indirect prerequisite says `cancelled`. Final
+records never change, so neither decision is ever revoked.
 
-A job inherits the urgency (priority and due time) of the jobs that depend on it. There is no
-I/O and no clock here; times are seconds of the caller's clock.
+A job inherits the urgency (priority and due time) of the jobs that depend on it. This module
+does no I/O and reads no clock; times are in seconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from clayport.model import RANKS, Job
 
 PRIORITY_NAMES = {rank: name for name, rank in RANKS.items()}
-# Ended jobs whose end is remembered for jobs that name them later.
+# The number of ended jobs whose status is kept, because a later job may depend on them.
 MAX_REMEMBERED_ENDS = 5_000
-# A bound on the steps of one propagation of urgency, for each live job.
+# The most steps that one propagation of urgency takes, per live job.
 MAX_STEPS_PER_JOB = 10
 
 
@@ -31,11 +31,12 @@
 
     Attributes:
         job: The job as submitted.
-        submitted_at: When it was.
+        submitted_at: When the job was submitted.
         unfinished_prerequisites: The prerequisites that are not known to be done.
-        ready_at: When the last prerequisite was done, as far as known.
-        due_at: When the job has to end, for itself or for the jobs that depend on it.
-        rank: The highest rank of the job and of those that depend on it.
+        ready_at: When the last prerequisite known to be done ended; initially, when the job was
+            submitted.
+        due_at: When the job has to end, to meet its own deadline and those of its dependents.
+        rank: The highest rank among the job and its dependents.
     """
 
     __slots__ = ("due_at", "job", "rank", "ready_at", "submitted_at", "unfinished_prerequisites")
@@ -47,41 +48,42 @@
         self.reset_urgency()
 
     def reset_urgency(self) -> None:
-        """Set the urgency to the job's own, without what it inherits."""
+        """Set the urgency to that of the job itself, without inherited urgency."""
         job = self.job
         self.due_at = math.inf if job.deadline_s is None else self.submitted_at + job.deadline_s
         self.rank = job.rank
 
 
 class EndEffects(NamedTuple):
-    """What the end of a job means for the others."""
+    """The effects that the end of a job has on other jobs."""
 
-    ready: list[str]  # may start now
-    to_cancel: list[str]  # can't run any more
+    ready: list[str]  # these jobs may start now
+    to_cancel: list[str]  # these jobs can never run, because a prerequisite was cancelled
     urgency_changed: set[str]
 
 
 class DependencyGraph:
-    """The live jobs and what they wait for.
+    """The live jobs and their prerequisites.
 
-    An event costs work for the jobs that it touches and for their prerequisites, never for all
-    jobs.
+    The cost of an event grows with the number of affected jobs and their prerequisites, not with
+    the number of all jobs.
 
     Attributes:
         nodes: The live jobs by id.
-        dependents: The live jobs that name a job, by that job's id.
+        dependents: For the id of a prerequisite, the live jobs that depend on it.
         ends: Status and time of the latest ended jobs, by id.
         to_cancel: The live jobs that are to be cancelled.
-        unknown_prerequisites: Prerequisites of live jobs that are not known here (a set in order).
+        unknown_prerequisites: Prerequisites of live jobs that are neither live nor in `ends`
+            (an ordered set).
     """
 
     def __init__(self, fetch_gb_per_s: float, overhead_s: float) -> None:
-        """Begin with no jobs.
+        """Create an empty graph.
 
         Args:
-            fetch_gb_per_s: How fast images are fetched.
-            overhead_s: What a job takes besides its run and its image: to be placed, and for
-                its end to be reported.
+            fetch_gb_per_s: The rate at which machines fetch images.
+            overhead_s: The time that a job takes besides its run and the fetch of its image:
+                for its placement and for the report of its end.
         """
         self.fetch_gb_per_s, self.overhead_s = fetch_gb_per_s, overhead_s
         self.nodes: dict[str, DependencyNode] = {}
@@ -95,7 +97,7 @@
         return job.estimate_s + job.image_gb / self.fetch_gb_per_s + self.overhead_s
 
     def add(self, job: Job, submitted: float) -> set[str]:
-        """Add an accepted job; return the jobs that have become more urgent by it."""
+        """Add an accepted job; return the jobs that have become more urgent because of it."""
         if job.id in self.nodes or job.id in self.ends:
             return set()
         node = self.nodes[job.id] = DependencyNode(job, submitted)
@@ -112,7 +114,7 @@
                 if status or prerequisite in self.to_cancel:
                     self.to_cancel.add(job.id)
         changed: set[str] = set()
-        # Jobs become known in any order, so there may be dependents already.
+        # Jobs become known in any order, so dependents of this job may be in the graph already.
         for dependent in self.dependents.get(job.id, ()):
             if dependent in self.nodes:
                 self._inherit(node, self.nodes[dependent])
@@ -122,7 +124,7 @@
         return changed
 
     def _inherit(self, node: DependencyNode, dependent: DependencyNode) -> bool:
-        """Raise a job's urgency by that of a dependent; return whether it has changed."""
+        """Raise a job's urgency to what a dependent requires; return whether it has changed."""
         due_at = min(node.due_at, dependent.due_at - self.expected_duration_s(dependent.job))
         rank = max(node.rank, dependent.rank)
         changed = (due_at, rank) != (node.due_at, node.rank)
@@ -130,11 +132,11 @@
         return changed
 
     def _propagate_urgency(self, name: str, changed: set[str]) -> None:
-        """Raise the urgency of all prerequisites of a job; add those changed to `changed`."""
+        """Raise the urgency of all prerequisites of a job; add the changed jobs to `changed`."""
         todo, steps = [name], 0
         while todo:
-            # Records that named each other in a ring, which no user can make, would
-            # otherwise raise each other for ever.
+            # Users can't create a dependency cycle. If records contained one, the propagation
+            # would never end without this bound.
             steps += 1
             if steps > MAX_STEPS_PER_JOB * len(self.nodes):
                 return
@@ -146,9 +148,9 @@
                     todo.append(prerequisite)
 
     def _recompute_urgency(self, names: Iterable[str], changed: set[str]) -> None:
-        """Compute the urgency of jobs that have lost a dependent, and of their prerequisites.
+        """Recompute the urgency of jobs that have lost a dependent, and of their prerequisites.
 
-        Adds those whose urgency has changed to `changed`.
+        Adds the jobs whose urgency has changed to `changed`.
         """
         todo, steps = list(names), 0
         while todo:
@@ -168,7 +170,7 @@
                 todo += node.unfinished_prerequisites
 
     def _mark_to_cancel(self, name: str) -> list[str]:
-        """Mark a job and all live jobs that depend on it; return those newly marked."""
+        """Mark a job and its live dependents as to be cancelled; return the newly marked jobs."""
         marked, todo = [], [name]
         while todo:
             job = todo.pop()
@@ -179,9 +181,9 @@
         return marked
 
     def end(self, name: str, status: str, at: float) -> EndEffects:
-        """Record that a job has ended with a status; return what that means for the others.
+        """Record that a job has ended with a status; return the effects on other jobs.
 
-        Further ends of the same job have no effect.
+        The call is idempotent: a second end of the same job has no effect.
         """
         if name in self.ends:
             return EndEffects([], [], set())
@@ -191,13 +193,13 @@
         node = self.nodes.pop(name, None)
         self.unknown_prerequisites.pop(name, None)
         self.to_cancel.discard(name)
-        effects = self._end_for_dependents(name, status, at)
+        effects = self._apply_end_to_dependents(name, status, at)
         if node is not None:
-            self._forget_as_dependent(node)
+            self._remove_from_dependents(node)
             self._recompute_urgency(node.unfinished_prerequisites, effects.urgency_changed)
         return effects
 
-    def _end_for_dependents(self, name: str, status: str, at: float) -> EndEffects:
+    def _apply_end_to_dependents(self, name: str, status: str, at: float) -> EndEffects:
         ready: list[str] = []
         to_cancel: list[str] = []
         for dependent in sorted(self.dependents.get(name, ())):
@@ -213,7 +215,7 @@
                 ready.append(dependent)
         return EndEffects(ready, to_cancel, set(ready))
 
-    def _forget_as_dependent(self, node: DependencyNode) -> None:
+    def _remove_from_dependents(self, node: DependencyNode) -> None:
         name = node.job.id
         for prerequisite in dict.fromkeys(node.job.prereqs or ()):
             self.dependents.get(prerequisite, set()).discard(name)
@@ -222,23 +224,24 @@
                 self.unknown_prerequisites.pop(prerequisite, None)
 
     def is_waiting(self, name: str) -> bool:
-        """Return whether a live job must not start yet."""
+        """Return whether a live job still has unfinished prerequisites."""
         node = self.nodes.get(name)
         return node is not None and bool(node.unfinished_prerequisites)
 
     def own_rank(self, job: Job) -> int:
-        """Return the rank that the job's user gave it, without what it inherits."""
+        """Return the rank with which the job was submitted, without inherited urgency."""
         node = self.nodes.get(job.id)
         return node.job.rank if node is not None else job.rank
 
     def effective_job(self, name: str, limits: dict[str, float]) -> Job:
-        """Return a live job as it is to be scheduled, with the urgency that it inherits.
+        """Return a live job with its inherited urgency, as the scheduler treats it.
 
-        Its deadline is the time that its dependents leave it, counted from when it was ready.
+        The deadline of the returned job counts from the moment when the job became ready, and
+        leaves its dependents enough time to meet their own deadlines.
 
         Args:
             name: The job's id.
-            limits: The time within which jobs of a class are to finish, in seconds.
+            limits: For each class, the time in seconds within which its jobs should finish.
         """
         node = self.nodes[name]
         job = node.job
--- a/clayport/scheduling/guarantees.py
+++ b/clayport/scheduling/guarantees.py
@@ -1,4 +1,4 @@
-"""The guarantees of teams: who is within theirs, and room claimed from those beyond theirs."""
+"""The guarantees of teams, and preemption of teams that use more than their guarantee."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from clayport.scheduling.room_maker import RoomMaker
 from clayport.scheduling.spread import Spread
 
-# Sums of CPUs and of GPUs that differ by less are the same.
+# Sums of CPUs or GPUs that differ by less are equal: floating-point sums are not exact.
 EPSILON = 1e-6
 
 
 def claimable_machines(job: Job, pool: list[Room], spread: Spread) -> list[str]:
-    """Return the machines of which one more would be enough for the job.
+    """Return the machines where room for one task would be enough for the job to start.
 
-    What others run is not preempted for a gang that can't start on what it would get. (Gangs
-    of two had one task after another stopped, in one zone and the next, and started nowhere.)
+    For a gang these are machines in zones with free room for all its other tasks. Without this
+    rule a gang of two that found no room anywhere had one task after another preempted, in one
+    zone after the other, and never started.
     """
     rooms = [room for room in pool if room.open and room.allows(job) and spread.allows(room.zone)]
     if job.kind != GANG:
@@ -41,7 +42,7 @@
 
 
 class GuaranteeClaims:
-    """Knows what teams use of their guarantees, and claims what is missing of them."""
+    """Compares the usage of teams with their guarantees, and preempts tasks to satisfy them."""
 
     def __init__(
         self,
@@ -57,14 +58,15 @@
         self.store = store
 
     def has_guarantee(self, job: Job) -> bool:
-        """Whether the job's team has a guarantee that may be claimed for it."""
+        """Return whether the job's team has a guarantee for the resource that the job needs."""
         cpus, gpus = self.quotas.guarantees.get(job.team, (0.0, 0.0))
         return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
 
     def covers(self, job: Job) -> bool:
-        """Whether the job's team stays within its guarantee with it, as last read.
+        """Return whether the job would leave its team within the guarantee, by the cached usage.
 
-        True where that isn't counted. What is owed to a team comes before what it borrows.
+        Returns True if the team has no guarantee that applies to the job. Jobs within a guarantee
+        come before jobs that borrow beyond one.
         """
         if not self.has_guarantee(job):
             return True
@@ -74,10 +76,10 @@
         return used + need <= self.quotas.guarantees[job.team][resource] + EPSILON
 
     async def claim(self, job: Job, machines: list[str]) -> None:
-        """Give a team its guarantee, on one of the machines, from what others run beyond theirs.
+        """Preempt tasks of teams beyond their guarantee, on one machine, for a team within its own.
 
-        Only teams with limits have their use counted; the others can't be shown
-        to borrow, and their work is left alone.
+        Usage is recorded only for teams with limits. Other teams can't be shown to exceed
+        their guarantee, so their tasks are not preempted.
         """
         try:
             entries, _ = await self.store.scan("quota/")
@@ -88,17 +90,17 @@
             for entry in entries
             if not is_anchor(entry.key)
         }
-        own, have = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
+        guarantee, in_use = self.quotas.guarantees[job.team], used.get(job.team, (0.0, 0.0))
         need = quota_usage(job, 1 if job.kind != GANG else job.tasks)
         resource = 1 if job.gpus > 0 else 0
-        if have[resource] + need[resource] > own[resource] + EPSILON:
+        if in_use[resource] + need[resource] > guarantee[resource] + EPSILON:
             return
-        over = [
+        borrowers = [
             team
             for team, use in used.items()
             if team != job.team
             and use[resource] > self.quotas.guarantees.get(team, (0.0, 0.0))[resource] + EPSILON
         ]
-        for machine in machines if over else ():
-            if await self.room_maker.request(machine, job, math.inf, over):
+        for machine in machines if borrowers else ():
+            if await self.room_maker.request(machine, job, math.inf, borrowers):
                 return
--- a/clayport/scheduling/job_queue.py
+++ b/clayport/scheduling/job_queue.py
@@ -1,4 +1,4 @@
-"""The queue of the jobs that a controller leads, as its settings make it."""
+"""Construction of the job queue of a controller from its settings."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 from clayport.scheduling.queueing import FairShares, JobQueue
 from clayport.settings import Team
 
-# Leases that work without an objective can wait before it is owed a fair share.
+# The tolerated wait of jobs without an objective and of teams, in worker leases. Fair shares
+# grow with the ratio of the actual wait to the tolerated wait.
 DEFAULT_WAIT_LEASES = 40.0
 
 
 def job_queue(
-    managed: Callable[[], Mapping[str, ManagedJob]],
+    managed_jobs: Callable[[], Mapping[str, ManagedJob]],
     objectives: Objectives,
     teams: Iterable[Team],
     lease_s: float,
@@ -23,15 +24,16 @@
     """Build the queue of the jobs that a controller leads.
 
     Args:
-        managed: Tells the jobs by their ids.
+        managed_jobs: Returns the controller's jobs by id.
         objectives: The objectives of each class.
-        teams: Teams with a guarantee are owed a share of room like classes.
+        teams: The teams. A team with a guarantee has no fair share, because it claims its
+            guarantee instead.
         lease_s: A worker's lease, in seconds.
     """
-    wait, finish = objectives.wait_limits, objectives.finish_limits
+    wait_limits, finish_limits = objectives.wait_limits, objectives.finish_limits
     tolerated_wait_s = {
-        name: min(wait.get(name, math.inf), finish.get(name, math.inf) / 2)
-        for name in {*wait, *finish}
+        name: min(wait_limits.get(name, math.inf), finish_limits.get(name, math.inf) / 2)
+        for name in {*wait_limits, *finish_limits}
     }
     guaranteed = [
         ("team", gpus, team.name)
@@ -40,9 +42,9 @@
         if (team.gpus if gpus else team.cpus) > 0
     ]
     return JobQueue(
-        managed,
-        objectives.finish_all,
-        wait,
+        managed_jobs,
+        objectives.all_finish_limits,
+        wait_limits,
         FairShares(tolerated_wait_s, DEFAULT_WAIT_LEASES * lease_s, guaranteed),
-        objectives.deadline_times,
+        objectives.deadline_multiples,
     )
--- a/clayport/scheduling/postponement.py
+++ b/clayport/scheduling/postponement.py
@@ -1,4 +1,4 @@
-"""When groups of waiting jobs that found no room are looked at again."""
+"""Postponement of groups of waiting jobs that found no room."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 from clayport.scheduling.placement import accepts
 from clayport.scheduling.policy import LargeTaskReserve, Policy
 from clayport.scheduling.queueing import Group, JobQueue
-from clayport.scheduling.queueing.shares import names
+from clayport.scheduling.queueing.shares import account_keys_of
 from clayport.scheduling.scheduling_pass import SchedulingPass
 from clayport.settings import Settings
 
-# The share of a heartbeat's interval for which room that comes free is gathered before arrays
-# that had found none are looked at again. On a full fleet machines come free one by one, and
-# each task had a pass, a commit and two requests to an owner of its own.
+# The share of a heartbeat interval for which freed room accumulates before postponed arrays are
+# tried again. On a full fleet tasks end one by one, and without this delay each new task had a
+# pass, a commit and two requests to an owner of its own.
 GATHER_SHARE = 0.2
 
 
 class Postponement(NamedTuple):
-    """Why a group of waiting jobs need not be looked at: it has found no room.
+    """The conditions under which a group of waiting jobs found no room.
 
     Attributes:
-        rev: The index's revision at which it found none.
-        least: Until when room that has come free since is left to gather, in seconds.
-        until: When it is looked at again in any case, in seconds.
-        policy: The policy under which it found none.
-        reserve: The machines that were kept for others.
+        rev: The revision of the index at which the group found no room.
+        gather_until: Until when freed room accumulates before the group is tried again, in
+            seconds on the monotonic clock.
+        expires_at: When the group is tried again in any case, in seconds on the monotonic clock.
+        policy: The policy under which the group found no room.
+        reserve: The reserve for large tasks under which the group found no room.
     """
 
     rev: int
-    least: float
-    until: float
+    gather_until: float
+    expires_at: float
     policy: Policy
     reserve: LargeTaskReserve | None
 
 
 class Postponements:
-    """Leaves groups that can find no room alone until something has changed."""
+    """Skips groups that found no room until a change may have made room for them."""
 
     def __init__(self, *, membership: MembershipState, queue: JobQueue, settings: Settings) -> None:
         self.membership = membership
@@ -46,34 +47,36 @@
         self.settings = settings
 
     def is_postponed(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
-        """Whether jobs of a group that found no room would find none now either.
+        """Return whether a group that found no room would find none now either.
 
-        None has come or waits for more, nothing that has changed fits one of their tasks, and
-        it is not yet time to see what else may be preempted, or who has become urgent.
+        This holds if the group has no new demand, no room that has changed since fits one of
+        its tasks, and the postponement has not expired. A postponement expires because time alone
+        changes which jobs are urgent and which tasks may be preempted.
 
         Args:
             group: The group.
             current: The pass.
-            gather: Whether room that has come free is left to gather for a while.
+            gather: Whether to let freed room accumulate for a while before the group is tried.
         """
         postponement, job = group.postponement, group.example.job
         if (
             postponement is None
             or group.has_new_demand
-            or current.now >= postponement.until
+            or current.now >= postponement.expires_at
             or postponement.policy is not current.policy
             or postponement.reserve is not current.reserve
         ):
             group.postponement = None
             return False
-        if gather and current.now < postponement.least:
+        if gather and current.now < postponement.gather_until:
             current.starved = current.starved or not job.backfill
             return True
         reserve = (
             None
             if job.kind == SERVICE
             or any(
-                current.missing_cpus(names(job.gpus > 0, *which)) > 0 for which in group.subqueues
+                current.missing_cpus(account_keys_of(job.gpus > 0, *class_and_team)) > 0
+                for class_and_team in group.subqueues
             )
             else current.reserve
         )
@@ -88,10 +91,10 @@
         return True
 
     def postpone(self, current: SchedulingPass) -> None:
-        """Postpone the groups that found less than they want in this pass."""
+        """Postpone the groups that found less room in this pass than they want."""
         for key, rev in current.unsatisfied.items():
             group = self.queue.groups.get(key)
-            # Replicas are missed every second: they are looked at each time.
+            # A service is impaired while replicas are missing, so services are never postponed.
             if group is not None and group.example.job.kind != SERVICE:
                 gather_s = (
                     self.settings.cluster.workers.report_s * GATHER_SHARE
--- a/clayport/scheduling/queueing/__init__.py
+++ b/clayport/scheduling/queueing/__init__.py
@@ -1,8 +1,8 @@
-"""The queue of waiting jobs, and the fair share of each class and team.
+"""The queue of waiting jobs, and the fair shares of classes and teams.
 
-Pure: no I/O, no clock. `queue` keeps the jobs that wait in order, at a cost that follows what
-happens to them and not how many they are; `shares` says which class or team has had so
-little that its turn comes before others of higher rank.
+This package does no I/O and reads no clock. `queue` keeps the waiting jobs in order; its cost grows
+with the number of changes to jobs, not with the number of waiting jobs. `shares` decides which
+classes and teams have had so little room that they go before others of higher rank.
 """
 
 from clayport.scheduling.queueing.queue import Group as Group
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -1,11 +1,14 @@
-"""The jobs that wait at a leader, in the order in which they are to be looked at.
-
-A pass of the placer must not cost more with more waiting jobs: on a flooded fleet thousands
-wait, and hardly any of them finds room. So nothing here walks all of them. A change of a job is
-noted (`JobQueue.touch`), and the queue catches up with it before the next pass. Jobs that can
-use the same room are a group; in it each class and team has a subqueue, whose jobs are in
-bands (can be in time; has missed its start; will be late; backfill). The order in a band is
-by instants, which don't change as time passes; the bands change at instants that are known.
+"""The waiting jobs of a leader, in the order in which the placer tries them.
+
+The cost of a pass of the placer must not grow with the number of waiting jobs, because on an
+overloaded fleet thousands of jobs wait and hardly any of them finds room. So a pass doesn't iterate
+over all waiting jobs. Instead, `JobQueue.touch` marks a changed job, and the queue processes the
+marked jobs before the next pass.
+
+Jobs that can use the same room form a group. Within a group each class and team has a subqueue,
+whose jobs are sorted into bands: on time, start limit missed, late, backfill. Jobs in a band are
+ordered by points in time that stay fixed while time passes, and the time at which a job changes its
+band is known in advance.
 """
 
 from __future__ import annotations
@@ -24,26 +27,26 @@
 if TYPE_CHECKING:
     from clayport.jobs.managed_job import ManagedJob
 
-# The bands of a subqueue, the least first; a late job's is LATE and a LATE_STEP more for each
-# further limit that it can't keep.
+# The bands of a subqueue, in ascending order. A job that will miss its first finish limit is in
+# band LATE, plus LATE_STEP for each further limit that it will miss.
 IN_TIME, STARTS_LATE, LATE, LATE_STEP, BACKFILL = 0.0, 0.5, 1.0, 0.01, 2.0
 
-Key = tuple[float, int, str]  # the instant by which it has to start, its record's revision, id
-Position = tuple[float, Key, float]  # the band, the place in it, until when it is in that band
+Key = tuple[float, int, str]  # latest start time, revision of the live record, job id
+Position = tuple[float, Key, float]  # band, key within the band, time at which the job leaves it
 
 
 class QueueEntry(NamedTuple):
-    """Where a job is in the queue.
+    """The place of a job in the queue.
 
     Attributes:
         managed: The job.
-        group_key: The key of its group.
+        group_key: The key of the job's group.
         group: The group.
-        subqueue: The subqueue of its class and team in the group.
-        band: Its band there.
-        key: Its place in the band.
-        until: When it changes the band.
-        pending: How many of its tasks wait.
+        subqueue: The subqueue of the job's class and team in the group.
+        band: The job's band in the subqueue.
+        key: The job's sort key in the band.
+        until: When the job leaves the band.
+        pending: The number of its waiting tasks.
     """
 
     managed: ManagedJob
@@ -57,7 +60,7 @@
 
 
 class SubQueue:
-    """Jobs of a group that belong to one class and team.
+    """The jobs of a group that belong to one class and team.
 
     Attributes:
         bands: The keys of the jobs in each band, sorted.
@@ -70,7 +73,7 @@
         self.bands: dict[float, SortedList] = {}
 
     def __iter__(self) -> Iterator[str]:
-        """The ids of its jobs in order; jobs may leave meanwhile."""
+        """Yield the ids of the jobs in order; jobs may leave during the iteration."""
         for band in sorted(self.bands):
             keys = self.bands.get(band)
             at = 0
@@ -82,14 +85,16 @@
 
 
 class Group:
-    """Jobs that can use the same room: where one of them finds none, none does.
+    """Jobs that can use the same room, so that if one of them finds no room, none does.
 
     Attributes:
         subqueues: The jobs by class and team.
-        postponement: Why the group need not be looked at now; kept by the placer.
-        has_new_demand: Whether a job has come, or waits for more, since the last look.
-        example: One of the jobs.
-        size: How many jobs there are.
+        postponement: The state in which the group found no room; None unless the group is
+            postponed. Set by the placer.
+        has_new_demand: Whether a job has joined the group, or one has more waiting tasks, since
+            the group was postponed.
+        example: One of the jobs, which stands for the needs of all.
+        size: The number of jobs.
     """
 
     __slots__ = ("example", "has_new_demand", "postponement", "size", "subqueues")
@@ -107,18 +112,20 @@
 
     Args:
         managed_jobs: Returns the leader's jobs by id.
-        finish_limits: By class, the times in seconds within which jobs should be done.
+        finish_limits: By class, the times in seconds within which jobs should finish, ascending.
         wait_limits: By class, the time in seconds within which jobs should start.
-        shares: The accounts, which are told of each change.
-        deadline_times: By class, the multiples of a job's own deadline that are aimed at.
+        shares: The fair shares, which the queue updates at each change of a job.
+        deadline_multiples: By class, the multiples of a job's own deadline that are objectives,
+            ascending.
 
     Attributes:
         groups: The groups that have waiting jobs, by key.
         entries: The waiting jobs by id.
-        in_flight: Jobs being placed, and how many of their tasks waited beside. One that
-            comes back with as many went well, and is nothing new for its group.
+        in_flight: Jobs that are being placed, and the number of their other waiting
+            tasks. A job that returns with no more waiting tasks than that is no new demand.
         dirty: Jobs that have changed since the queue last caught up.
-        due: When jobs change their bands, or wait again after an error.
+        timers: A heap of the times at which jobs change their bands, or may be placed again
+            after an error.
     """
 
     def __init__(
@@ -127,56 +134,56 @@
         finish_limits: Mapping[str, Sequence[float]],
         wait_limits: Mapping[str, float],
         shares: FairShares,
-        deadline_times: Mapping[str, Sequence[float]] | None = None,
+        deadline_multiples: Mapping[str, Sequence[float]] | None = None,
     ) -> None:
         self.managed_jobs = managed_jobs
         self.finish_limits, self.wait_limits = finish_limits, wait_limits
-        self.deadline_times = deadline_times or {}
+        self.deadline_multiples = deadline_multiples or {}
         self.shares = shares
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """Forget everything, at the beginning of an epoch: live jobs are touched anew."""
+        """Remove all jobs at the start of an epoch, when each live job is touched again."""
         self.groups: dict[tuple[Any, ...], Group] = {}
         self.entries: dict[str, QueueEntry] = {}
         self.in_flight: dict[str, tuple[ManagedJob, int]] = {}
         self.dirty: dict[str, None] = {}
-        self.due: list[tuple[float, str]] = []
+        self.timers: list[tuple[float, str]] = []
         self.shares.clear(now)
 
     def touch(self, name: str) -> None:
-        """Note that the job has changed."""
+        """Mark a job as changed."""
         self.dirty[name] = None
 
     def sweep(self) -> None:
-        """Note all jobs as changed: a safety net, to be used rarely."""
+        """Mark all jobs as changed, in case a change was missed; the cost grows with all jobs."""
         self.dirty.update(dict.fromkeys(self.entries))
         self.dirty.update(dict.fromkeys(self.managed_jobs()))
 
     def catch_up(self, now: float) -> None:
-        """Bring the queue up to date."""
-        while self.due and self.due[0][0] <= now:
-            self.dirty[heappop(self.due)[1]] = None
+        """Process the jobs that have changed and those whose timers have expired."""
+        while self.timers and self.timers[0][0] <= now:
+            self.dirty[heappop(self.timers)[1]] = None
         if self.dirty:
             managed_jobs = self.managed_jobs()
             dirty, self.dirty = self.dirty, {}
             for name in dirty:
-                self._place(name, managed_jobs.get(name), now)
+                self._update_entry(name, managed_jobs.get(name), now)
 
-    def _place(self, name: str, managed: ManagedJob | None, now: float) -> None:
-        """Put a job that has changed where it belongs now, or take it out."""
+    def _update_entry(self, name: str, managed: ManagedJob | None, now: float) -> None:
+        """Move a changed job to its present place in the queue, or remove it."""
         known = self.entries.get(name)
         if managed is None or managed.ended or managed.blocked:
             self.in_flight.pop(name, None)
             self._remove(name, known)
-            self.shares.forget(name)
+            self.shares.remove_job(name)
             return
         pending = managed.pending
-        flown = self.in_flight.pop(name, None)
+        in_flight_entry = self.in_flight.pop(name, None)
         if managed.starts or managed.being_placed:
             self.in_flight[name] = (managed, pending)
         if managed.job.kind != SERVICE:
-            self.shares.note(
+            self.shares.update_job(
                 name,
                 managed.job,
                 managed.assigned + len(managed.being_placed),
@@ -188,7 +195,7 @@
             return
         if now < managed.not_before:
             self._remove(name, known)
-            heappush(self.due, (managed.not_before, name))
+            heappush(self.timers, (managed.not_before, name))
             return
         position = self.standing(managed, now)
         group_key = managed.group
@@ -206,17 +213,20 @@
                 self.entries[name] = known._replace(pending=pending)
             return
         returned = (known is not None and known.group is group and pending <= known.pending) or (
-            known is None and flown is not None and flown[0] is managed and pending <= flown[1]
+            known is None
+            and in_flight_entry is not None
+            and in_flight_entry[0] is managed
+            and pending <= in_flight_entry[1]
         )
         self._remove(name, known, group)
         if group is not None and not returned:
             group.has_new_demand = True
-        self._enter(name, managed, group_key, group, position, pending)
+        self._insert(name, managed, group_key, group, position, pending)
         until = position[2]
         if until < math.inf and (known is None or known.until != until):
-            heappush(self.due, (until, name))
+            heappush(self.timers, (until, name))
 
-    def _enter(
+    def _insert(
         self,
         name: str,
         managed: ManagedJob,
@@ -225,7 +235,7 @@
         position: Position,
         pending: int,
     ) -> None:
-        """Enter a job that has no entry into its group (None: a new one)."""
+        """Insert a job that has no entry into its group, or into a new group if that is None."""
         job = managed.job
         if group is None:
             group = self.groups[group_key] = Group(managed)
@@ -244,7 +254,7 @@
         )
 
     def _remove(self, name: str, entry: QueueEntry | None, staying: Group | None = None) -> None:
-        """Take an entry out, and its group if that is empty then and isn't `staying`."""
+        """Remove an entry, and its group if the group is then empty and isn't `staying`."""
         if entry is None:
             return
         del self.entries[name]
@@ -258,37 +268,45 @@
         if entry.group.size == 0 and entry.group is not staying:
             del self.groups[entry.group_key]
 
-    def _run_s(self, managed: ManagedJob, max_s: float) -> float:
-        """How long the CPUs that its class has here take for the job's waiting tasks.
+    def _size_penalty_s(self, managed: ManagedJob, max_s: float) -> float:
+        """Return the time by which a job's size defers it in the order, `max_s` at most.
 
-        A job is of no use before its last task is done: on a flooded fleet a few large jobs
-        made many small ones late. So a large one is put back by this time, `max_s` at most.
+        This is the time that the job's waiting tasks take on the CPUs that its class uses here.
+        A job is useful only once its last task is done. Without this term a few large jobs made
+        many small ones late on an overloaded fleet.
         """
         job = managed.job
         account = self.shares.accounts.get(account_keys(job)[0])
-        running = max(job.cpus, account.running if account is not None else 0.0, 1e-3)
+        running = max(job.cpus, account.running_cpus if account is not None else 0.0, 1e-3)
         return min(max(0.0, max_s), managed.pending * job.cpus * job.estimate_s / running)
 
     def standing(self, managed: ManagedJob, now: float) -> Position:
-        """The job's position: its band, its place in it, and until when it stays in that band.
+        """Return the job's band, its key in the band, and the time at which it leaves the band.
+
+        Jobs that can still finish on time come before late jobs, so that an overload doesn't make
+        all jobs late. Within a band, jobs with the least time left come first, with an allowance
+        for their size.
 
-        What can still be in time comes before what can't, so that not all is late when
-        there is too much; then what has the least time left, its size considered. Work that
-        is to start soon comes before what has missed that and may still be finished in time:
-        else a queue once too long makes all that follow miss it too. (An array that has begun
-        goes on as if it had not: else all of a flood are begun, and none gets done in time.)
+        Jobs that can still start within the wait limit of their class come before jobs that have
+        missed it but may finish on time. Otherwise, once the queue is too long, all later jobs
+        would miss the wait limit too. An array that has started some tasks keeps the order that
+        it had before its start. Otherwise an overload would start all arrays, and finish none on
+        time.
         """
         job = managed.job
         if job.backfill:
-            # Nobody waits for it, and what runs at its rank can't make way for others.
+            # Backfill comes last because no objective applies to it, and because its tasks, once
+            # started, can't be preempted for a job of the same rank.
             return BACKFILL, (-math.inf, managed.live_rev, job.id), math.inf
-        # Estimates are often wrong by half: taken as right, each job of a queue that is too long
-        # was served just when it could no longer be in time. A deadline of its own is derived
-        # from the estimate, and is as wrong as that.
+        # Estimates are often wrong by half. Taken as exact, they made an overlong queue serve each
+        # job just when it could no longer finish on time. A job's own deadline is derived from
+        # the estimate and has the same error, so no factor applies to it.
         limits, estimate_s = self.finish_limits.get(job.job_class, ()), LINE * job.estimate_s
         if job.deadline_s is not None:
             estimate_s = job.estimate_s
-            limits = [job.deadline_s * n for n in self.deadline_times.get(job.job_class, (1.0,))]
+            limits = [
+                job.deadline_s * n for n in self.deadline_multiples.get(job.job_class, (1.0,))
+            ]
         start_by, band = math.inf, IN_TIME
         for limit in limits:
             start_by = managed.waiting_since + limit - estimate_s
@@ -304,6 +322,6 @@
                 band = STARTS_LATE
         if start_by == math.inf:
             return IN_TIME, (-math.inf, managed.live_rev, job.id), math.inf
-        start_by += self._run_s(managed, start_by - managed.waiting_since)
-        # The instant itself is still in time: what is due then is looked at just after it.
+        start_by += self._size_penalty_s(managed, start_by - managed.waiting_since)
+        # A job is still on time at `until` itself, so its band changes just after it.
         return band, (start_by, managed.live_rev, job.id), math.nextafter(until, math.inf)
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -1,14 +1,14 @@
-"""Fair shares: the part of the room that a class or team that waits too long is sure of.
+"""Fair shares: the CPUs to which a class or team is entitled once its jobs wait too long.
 
-Rank says who goes first. Alone it starves whoever is last while something above is flooded.
-So each class (and each team) with work that has waited too long is owed a share of what
-all of them run, growing with how long it has waited: up to one part of as many as there
-are of them and one more, and never more than lets `MAX_SHARE_OF_NEED` of what arrives of its
-work be run; the rest stays with the order of ranks. Whoever holds less than it is owed goes
-before the others, and isn't stopped for them; nobody is stopped for it.
+Jobs are ordered by rank. Strict order by rank starves the lower ranks while a higher rank is
+overloaded. So each class (and each team) whose jobs have waited too long is entitled to a share of
+the CPUs that all classes (or teams) use. With n classes the share grows with the wait up to
+1/(n + 1), and never exceeds `MAX_SHARE_OF_NEED` of the CPUs that the class needs. The other CPUs
+are assigned by rank. A class that uses less than its share goes before others and is protected from
+preemption by them, but no task is preempted to fill a share.
 
-The accounts are those of one leader. Jobs are spread over leaders by a hash of their ids, so
-each leader has a fair sample, and needs nobody's word.
+The accounts cover the jobs of one leader. Jobs are distributed over leaders by a hash of their ids,
+so each leader has a representative sample and needs no data from other leaders.
 """
 
 from __future__ import annotations
@@ -22,137 +22,138 @@
 
 from clayport.model import Job
 
-# A class begins to be owed a share when its oldest job has waited for this part of what it
-# tolerates, and is owed all of it at the other.
-SHARE_BEGINS, SHARE_WHOLE = 0.3, 0.7
-# Work is protected up to so many times its share: else what it has just been given would be
-# stopped for others the moment that it has it.
+# The ratios of the wait of a class's oldest job to the tolerated wait at which the share of the
+# class starts to grow, and at which it is full.
+SHARE_START, SHARE_FULL = 0.3, 0.7
+# Tasks are protected from preemption up to this multiple of the share. Otherwise tasks that were
+# just started to fill the share would be preempted at once.
 PROTECTION_MARGIN = 1.25
-# The part of what arrives of a class's work that its share has to run at most: somewhat more
+# The largest share, as a part of the CPUs that all of a class's work needs. It is somewhat more
 # than the half below which a class counts as not served.
 MAX_SHARE_OF_NEED = 0.7
-# Arrivals are counted over so many times the wait that a class tolerates.
+# The span over which arrivals are counted, as a multiple of the tolerated wait.
 ARRIVAL_SPAN = 2.0
 
-AccountKey = tuple[str, bool, str]  # "class" or "team", whether GPUs are used, which
+AccountKey = tuple[str, bool, str]  # "class" or "team", whether jobs use GPUs, class or team name
 
 
-def names(gpus: bool, job_class: str, team: str) -> tuple[AccountKey, AccountKey]:
-    """The keys of the accounts that all jobs of a class and team count for."""
+def account_keys_of(gpus: bool, job_class: str, team: str) -> tuple[AccountKey, AccountKey]:
+    """Return the keys of the accounts that the jobs of a class and team are charged to."""
     return ("class", gpus, job_class), ("team", gpus, team)
 
 
 def account_keys(job: Job) -> tuple[AccountKey, AccountKey]:
-    """The keys of the accounts that a job counts for."""
-    return names(job.gpus > 0, job.job_class, job.team)
+    """Return the keys of the accounts that a job is charged to."""
+    return account_keys_of(job.gpus > 0, job.job_class, job.team)
 
 
 class JobUsage(NamedTuple):
-    """What one job adds to its accounts.
+    """The contribution of one job to its accounts.
 
     Attributes:
-        names: The keys of the accounts.
-        running: CPUs of its tasks that run.
-        waiting: CPUs of its tasks that wait.
-        backlog: CPU seconds of its tasks that wait.
-        age_key: Since when it waits, and its id; None: nothing of it waits.
-        standing: Its rank, as it counts for preemption.
+        accounts: The keys of the accounts.
+        running_cpus: The CPUs of the job's assigned tasks.
+        waiting_cpus: The CPUs of the job's waiting tasks.
+        backlog_cpu_s: The estimated work of the job's waiting tasks, in CPU seconds.
+        waiting_key: Since when the job waits, and its id; None if no task waits.
+        standing: The job's rank as preemption compares it.
     """
 
-    names: tuple[AccountKey, AccountKey]
-    running: float
-    waiting: float
-    backlog: float
-    age_key: tuple[float, str] | None
+    accounts: tuple[AccountKey, AccountKey]
+    running_cpus: float
+    waiting_cpus: float
+    backlog_cpu_s: float
+    waiting_key: tuple[float, str] | None
     standing: int
 
 
 class Account:
-    """What a class, or a team, runs here and waits for.
+    """The resource usage and the backlog of a class or a team at this leader.
 
     Attributes:
-        running: CPUs of tasks that run.
-        waiting: CPUs of tasks that wait.
-        backlog: CPU seconds of tasks that wait.
-        arrivals: The work that has arrived within the span: when, and its CPU seconds.
-        arrived: The CPU seconds of all of it.
-        ages: Of each waiting job since when it waits, and its id, sorted.
-        jobs: How many live jobs it has.
-        standing: The rank of its jobs, as it counts for preemption.
+        running_cpus: The CPUs of assigned tasks.
+        waiting_cpus: The CPUs of waiting tasks.
+        backlog_cpu_s: The estimated work of waiting tasks, in CPU seconds.
+        arrivals: Time and estimated work, in CPU seconds, of each job that has arrived within
+            the span.
+        arrived_cpu_s: The sum of the work in `arrivals`.
+        waiting_jobs: For each waiting job, since when it waits and its id, sorted.
+        jobs: The number of live jobs.
+        standing: The rank of the latest updated job, as preemption compares it.
     """
 
     __slots__ = (
-        "ages",
         "arrivals",
-        "arrived",
-        "backlog",
+        "arrived_cpu_s",
+        "backlog_cpu_s",
         "jobs",
-        "running",
+        "running_cpus",
         "standing",
-        "waiting",
+        "waiting_cpus",
+        "waiting_jobs",
     )
 
     def __init__(self) -> None:
-        self.running = self.waiting = 0.0
-        self.backlog = 0.0
-        self.arrived = 0.0
+        self.running_cpus = self.waiting_cpus = 0.0
+        self.backlog_cpu_s = 0.0
+        self.arrived_cpu_s = 0.0
         self.arrivals: deque[tuple[float, float]] = deque()
-        self.ages: SortedList = SortedList()
+        self.waiting_jobs: SortedList = SortedList()
         self.jobs = 0
         self.standing = 0
 
 
 class FairShare(NamedTuple):
-    """The share of a class or team that waits too long.
+    """The share of a class or team whose jobs have waited too long.
 
     Attributes:
-        floor: The share in CPUs.
-        missing: The CPUs of it that it doesn't run yet and has work for.
-        total: The CPUs that all classes (or teams) of its kind run.
-        standing: The rank of its jobs, as it counts for preemption.
+        share_cpus: The share in CPUs.
+        missing: The CPUs of the share that are unused although tasks for them wait.
+        total: The CPUs that all classes (or all teams) use.
+        standing: The rank of the account, as preemption compares it.
     """
 
-    floor: float
+    share_cpus: float
     missing: float
     total: float
     standing: int
 
 
 class FairShares:
-    """The accounts of all classes and teams, for all jobs but services.
+    """The accounts of all classes and teams, for all jobs except services.
 
     Args:
-        tolerated_wait_s: How long jobs of a class can wait, by class.
-        default_wait_s: The same for classes without an objective, and for teams.
-        without: Accounts that have no share: of teams with a guarantee, which is claimed in
-            another way.
+        tolerated_wait_s: The tolerated wait by class.
+        default_wait_s: The tolerated wait of teams and of classes without an objective.
+        excluded: Accounts that get no share. These are teams with a guarantee, which they claim
+            by preemption (`GuaranteeClaims`).
     """
 
     def __init__(
         self,
         tolerated_wait_s: Mapping[str, float],
         default_wait_s: float,
-        without: Collection[AccountKey] = (),
+        excluded: Collection[AccountKey] = (),
     ) -> None:
         self.tolerated_wait_s, self.default_wait_s = tolerated_wait_s, default_wait_s
-        self.without = frozenset(without)
+        self.excluded = frozenset(excluded)
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """Forget everything, at the beginning of an epoch: live jobs are noted anew."""
-        self.began = now
+        """Remove all accounts at the start of an epoch, when each live job is added again."""
+        self.started_at = now
         self.usage: dict[str, JobUsage] = {}
         self.accounts: dict[AccountKey, Account] = {}
 
-    def note(self, name: str, job: Job, running: int, pending: int, since: float) -> None:
-        """Note what a job runs and waits for now.
+    def update_job(self, name: str, job: Job, running: int, pending: int, since: float) -> None:
+        """Add a job to its accounts, or update what it contributes to them.
 
         Args:
-            name: Its id.
+            name: The job's id.
             job: The job.
-            running: How many of its tasks run.
-            pending: How many of its tasks wait.
-            since: When it was submitted, in this process's time.
+            running: The number of its assigned tasks.
+            pending: The number of its waiting tasks.
+            since: Since when the job waits, in seconds on the monotonic clock.
         """
         usage = JobUsage(
             account_keys(job),
@@ -168,100 +169,101 @@
         if known is not None:
             self._subtract(known)
         self.usage[name] = usage
-        for which in usage.names:
-            account = self.accounts.get(which)
+        for key in usage.accounts:
+            account = self.accounts.get(key)
             if account is None:
-                account = self.accounts[which] = Account()
-            account.running += usage.running
-            account.waiting += usage.waiting
-            account.backlog += usage.backlog
+                account = self.accounts[key] = Account()
+            account.running_cpus += usage.running_cpus
+            account.waiting_cpus += usage.waiting_cpus
+            account.backlog_cpu_s += usage.backlog_cpu_s
             account.jobs += 1
             account.standing = usage.standing
-            if usage.age_key is not None:
-                account.ages.add(usage.age_key)
+            if usage.waiting_key is not None:
+                account.waiting_jobs.add(usage.waiting_key)
             if known is None:
                 work = job.tasks * job.cpus * max(1.0, job.estimate_s)
                 account.arrivals.append((since, work))
-                account.arrived += work
+                account.arrived_cpu_s += work
 
-    def forget(self, name: str) -> None:
-        """Remove a job, by its id, from the accounts of its class and team."""
+    def remove_job(self, name: str) -> None:
+        """Remove a job, given by its id, from the accounts of its class and team."""
         usage = self.usage.pop(name, None)
         if usage is not None:
             self._subtract(usage)
 
     def _subtract(self, usage: JobUsage) -> None:
-        for which in usage.names:
-            account = self.accounts[which]
-            account.running -= usage.running
-            account.waiting -= usage.waiting
-            account.backlog -= usage.backlog
+        for key in usage.accounts:
+            account = self.accounts[key]
+            account.running_cpus -= usage.running_cpus
+            account.waiting_cpus -= usage.waiting_cpus
+            account.backlog_cpu_s -= usage.backlog_cpu_s
             account.jobs -= 1
-            if usage.age_key is not None:
-                account.ages.remove(usage.age_key)
+            if usage.waiting_key is not None:
+                account.waiting_jobs.remove(usage.waiting_key)
             if account.jobs == 0 and not account.arrivals:
-                del self.accounts[which]
+                del self.accounts[key]
 
-    def _tolerated_wait_s(self, which: AccountKey) -> float:
-        if which[0] == "class":
-            return self.tolerated_wait_s.get(which[2], self.default_wait_s)
+    def _tolerated_wait_s(self, key: AccountKey) -> float:
+        if key[0] == "class":
+            return self.tolerated_wait_s.get(key[2], self.default_wait_s)
         return self.default_wait_s
 
-    def starvation(self, which: AccountKey, now: float) -> float:
-        """How near the oldest waiting job is to the wait that is tolerated, 0 to 1."""
-        account = self.accounts[which]
-        if not account.ages:
+    def starvation(self, key: AccountKey, now: float) -> float:
+        """Return how much of its full share the account gets for its oldest job's wait, 0 to 1."""
+        account = self.accounts[key]
+        if not account.waiting_jobs:
             return 0.0
         since: float
         name: str
-        since, name = account.ages[0]
+        since, name = account.waiting_jobs[0]
         usage = self.usage[name]
-        waited = (now - since) / max(self._tolerated_wait_s(usage.names[0]), 1e-3)
-        return min(1.0, max(0.0, (waited - SHARE_BEGINS) / (SHARE_WHOLE - SHARE_BEGINS)))
+        waited = (now - since) / max(self._tolerated_wait_s(usage.accounts[0]), 1e-3)
+        return min(1.0, max(0.0, (waited - SHARE_START) / (SHARE_FULL - SHARE_START)))
 
-    def needs(self, which: AccountKey, now: float) -> float:
-        """The CPUs that would run all its work.
+    def needed_cpus(self, key: AccountKey, now: float) -> float:
+        """Return the CPUs that the account needs to run all its work.
 
-        That is what arrives, as counted over the span, or what waits, within the wait that is
-        tolerated, whichever needs more.
+        This is the larger of the CPUs that keep up with the arrivals, as counted over the span,
+        and the CPUs that run the backlog within the tolerated wait.
         """
-        account = self.accounts[which]
-        span = ARRIVAL_SPAN * self._tolerated_wait_s(which)
+        account = self.accounts[key]
+        span = ARRIVAL_SPAN * self._tolerated_wait_s(key)
         while account.arrivals and now - account.arrivals[0][0] > span:
-            account.arrived -= account.arrivals.popleft()[1]
+            account.arrived_cpu_s -= account.arrivals.popleft()[1]
         if not account.arrivals:
-            account.arrived = 0.0
-        since = min(span, max(now - self.began, span * SHARE_BEGINS))
+            account.arrived_cpu_s = 0.0
+        since = min(span, max(now - self.started_at, span * SHARE_START))
         return max(
-            account.arrived / since, account.backlog / max(self._tolerated_wait_s(which), 1e-3)
+            account.arrived_cpu_s / since,
+            account.backlog_cpu_s / max(self._tolerated_wait_s(key), 1e-3),
         )
 
     def owed(self, now: float) -> dict[AccountKey, FairShare]:
-        """Who is owed a share now.
+        """Return the accounts that are entitled to a share now.
 
-        Accounts whose share isn't missing anything are listed too: what they run isn't to be
-        taken away.
+        Accounts that use all of their share are included too, because their tasks are protected
+        from preemption.
         """
         totals: dict[tuple[str, bool], tuple[float, int]] = {}
         for (kind, gpus, _), account in self.accounts.items():
             if account.jobs:
                 total, count = totals.get((kind, gpus), (0.0, 0))
-                totals[kind, gpus] = total + account.running, count + 1
+                totals[kind, gpus] = total + account.running_cpus, count + 1
         found = {}
-        for which, account in list(self.accounts.items()):
-            total, count = totals.get((which[0], which[1]), (0.0, 0))
-            needs = self.needs(which, now)
+        for key, account in list(self.accounts.items()):
+            total, count = totals.get((key[0], key[1]), (0.0, 0))
+            needed_cpus = self.needed_cpus(key, now)
             if account.jobs == 0 and not account.arrivals:
-                del self.accounts[which]
-            if count < 2 or not account.ages or which in self.without:
+                del self.accounts[key]
+            if count < 2 or not account.waiting_jobs or key in self.excluded:
                 continue
-            floor = self.starvation(which, now) * min(
-                total / (count + 1), MAX_SHARE_OF_NEED * needs
+            share_cpus = self.starvation(key, now) * min(
+                total / (count + 1), MAX_SHARE_OF_NEED * needed_cpus
             )
-            if floor > 0 and account.running < PROTECTION_MARGIN * floor:
-                found[which] = FairShare(
-                    floor,
-                    max(0.0, min(floor - account.running, account.waiting)),
+            if share_cpus > 0 and account.running_cpus < PROTECTION_MARGIN * share_cpus:
+                found[key] = FairShare(
+                    share_cpus,
+                    max(0.0, min(share_cpus - account.running_cpus, account.waiting_cpus)),
                     total,
                     account.standing,
                 )
--- a/clayport/scheduling/quotas.py
+++ b/clayport/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""What the settings guarantee to each team, and what its tasks may use at most."""
+"""The guarantees and limits of teams from the settings."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class TeamQuotas:
-    """Guarantees and limits by team, each as (CPUs, GPUs); a limit of 0 means none.
+    """Guarantees and limits by team, each as (CPUs, GPUs); a limit of 0 means no limit.
 
     Attributes:
-        guarantees: What a team is sure of.
-        limits: What its tasks may use at a time.
+        guarantees: The resources that each team can claim, by preemption if necessary.
+        limits: The most resources that a team's tasks may use at a time.
     """
 
     def __init__(self, teams: Iterable[Team]) -> None:
--- a/clayport/scheduling/replica_migration.py
+++ b/clayport/scheduling/replica_migration.py
@@ -1,4 +1,4 @@
-"""Whether a running replica may move to another machine."""
+"""The decision whether a running replica may move to another machine."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings
 
-# Leases of a worker between two moves of a job's replicas.
-SPACING_LEASES = 0.3
-# The same where a machine that isn't expensive is drained.
-DRAIN_SPACING_LEASES = 3.0
+# The least time between two moves of a job's replicas, in worker leases.
+MIN_MOVE_INTERVAL_LEASES = 0.3
+# The same for moves that drain a machine which isn't expensive.
+MIN_DRAIN_MOVE_INTERVAL_LEASES = 3.0
 
 
 class ReplicaMigration:
-    """Decides whether replicas may move."""
+    """Decides whether replicas may move, and limits how often they do."""
 
     def __init__(
         self,
@@ -45,15 +45,16 @@
         self.view = view
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Whether a replica would find another place where it starts soon.
+        """Decide whether a replica may move; if so, record the time of the move.
 
-        It is stopped before it starts elsewhere, so its image must be there, or be fetched in
-        less time than passes between two heartbeats of a worker.
+        The replica is stopped before it starts elsewhere. So another machine must have room,
+        and either have its image in the cache or fetch the image within one heartbeat interval
+        of a worker.
 
         Args:
-            job: The replica's job.
-            number: Its task number.
-            machine: Where it runs.
+            job: The id of the replica's job.
+            number: The replica's task number.
+            machine: The machine on which the replica runs.
             drain: Whether the machine is to be drained.
         """
         managed = self.jobs.managed.get(job)
@@ -66,22 +67,23 @@
             or time.monotonic() - managed.last_migration_at
             < self.settings.cluster.workers.lease_s
             * (
-                DRAIN_SPACING_LEASES
+                MIN_DRAIN_MOVE_INTERVAL_LEASES
                 if drain and not self.policy_cache.current().expensive(managed.job, room)
-                else SPACING_LEASES
+                else MIN_MOVE_INTERVAL_LEASES
             )
         ):
             return False
-        if not self._has_place(managed, number, room, drain):
+        if not self._has_destination(managed, number, room, drain):
             return False
-        # Not again soon: a move interrupts the replica each time.
+        # Each move interrupts the replica, so the next move has to wait.
         managed.last_migration_at = time.monotonic()
         return True
 
-    def _has_place(self, managed: ManagedJob, number: int, room: Room, drain: bool) -> bool:
-        """Whether there is a free place, or one that preempting work of lower rank makes.
+    def _has_destination(self, managed: ManagedJob, number: int, room: Room, drain: bool) -> bool:
+        """Return whether another machine has room, or would have it after preemption.
 
-        To free GPUs, or an expensive machine, such work may have to make way elsewhere.
+        A move that drains no machine may preempt any task of lower rank. A drain may preempt
+        tasks only to empty an expensive machine, and then only tasks of the lowest rank.
         """
         job = managed.job
         zones = [
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent a job is, by the objectives of its class and its own deadline."""
+"""The urgency of a job, from the objectives of its class and its own deadline."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class SchedulingObjectives(Objectives):
-    """The objectives by class, and what they say of a job.
+    """The objectives by class, and the decisions about a job that follow from them.
 
     Attributes:
-        patience_s: Work with more slack than this keeps off expensive machines.
-        urgent: The classes that are to start within a time.
+        patience_s: Jobs with more slack than this avoid expensive machines.
+        urgent: The classes whose jobs should start within a time.
     """
 
     def __init__(self, objectives: Iterable[Objective], patience_s: float) -> None:
@@ -26,7 +26,7 @@
         self.urgent = set(self.wait_limits)
 
     def with_objectives(self, description: Description) -> Job:
-        """The job, with whether anybody has said when it is to be started or finished."""
+        """Return the job of a description, with the flag whether no objective applies to it."""
         without_objective = (
             description.deadline_s is None and description.job_class not in self.classes
         )
@@ -35,20 +35,22 @@
         )
 
     def can_wait(self, job: Job, age_s: float) -> bool:
-        """Whether the job can wait for a machine that isn't expensive.
+        """Return whether the job can wait for a machine that isn't expensive.
 
-        Work without any objective always can: it once had the most expensive machines rented,
-        at eighteen times the price, since what has no limit was taken for late.
+        Jobs without an objective always can, because `slack_s` treats a job without a limit as
+        late. Without this rule the most expensive machines, at eighteen times the price, were
+        rented for them.
         """
         return job.kind != SERVICE and (
             job.without_objective or slack_s(job, age_s, self.finish_limits) > self.patience_s
         )
 
     def avoid_spot(self, job: Job, age_s: float) -> bool:
-        """Whether the job would be late if a machine under it were taken back.
+        """Return whether the job would be late if the cloud reclaimed one of its spot machines.
 
-        Of arrays that don't save, a quarter was late because of a few tasks begun anew:
-        of eighty tasks on ten spot machines one is lost more often than one thinks.
+        This concerns jobs without checkpoints, whose lost tasks start from the beginning. A
+        quarter of such arrays was late because of a few restarted tasks: an array of eighty
+        tasks on ten spot machines often loses at least one of them.
         """
         return (
             job.spot
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -105,7 +105,7 @@
     waiting = Waiting()
     for number, pieces in enumerate((400, 10, 40, 10)):
         waiting.add(made(number, pieces=pieces), 0.1 * number)
-    waiting.queue.shares.note("other", made(9), 20, 0, 0.0)
+    waiting.queue.shares.update_job("other", made(9), 20, 0, 0.0)
     assert waiting.order(1.0) == ["j-000001", "j-000003", "j-000002", "j-000000"]
     assert waiting.order(70.0)[-1] == "j-000000"  # but it is not there for ever
     waiting.add(made(5, pieces=10), 76.0)
@@ -215,8 +215,8 @@
             assert mark.band == waiting.queue.standing(waiting.managed_jobs[name], now)[0]
             assert mark.group is waiting.queue.groups[waiting.managed_jobs[name].group]
         running = sum(
-            a.waiting
-            for (kind, _, _), a in waiting.queue.shares.accounts.items()
+            account.waiting_cpus
+            for (kind, _, _), account in waiting.queue.shares.accounts.items()
             if kind == "class"
         )
         assert running == pytest.approx(
@@ -237,9 +237,9 @@
         home.wait(made(number, vcpus=8.0, due_s=1000.0))
     home.look()
     looked = []
-    place_ = home.c.queue._place
+    update_entry = home.c.queue._update_entry
     monkeypatch.setattr(
-        home.c.queue, "_place", lambda *args: looked.append(args[0]) or place_(*args)
+        home.c.queue, "_update_entry", lambda *args: looked.append(args[0]) or update_entry(*args)
     )
     standing = home.c.queue.standing
     monkeypatch.setattr(
@@ -272,8 +272,8 @@
     age: float, running: int, missing: float
 ) -> None:
     shares = FairShares({"low": 45.0, "flood": 45.0}, 100.0)
-    shares.note("f", made(1, jobclass="flood"), 24, 0, 0.0)
-    shares.note(
+    shares.update_job("f", made(1, jobclass="flood"), 24, 0, 0.0)
+    shares.update_job(
         "l",
         made(2, jobclass="low", rank="best_effort", vcpus=4.0, guess_s=100.0),
         running,
@@ -288,10 +288,10 @@
 def test_accounts_are_forgotten_with_their_jobs() -> None:
     shares = FairShares({}, 100.0)
     for number in range(50):
-        shares.note(f"j{number}", made(number, owner=f"team{number}"), 1, 1, float(number))
-        shares.note(f"j{number}", made(number, owner=f"team{number}"), 2, 0, float(number))
+        shares.update_job(f"j{number}", made(number, owner=f"team{number}"), 1, 1, float(number))
+        shares.update_job(f"j{number}", made(number, owner=f"team{number}"), 2, 0, float(number))
     for number in range(50):
-        shares.forget(f"j{number}")
+        shares.remove_job(f"j{number}")
     shares.owed(1e6)  # long after: what came of them no longer counts
     assert shares.accounts == {} and shares.usage == {}
 
@@ -305,11 +305,11 @@
     """A class with little work, and nobody's aim, took a third of a flooded fleet from work
     with deadlines."""
     shares = FairShares({"low": 45.0, "flood": 45.0}, 100.0)
-    shares.note("f", made(1, jobclass="flood"), 24, 0, 0.0)
-    shares.note(
+    shares.update_job("f", made(1, jobclass="flood"), 24, 0, 0.0)
+    shares.update_job(
         "l", made(2, jobclass="low", vcpus=2.0, pieces=tasks, guess_s=guess_s), 0, tasks, 0.0
     )
-    assert 0 < shares.owed(50.0)["class", False, "low"].floor <= most + 1e-6
+    assert 0 < shares.owed(50.0)["class", False, "low"].share_cpus <= most + 1e-6
 
 
 def flooded(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, ManagedJob]:
@@ -405,5 +405,5 @@
     """It goes by what is owed to it; a share would let it borrow before others."""
     shares = FairShares({}, 10.0, [("team", False, "tight")])
     for owner in ("free", "tight", "other"):
-        shares.note(owner, made(1, owner=owner), 0 if owner != "other" else 8, 4, 0.0)
+        shares.update_job(owner, made(1, owner=owner), 0 if owner != "other" else 8, 4, 0.0)
     assert {name for kind, _, name in shares.owed(50.0) if kind == "team"} == {"free"}
--- a/tests/scheduling/test_quota_portions.py
+++ b/tests/scheduling/test_quota_portions.py
@@ -15,15 +15,15 @@
     Ledger,
     Limit,
     Portion,
-    granted,
-    in_force,
-    limit_changed,
-    limited,
-    lowered,
+    change_limit,
+    limit_from_settings,
+    lower_portion,
     may_start,
-    needed,
-    raised,
-    released,
+    raise_grant,
+    raise_portion,
+    release_grant,
+    required_amount,
+    within_limit,
 )
 
 LEDGER = -1  # in place of a holder, of a transaction that writes the ledger
@@ -98,10 +98,10 @@
             portion = Portion(Amount(seen.portion[0]), seen.portion[1])
             if seen.ledger_current:
                 asked = [
-                    granted(state.ledger(), str(holder), Amount(wanted))
+                    raise_grant(state.ledger(), str(holder), Amount(wanted))
                     for wanted in range(1, max(self.limits) + 1)
                 ]
-                for ledger in (*asked, released(state.ledger(), str(holder), portion)):
+                for ledger in (*asked, release_grant(state.ledger(), str(holder), portion)):
                     if ledger is not None:
                         rows = [ledger.grant(str(h)) for h in range(len(state.grants))]
                         value = tuple((row.amount.cpus, row.sequence) for row in rows)
@@ -110,10 +110,10 @@
             if seen.portion_current:
                 grant = Grant(Amount(seen.grant[0]), seen.grant[1])
                 lower = [
-                    lowered(portion, grant, Amount(keep), Amount())
+                    lower_portion(portion, grant, Amount(keep), Amount())
                     for keep in range(portion.amount.cpus + 1)
                 ]
-                for after in (raised(portion, grant), *lower):
+                for after in (raise_portion(portion, grant), *lower):
                     if after is not None:
                         sent = Transaction(process, holder, ((after.amount.cpus, after.sequence),))
                         yield state._replace(in_flight=state.in_flight | {sent})
@@ -137,7 +137,7 @@
     def limit_changes(self, state: State) -> Iterator[State]:
         """The limit is changed, which voids all others that write the ledger."""
         for limit in self.limits:
-            changed = limit_changed(state.ledger(), Limit(limit))
+            changed = change_limit(state.ledger(), Limit(limit))
             if changed is not None:
                 in_flight = frozenset(t for t in state.in_flight if t.record != LEDGER)
                 seen = tuple(s._replace(ledger_current=False) for s in state.seen)
@@ -198,8 +198,8 @@
     """The ledger after a holder that knows both records has given back all that it can."""
     ledger, (amount, number) = state.ledger(), state.portions[int(holder)]
     portion = Portion(Amount(amount), number)
-    portion = lowered(portion, ledger.grant(holder), Amount(), Amount()) or portion
-    return released(ledger, holder, portion) or ledger
+    portion = lower_portion(portion, ledger.grant(holder), Amount(), Amount()) or portion
+    return release_grant(ledger, holder, portion) or ledger
 
 
 class Unconditional(World):
@@ -213,28 +213,28 @@
 def raised_always(portion: Portion, grant: Grant) -> Portion | None:
     """Without regard to a release that may still take effect."""
     newest = max(portion.sequence, grant.sequence)
-    return quota_portions.raised(portion, Grant(grant.amount, newest))
+    return quota_portions.raise_portion(portion, Grant(grant.amount, newest))
 
 
 def released_always(ledger: Ledger, holder: str, portion: Portion) -> Ledger | None:
     """Without regard to grants after the portion that it is based on."""
     before = Grant(ledger.grant(holder).amount, portion.sequence - 1)
-    return quota_portions.released(ledger.replaced(holder, before), holder, portion)
+    return quota_portions.release_grant(ledger.with_grant(holder, before), holder, portion)
 
 
 def granted_beyond(ledger: Ledger, holder: str, wanted: Amount) -> Ledger | None:
     """Without regard to what others have."""
     alone = Ledger(ledger.limit, {holder: ledger.grant(holder)})
-    after = quota_portions.granted(alone, holder, wanted)
-    return None if after is None else ledger.replaced(holder, after.grant(holder))
+    after = quota_portions.raise_grant(alone, holder, wanted)
+    return None if after is None else ledger.with_grant(holder, after.grant(holder))
 
 
 @pytest.mark.parametrize(
     "name, without",
     [
-        ("raised", raised_always),
-        ("released", released_always),
-        ("granted", granted_beyond),
+        ("raise_portion", raised_always),
+        ("release_grant", released_always),
+        ("raise_grant", granted_beyond),
         ("", None),
     ],
 )
@@ -260,7 +260,7 @@
 )
 def test_grants(limit: Limit, others: Amount, held: Amount, wanted: Amount, found: Amount) -> None:
     ledger = Ledger(limit, {"a": Grant(held, 3), "b": Grant(others, 1)})
-    after = granted(ledger, "a", wanted)
+    after = raise_grant(ledger, "a", wanted)
     if found == held:
         assert after is None
     else:
@@ -272,15 +272,18 @@
     portion, grant = Portion(Amount(8, 2), 5), Grant(Amount(9, 2), 5)
     assert may_start(portion, Amount(6, 1), Amount(2, 1))
     assert not may_start(portion, Amount(6, 1), Amount(2, 2))
-    assert lowered(portion, grant, Amount(1, 0), Amount(6, 1)) == Portion(Amount(6, 1), 6)
+    assert lower_portion(portion, grant, Amount(1, 0), Amount(6, 1)) == Portion(Amount(6, 1), 6)
     # Nothing less, but a part of the grant has not been raised: it can be given back.
-    assert lowered(portion, grant, Amount(9, 9), Amount()) == Portion(Amount(8, 2), 6)
-    assert lowered(portion, Grant(portion.amount, 5), Amount(9, 9), Amount()) is None
+    assert lower_portion(portion, grant, Amount(9, 9), Amount()) == Portion(Amount(8, 2), 6)
+    assert lower_portion(portion, Grant(portion.amount, 5), Amount(9, 9), Amount()) is None
 
 
 def test_amounts_are_rounded_to_the_safe_side() -> None:
-    assert needed(0.1 + 0.2, 0.0001) == Amount(300, 1)
-    assert limited(0.0, 2.0019) == Limit(None, 2001)
-    ledger = Ledger(limited(2.0, 0.0), {"a": Grant(needed(1.5, 7.0)), "b": Grant(needed(0.6, 0))})
-    assert not in_force(ledger)
-    assert in_force(ledger.replaced("b", Grant(needed(0.5, 0))))
+    assert required_amount(0.1 + 0.2, 0.0001) == Amount(300, 1)
+    assert limit_from_settings(0.0, 2.0019) == Limit(None, 2001)
+    ledger = Ledger(
+        limit_from_settings(2.0, 0.0),
+        {"a": Grant(required_amount(1.5, 7.0)), "b": Grant(required_amount(0.6, 0))},
+    )
+    assert not within_limit(ledger)
+    assert within_limit(ledger.with_grant("b", Grant(required_amount(0.5, 0))))
