--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -1,4 +1,4 @@
-"""When to ask again, how much at once, and what is not admitted."""
+"""Tests of retries, concurrency limits and admission control."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
     assert (deadline.left(now), deadline.allows(now, needs)) == (left, allowed)
     assert deadline.left(now, 1.0) == min(left, 1.0)
     assert deadline.fraction(now, 0.5).left(now) == pytest.approx(left / 2)
-    assert Deadline().fraction(now, 0.5) == Deadline()  # whoever can wait for ever still can
+    assert Deadline().fraction(now, 0.5) == Deadline()  # no deadline stays no deadline
 
 
-def test_pauses_grow_within_their_bounds_and_begin_anew() -> None:
+def test_pauses_grow_within_bounds_and_reset_when_served() -> None:
     attempt = retries(RetryBudget(0.0, 1e9, 1.0, 0.0)).begin(0.0)
     pauses = [attempt.next_pause(0.0) for _ in range(50)]
     assert all(p is not None and 0.25 <= p <= 4.0 for p in pauses)
@@ -53,31 +53,33 @@
     assert first is not None and first <= 0.75
 
 
-def test_what_comes_too_late_is_not_tried_and_costs_no_budget() -> None:
+def test_retry_after_the_deadline_is_skipped_and_costs_no_budget() -> None:
     budget = RetryBudget(0.0, 2.0, 1.0, 0.0)
     attempt = retries(budget).begin(0.0, Deadline.within(0.0, 0.2))
     assert attempt.next_pause(0.0) is None and budget.level == 2.0
 
 
 @pytest.mark.parametrize(
-    "firsts, asked, waits",
+    "first_attempts, retried, waits",
     [
-        (0, 3, [0.0, 0.0, 0.5]),  # two are saved up; the next are paced
-        (20, 3, [0.0, 0.0, 0.5]),  # first tries earn no more than `most`
+        (0, 3, [0.0, 0.0, 0.5]),  # two retries are available; further ones are delayed
+        (20, 3, [0.0, 0.0, 0.5]),  # first attempts earn no more than the maximum
     ],
 )
-def test_the_budget_paces_all_who_ask_again(firsts: int, asked: int, waits: list[float]) -> None:
-    """A hundred jobs that each ask again in an outage ask together as often as a few."""
+def test_budget_limits_retries_of_all_routines(
+    first_attempts: int, retried: int, waits: list[float]
+) -> None:
+    """In an outage, the retries of many routines together stay within the budget."""
     budget = RetryBudget(0.1, 2.0, 2.0, 0.0)
-    for _ in range(firsts):
+    for _ in range(first_attempts):
         budget.record_request(0.0)
-    assert [budget.reserve(0.0) for _ in range(asked)] == pytest.approx(waits)
-    # A thousand routines in ten seconds: no more than the budget allows.
+    assert [budget.reserve(0.0) for _ in range(retried)] == pytest.approx(waits)
+    # A thousand routines send no more retries in ten seconds than the budget allows.
     turns = [budget.reserve(0.0) for _ in range(1000)]
     assert sum(1 for t in turns if t <= 10.0) <= 2 + 10 * 2
 
 
-def test_first_tries_earn_retries() -> None:
+def test_first_attempts_earn_retries() -> None:
     budget = RetryBudget(0.5, 10.0, 0.001, 0.0)
     budget.level = 0.0
     for _ in range(4):
@@ -86,25 +88,25 @@
 
 
 @pytest.mark.parametrize(
-    "answers, bound",
+    "answers, limit",
     [
-        ([(0.01, True)] * 60, 12),  # grows while it is used and answered well
-        ([(0.01, True)] * 3 + [(1.0, True)] * 30, 4),  # slow answers: more would only wait longer
-        ([(1.0, False)] * 40, 2),  # unanswered: down to the least, not below
+        ([(0.01, True)] * 60, 12),  # fast answers under load raise the limit
+        ([(0.01, True)] * 3 + [(1.0, True)] * 30, 4),  # slow answers reduce it
+        ([(1.0, False)] * 40, 2),  # failures reduce it to the minimum
     ],
 )
-def test_the_bound_follows_how_requests_fare(answers: list[tuple[float, bool]], bound: int) -> None:
+def test_limit_adapts_to_answers(answers: list[tuple[float, bool]], limit: int) -> None:
     inflight, now = ConcurrencyLimit(8, 2, 12), 0.0
     for took, served in answers:
         while not inflight.full:
             inflight.acquire()
         now += took
         inflight.release(now, took, served)
-    assert int(inflight.limit) <= bound if answers[-1][0] > 0.5 else int(inflight.limit) == bound
+    assert int(inflight.limit) <= limit if answers[-1][0] > 0.5 else int(inflight.limit) == limit
     assert inflight.limit >= 2
 
 
-def test_one_outage_cuts_the_bound_once_for_all_that_was_on_its_way() -> None:
+def test_one_outage_reduces_the_limit_once_for_all_requests_in_flight() -> None:
     inflight = ConcurrencyLimit(10, 1, 100)
     for _ in range(10):
         inflight.acquire()
@@ -113,7 +115,7 @@
     assert inflight.limit == pytest.approx(10 * DECREASE_FACTOR)
 
 
-def test_an_idle_client_learns_nothing() -> None:
+def test_limit_does_not_rise_while_idle() -> None:
     inflight = ConcurrencyLimit(10, 1, 100)
     for _ in range(500):
         inflight.acquire()
@@ -122,27 +124,27 @@
 
 
 @pytest.mark.parametrize("backlog, answer", [(0.0, 0), (3.5, 0), (3.6, 2), (10.0, 9), (500.0, 30)])
-def test_admission_control_says_when_to_retry(backlog: float, answer: int) -> None:
+def test_admission_control_returns_when_to_retry(backlog: float, answer: int) -> None:
     assert AdmissionControl(3.5, 30.0).retry_after_s(backlog) == answer
 
 
-def test_a_gate_keeps_to_its_bound_and_lets_the_urgent_ahead(monkeypatch: Any) -> None:
+def test_gate_keeps_its_limit_and_admits_by_priority(monkeypatch: Any) -> None:
     passed: list[str] = []
-    most = 0
+    most_in_flight = 0
 
     async def main(clock: Clock) -> None:
         gate = Gate(ConcurrencyLimit(2, 1, 2), 60.0)
 
-        async def one(name: str, ahead: float, takes: float) -> None:
-            nonlocal most
-            async with gate.slot(ahead) as slot:
-                most = max(most, gate.inflight.in_flight)
-                await curio.sleep(takes)
+        async def send(name: str, priority: float, duration_s: float) -> None:
+            nonlocal most_in_flight
+            async with gate.slot(priority) as slot:
+                most_in_flight = max(most_in_flight, gate.inflight.in_flight)
+                await curio.sleep(duration_s)
                 slot.served = True
                 passed.append(name)
 
         tasks = [
-            await curio.spawn(one, n, a, t)
+            await curio.spawn(send, n, a, t)
             for n, a, t in (
                 ("a", 0.0, 1.0),
                 ("b", 0.0, 9.0),
@@ -155,11 +157,11 @@
         assert gate.inflight.in_flight == 0
 
     simulate(monkeypatch, main)
-    assert most == 2 and passed.index("urgent") < passed.index("later")
+    assert most_in_flight == 2 and passed.index("urgent") < passed.index("later")
 
 
-def test_who_leaves_the_line_takes_no_place_with_it(monkeypatch: Any) -> None:
-    """Cancelled or out of time just as its turn came: the place must go to the next."""
+def test_slot_of_a_request_that_leaves_the_queue_goes_to_the_next(monkeypatch: Any) -> None:
+    """A request that times out or is cancelled in the queue must not keep a slot."""
 
     async def main(clock: Clock) -> None:
         gate = Gate(ConcurrencyLimit(1, 1, 1), 60.0)
@@ -170,28 +172,28 @@
                 await curio.sleep(5.0)
                 slot.served = True
 
-        async def hurried() -> None:
+        async def expiring() -> None:
             with pytest.raises(GateClosedError):
                 async with gate.slot(0.0, Deadline.within(clock(), 1.0)):
-                    raise AssertionError("let in too late")
-            done.append("hurried")
+                    raise AssertionError("admitted after the deadline")
+            done.append("expiring")
 
         holder = await curio.spawn(hold)
         await curio.sleep(0)
-        waiting = await curio.spawn(hurried)
+        waiting = await curio.spawn(expiring)
         cancelled = await curio.spawn(hold)
         last = await curio.spawn(hold)
         await curio.sleep(2.0)
         await cancelled.cancel()
         for task in (holder, waiting, last):
             await task.join()
-        assert done == ["hurried"] and not gate.queue and gate.inflight.in_flight == 0
+        assert done == ["expiring"] and not gate.queue and gate.inflight.in_flight == 0
 
     simulate(monkeypatch, main)
 
 
-def test_all_who_wait_for_a_server_go_on_when_it_is_back(monkeypatch: Any) -> None:
-    """Not when their own long pauses end: after an outage everybody is needed at once."""
+def test_recovery_wakes_all_waiting_routines(monkeypatch: Any) -> None:
+    """Routines continue at the recovery, not only at the end of their own long pauses."""
 
     async def main(clock: Clock) -> None:
         circuit = Circuit(
@@ -199,20 +201,20 @@
         )
         woken: list[float] = []
 
-        async def one() -> None:
+        async def retry() -> None:
             attempt = circuit.begin()
             assert await circuit.back_off(attempt)
             woken.append(clock())
 
         await circuit.record(False)
-        tasks = [await curio.spawn(one) for _ in range(20)]
+        tasks = [await curio.spawn(retry) for _ in range(20)]
         await curio.sleep(2.0)
         assert not woken
         await circuit.record(True)
         for task in tasks:
             await task.join()
         assert max(woken) - min(woken) < 0.1
-        await circuit.record(True)  # still there: nothing to wake anybody for
+        await circuit.record(True)  # the server was serving already, so no routine is woken
         assert not circuit.recovered.is_set()
 
     simulate(monkeypatch, main)
--- a/tests/scheduling/test_quota_portions.py
+++ b/tests/scheduling/test_quota_portions.py
@@ -1,5 +1,8 @@
-"""Portions of a team's quota: grants never exceed the limit, and no portion its grant, in every
-order of reads, transactions, losses and late copies of small worlds."""
+"""Tests of quota portions, by exhaustive exploration of small models.
+
+In every order of reads and transactions, with lost and delayed ones, grants never exceed the limit
+and no portion exceeds its grant.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +29,14 @@
     within_limit,
 )
 
-LEDGER = -1  # in place of a holder, of a transaction that writes the ledger
-FLYING_MOST = 2  # transactions of a process whose fate is open
+LEDGER = -1  # the value of `Transaction.record` for a transaction that writes the ledger
+MAX_IN_FLIGHT = 2  # the most transactions in flight per process
 
 Pair = tuple[int, int]  # an amount and its sequence number
 
 
 class Seen(NamedTuple):
-    """What a process last read of both records, and whether each still is as it was read."""
+    """The values that a process last read of both records, and whether each is still current."""
 
     grant: Pair = (0, 0)
     ledger_current: bool = True
@@ -42,8 +45,11 @@
 
 
 class Transaction(NamedTuple):
-    """One that was sent, and may be carried out at any time while its record is unchanged. A
-    copy of it, or one that is lost, makes no difference to that."""
+    """A transaction in flight, which may be applied at any time while its record is unchanged.
+
+    Lost and duplicated transactions need no states of their own: a lost one is never applied, and a
+    duplicate fails because the record has changed.
+    """
 
     process: int
     record: int  # the holder whose portion it writes, or LEDGER
@@ -51,7 +57,7 @@
 
 
 class State(NamedTuple):
-    """The records, what each process has seen, and what is on its way."""
+    """The records, the values that each process has read, and the transactions in flight."""
 
     limit: int
     grants: tuple[Pair, ...]
@@ -60,26 +66,26 @@
     in_flight: frozenset[Transaction] = frozenset()
 
     def ledger(self) -> Ledger:
-        """The ledger's record."""
+        """Return the ledger's record."""
         rows = {str(h): Grant(Amount(a), number) for h, (a, number) in enumerate(self.grants)}
         return Ledger(Limit(self.limit), rows)
 
 
-class World(NamedTuple):
-    """Which holder each process acts for, the limits, and up to which number it is explored."""
+class Model(NamedTuple):
+    """A model: the holder of each process, the limits, and the bound of sequence numbers."""
 
     processes: tuple[int, ...]
     limits: tuple[int, ...]
     sequences: int
 
     def start(self) -> State:
-        """Nothing is granted, and everybody knows it."""
+        """Return the initial state: no grants, and all processes have read both records."""
         holders = max(self.processes) + 1
         nothing = ((0, 0),) * holders
         return State(self.limits[0], nothing, nothing, (Seen(),) * len(self.processes))
 
     def reads(self, state: State) -> Iterator[State]:
-        """A process reads one of the records."""
+        """Yield the states after a process reads one of the records."""
         for process, holder in enumerate(self.processes):
             for part in (
                 {"grant": state.grants[holder], "ledger_current": True},
@@ -90,9 +96,9 @@
                 yield state._replace(seen=tuple(seen))
 
     def sends(self, state: State) -> Iterator[State]:
-        """A process sends what it would by what it has seen, where that can still be applied."""
+        """Yield the states after a process sends a transaction that can still be applied."""
         for process, holder in enumerate(self.processes):
-            if sum(t.process == process for t in state.in_flight) >= FLYING_MOST:
+            if sum(t.process == process for t in state.in_flight) >= MAX_IN_FLIGHT:
                 continue
             seen = state.seen[process]
             portion = Portion(Amount(seen.portion[0]), seen.portion[1])
@@ -119,7 +125,7 @@
                         yield state._replace(in_flight=state.in_flight | {sent})
 
     def applies(self, state: State) -> Iterator[State]:
-        """One of those on their way is carried out; all others for its record are void."""
+        """Yield the states after a transaction is applied and others for its record are void."""
         for sent in state.in_flight:
             in_flight = frozenset(t for t in state.in_flight if t.record != sent.record)
             if sent.record == LEDGER:
@@ -135,7 +141,7 @@
                 yield state._replace(portions=tuple(portions), seen=seen, in_flight=in_flight)
 
     def limit_changes(self, state: State) -> Iterator[State]:
-        """The limit is changed, which voids all others that write the ledger."""
+        """Yield the states after the limit changes and transactions for the ledger are void."""
         for limit in self.limits:
             changed = change_limit(state.ledger(), Limit(limit))
             if changed is not None:
@@ -144,7 +150,7 @@
                 yield state._replace(limit=limit, seen=seen, in_flight=in_flight)
 
     def steps(self, state: State) -> Iterator[State]:
-        """All states that follow within the bound."""
+        """Yield all next states within the bound of sequence numbers."""
         for each in (self.reads, self.sends, self.applies, self.limit_changes):
             for after in each(state):
                 rows = (*after.grants, *after.portions)
@@ -152,8 +158,8 @@
                     yield after
 
 
-def wrong(before: State, after: State) -> str:
-    """Which rule a step broke; empty if none."""
+def violated_invariant(before: State, after: State) -> str:
+    """Return the invariant that a step violated, or an empty string."""
     for (portion, _), (grant, _) in zip(after.portions, after.grants):
         if portion > grant:
             return "a portion exceeds its grant"
@@ -163,122 +169,124 @@
     return ""
 
 
-def explore(world: World) -> tuple[str, set[State]]:
-    """Visit every state: the first broken rule, and the states that were visited."""
-    first = world.start()
+def explore(model: Model) -> tuple[str, set[State]]:
+    """Visit all states; return the first violated invariant and the visited states."""
+    first = model.start()
     visited, todo = {first}, [first]
     while todo:
         state = todo.pop()
-        for after in world.steps(state):
-            if broken := wrong(state, after):
-                return broken, visited
+        for after in model.steps(state):
+            if violated := violated_invariant(state, after):
+                return violated, visited
             if after not in visited:
                 visited.add(after)
                 todo.append(after)
     return "", visited
 
 
-WORLDS = {
-    "one holder, whose limit changes": World((0,), (2, 1), 8),
-    "two holders, a limit that changes": World((0, 1), (2, 1), 2),
-    "two processes of one holder": World((0, 0), (2,), 2),
+MODELS = {
+    "one holder, limit changes": Model((0,), (2, 1), 8),
+    "two holders, limit changes": Model((0, 1), (2, 1), 2),
+    "two processes of one holder": Model((0, 0), (2,), 2),
 }
 
 
-@pytest.mark.parametrize("name", WORLDS)
-def test_every_order(name: str) -> None:
-    broken, states = explore(WORLDS[name])
-    assert not broken and len(states) > 1000
+@pytest.mark.parametrize("name", MODELS)
+def test_invariants_hold_in_every_order(name: str) -> None:
+    violated, states = explore(MODELS[name])
+    assert not violated and len(states) > 1000
     for state in states:
         for holder in map(str, range(len(state.grants))):
-            assert given_back(state, holder).grant(holder).amount == Amount()
+            assert fully_released(state, holder).grant(holder).amount == Amount()
 
 
-def given_back(state: State, holder: str) -> Ledger:
-    """The ledger after a holder that knows both records has given back all that it can."""
+def fully_released(state: State, holder: str) -> Ledger:
+    """Return the ledger after a holder with current records has released all that it can."""
     ledger, (amount, number) = state.ledger(), state.portions[int(holder)]
     portion = Portion(Amount(amount), number)
     portion = lower_portion(portion, ledger.grant(holder), Amount(), Amount()) or portion
     return release_grant(ledger, holder, portion) or ledger
 
 
-class Unconditional(World):
-    """A world in which a transaction is carried out even if its record has changed."""
+class Unconditional(Model):
+    """A model in which a transaction is applied even if its record has changed."""
 
     def applies(self, state: State) -> Iterator[State]:
         for after in super().applies(state):
             yield after._replace(in_flight=state.in_flight)
 
 
-def raised_always(portion: Portion, grant: Grant) -> Portion | None:
-    """Without regard to a release that may still take effect."""
+def raise_unconditionally(portion: Portion, grant: Grant) -> Portion | None:
+    """Raise a portion although a release may still take effect."""
     newest = max(portion.sequence, grant.sequence)
     return quota_portions.raise_portion(portion, Grant(grant.amount, newest))
 
 
-def released_always(ledger: Ledger, holder: str, portion: Portion) -> Ledger | None:
-    """Without regard to grants after the portion that it is based on."""
+def release_unconditionally(ledger: Ledger, holder: str, portion: Portion) -> Ledger | None:
+    """Repeat the release of a portion although its grant may have been raised since."""
     before = Grant(ledger.grant(holder).amount, portion.sequence - 1)
     return quota_portions.release_grant(ledger.with_grant(holder, before), holder, portion)
 
 
-def granted_beyond(ledger: Ledger, holder: str, wanted: Amount) -> Ledger | None:
-    """Without regard to what others have."""
+def grant_beyond_limit(ledger: Ledger, holder: str, wanted: Amount) -> Ledger | None:
+    """Raise a grant without regard to the grants of other holders."""
     alone = Ledger(ledger.limit, {holder: ledger.grant(holder)})
     after = quota_portions.raise_grant(alone, holder, wanted)
     return None if after is None else ledger.with_grant(holder, after.grant(holder))
 
 
 @pytest.mark.parametrize(
-    "name, without",
+    "name, replacement",
     [
-        ("raise_portion", raised_always),
-        ("release_grant", released_always),
-        ("raise_grant", granted_beyond),
+        ("raise_portion", raise_unconditionally),
+        ("release_grant", release_unconditionally),
+        ("raise_grant", grant_beyond_limit),
         ("", None),
     ],
 )
-def test_without_a_condition_a_rule_breaks(
-    monkeypatch: pytest.MonkeyPatch, name: str, without: object
+def test_invariants_fail_without_each_condition(
+    monkeypatch: pytest.MonkeyPatch, name: str, replacement: object
 ) -> None:
-    if without is not None:
-        monkeypatch.setitem(World.sends.__globals__, name, without)
-    kind = World if without is not None else Unconditional
-    assert any(explore(kind(*world))[0] for world in WORLDS.values())
+    if replacement is not None:
+        monkeypatch.setitem(Model.sends.__globals__, name, replacement)
+    kind = Model if replacement is not None else Unconditional
+    assert any(explore(kind(*model))[0] for model in MODELS.values())
 
 
-# Limit, what others have, what is held, what is wanted; what is held then.
+# The limit, the grant of another holder, the present and the wanted grant, the resulting grant.
 @pytest.mark.parametrize(
-    "limit, others, held, wanted, found",
+    "limit, others, current, wanted, expected",
     [
         (Limit(10, 4), Amount(4, 1), Amount(2, 1), Amount(8, 2), Amount(6, 2)),
         (Limit(10, 4), Amount(4, 3), Amount(2, 1), Amount(5, 2), Amount(5, 1)),
-        (Limit(10, 4), Amount(9, 4), Amount(2, 1), Amount(5, 2), Amount(2, 1)),  # lowered since
-        (Limit(10, 4), Amount(0, 0), Amount(3, 1), Amount(1, 0), Amount(3, 1)),  # never less
+        (Limit(10, 4), Amount(9, 4), Amount(2, 1), Amount(5, 2), Amount(2, 1)),  # limit lowered
+        (Limit(10, 4), Amount(0, 0), Amount(3, 1), Amount(1, 0), Amount(3, 1)),  # never lowered
         (Limit(None, 4), Amount(900, 0), Amount(0, 0), Amount(500, 9), Amount(500, 4)),
     ],
 )
-def test_grants(limit: Limit, others: Amount, held: Amount, wanted: Amount, found: Amount) -> None:
-    ledger = Ledger(limit, {"a": Grant(held, 3), "b": Grant(others, 1)})
+def test_raise_grant(
+    limit: Limit, others: Amount, current: Amount, wanted: Amount, expected: Amount
+) -> None:
+    ledger = Ledger(limit, {"a": Grant(current, 3), "b": Grant(others, 1)})
     after = raise_grant(ledger, "a", wanted)
-    if found == held:
+    if expected == current:
         assert after is None
     else:
-        assert after is not None and after.grant("a") == Grant(found, 3)
+        assert after is not None and after.grant("a") == Grant(expected, 3)
         assert after.grant("b") == ledger.grant("b")
 
 
-def test_what_is_used_is_kept() -> None:
+def test_lower_portion_keeps_what_is_used() -> None:
     portion, grant = Portion(Amount(8, 2), 5), Grant(Amount(9, 2), 5)
     assert may_start(portion, Amount(6, 1), Amount(2, 1))
     assert not may_start(portion, Amount(6, 1), Amount(2, 2))
     assert lower_portion(portion, grant, Amount(1, 0), Amount(6, 1)) == Portion(Amount(6, 1), 6)
-    # Nothing less, but a part of the grant has not been raised: it can be given back.
+    # The portion stays, but the rest of the grant was never taken and can be released.
     assert lower_portion(portion, grant, Amount(9, 9), Amount()) == Portion(Amount(8, 2), 6)
     assert lower_portion(portion, Grant(portion.amount, 5), Amount(9, 9), Amount()) is None
 
 
-def test_amounts_are_rounded_to_the_safe_side() -> None:
+def test_requirements_round_up_and_limits_round_down() -> None:
     assert required_amount(0.1 + 0.2, 0.0001) == Amount(300, 1)
     assert limit_from_settings(0.0, 2.0019) == Limit(None, 2001)
     ledger = Ledger(
