--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -14,7 +14,7 @@
 
 
 class GateClosedError(Exception):
-    """No slot became free in time, and the request was not sent."""
+    """Raised for a request that was not sent because no slot became free in time."""
 
 
 class Circuit:
--- a/clayport/scheduling/demand_report.py
+++ b/clayport/scheduling/demand_report.py
@@ -20,7 +20,7 @@
 
 
 class DemandRow(NamedTuple):
-    """One waiting job, in the order of `frames.DEMAND`.
+    """A job with waiting tasks; the fields are in the order of `frames.DEMAND`.
 
     Attributes:
         job: The job's id.
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -1,4 +1,4 @@
-"""Fair shares: the CPUs to which a class or team is entitled once its jobs wait too long.
+"""Fair shares of CPUs for classes and teams whose jobs wait too long.
 
 Jobs are ordered by rank. Strict order by rank starves the lower ranks while a higher rank is
 overloaded. So each class (and each team) whose jobs have waited too long is entitled to a share of
@@ -217,8 +217,8 @@
         name: str
         since, name = account.waiting_jobs[0]
         usage = self.usage[name]
-        waited = (now - since) / max(self._tolerated_wait_s(usage.accounts[0]), 1e-3)
-        return min(1.0, max(0.0, (waited - SHARE_START) / (SHARE_FULL - SHARE_START)))
+        wait_ratio = (now - since) / max(self._tolerated_wait_s(usage.accounts[0]), 1e-3)
+        return min(1.0, max(0.0, (wait_ratio - SHARE_START) / (SHARE_FULL - SHARE_START)))
 
     def needed_cpus(self, key: AccountKey, now: float) -> float:
         """Return the CPUs that the account needs to run all its work.
@@ -232,9 +232,9 @@
             account.arrived_cpu_s -= account.arrivals.popleft()[1]
         if not account.arrivals:
             account.arrived_cpu_s = 0.0
-        since = min(span, max(now - self.started_at, span * SHARE_START))
+        counted_s = min(span, max(now - self.started_at, span * SHARE_START))
         return max(
-            account.arrived_cpu_s / since,
+            account.arrived_cpu_s / counted_s,
             account.backlog_cpu_s / max(self._tolerated_wait_s(key), 1e-3),
         )
 
@@ -249,7 +249,7 @@
             if account.jobs:
                 total, count = totals.get((kind, gpus), (0.0, 0))
                 totals[kind, gpus] = total + account.running_cpus, count + 1
-        found = {}
+        shares = {}
         for key, account in list(self.accounts.items()):
             total, count = totals.get((key[0], key[1]), (0.0, 0))
             needed_cpus = self.needed_cpus(key, now)
@@ -261,10 +261,10 @@
                 total / (count + 1), MAX_SHARE_OF_NEED * needed_cpus
             )
             if share_cpus > 0 and account.running_cpus < PROTECTION_MARGIN * share_cpus:
-                found[key] = FairShare(
+                shares[key] = FairShare(
                     share_cpus,
                     max(0.0, min(share_cpus - account.running_cpus, account.waiting_cpus)),
                     total,
                     account.standing,
                 )
-        return found
+        return shares
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -386,9 +386,9 @@
         (1.0, 6.0, 2.0, None, 1),
         (1.0, 2.0, 2.0, None, 0),
         (1.0, 4.0, 4.0, None, 1),  # as large as the job that the room is reserved for
-        (1.0, 4.0, 2.0, {"accel"}, 2),
+        (1.0, 4.0, 2.0, {"accel"}, 2),  # the large job fits no machine of this type
     ],
-)  # with types: the large job fits no machine of this type
+)
 def test_small_tasks_leave_reserved_room_to_large_tasks(
     share: float, free: float, cpus: float, types: set[str] | None, placed: int
 ) -> None:
