--- a/clayport/membership/__init__.py
+++ b/clayport/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which controllers take part: epochs, heartbeats, failure detection and failover."""
+"""Membership of the controllers: epochs, heartbeats, failure detection and failover."""
--- a/clayport/membership/epoch.py
+++ b/clayport/membership/epoch.py
@@ -1,9 +1,9 @@
-"""Epochs: numbered member lists, which also say who leads a job and who owns a machine.
+"""Epochs: numbered member lists that determine each job's leader and each machine's owner.
 
-One record holds the epoch, and every commit that assigns or ends work is conditional on its
-revision. Safety does not depend on what a controller believes: one that is no longer a member
-and does not know it yet can change nothing, since its commits fail and its fencing tokens are
-lower than those of its successors.
+One record holds the epoch, and every commit that assigns or ends work is conditional on the
+revision of this record. Safety does not depend on what a controller believes: a controller that
+has been removed and does not know it yet can change nothing, because its commits fail and its
+fencing tokens are lower than those of its successors.
 """
 
 from __future__ import annotations
@@ -13,19 +13,20 @@
 
 from clayport.membership.rendezvous import rendezvous
 
-# A token is the epoch's number above the owner's own counter for the machine.
+# A fencing token holds the epoch's number in its high bits, and in these low bits a counter that
+# the owner keeps for each machine.
 TOKEN_COUNTER_BITS = 24
-# Keys (jobs and machines) of which an epoch remembers the member.
+# The number of keys (jobs and machines) whose member an epoch caches.
 MAX_CACHED_KEYS = 20_000
 
 
 class Epoch:
-    """A member list as committed.
+    """A committed member list.
 
     Attributes:
-        number: Grows by one with each epoch.
+        number: One higher than that of the previous epoch.
         members: The incarnation of each member, by the controller's label.
-        rev: The revision of the epoch's record, on which every commit under it is conditional.
+        rev: The revision of the epoch's record. Every commit under the epoch is conditional on it.
         provisioner: The member that rents and returns machines.
     """
 
@@ -38,10 +39,10 @@
 
     @staticmethod
     def parse(value: Any, rev: int) -> Epoch:
-        """Build an epoch from its record and the record's revision.
+        """Return the epoch that a record holds, given the record's revision.
 
         Raises:
-            KeyError, TypeError, ValueError, AttributeError: The value has another shape.
+            KeyError, TypeError, ValueError, AttributeError: The value is malformed.
         """
         members = {str(label): str(inc) for label, inc in value["members"].items()}
         return Epoch(int(value["number"]), members, rev)
@@ -52,11 +53,11 @@
 
     @property
     def first_token(self) -> int:
-        """The least fencing token of this epoch; the machines' counters are added to it."""
+        """The lowest fencing token of this epoch, to which a machine's counter is added."""
         return self.number << TOKEN_COUNTER_BITS
 
     def member_for(self, key: str) -> str:
-        """Return the member that a job (its leader) or a machine (its owner) belongs to.
+        """Return the leader of a job, or the owner of a machine.
 
         Args:
             key: The id of the job, or the name of the machine.
@@ -64,8 +65,8 @@
         Returns:
             The member's label, or "" if the epoch has no members.
         """
-        # Cached, since each report asks for it. Users may ask for jobs that never were, so
-        # the cache is bounded: it is cleared when it is full.
+        # Cached, because every worker report looks its machine up. Users may ask for jobs that
+        # do not exist, so the cache is bounded: it is cleared when it is full.
         member = self._member_by_key.get(key)
         if member is None:
             if len(self._member_by_key) >= MAX_CACHED_KEYS:
@@ -80,12 +81,13 @@
 def may_propose(label: str, members: Mapping[str, str], present: Mapping[str, str]) -> bool:
     """Return whether a controller may propose the next epoch.
 
-    A member may; another controller only if none of the members is present. One that has just
-    started does not know who has restarted how often (`FlapDamping`).
+    A member may propose. Any other controller may do so only if no member is present, because a
+    controller that has just started does not know how often the others have restarted
+    (`FlapDamping`).
 
     Args:
         label: The controller.
-        members: The incarnations of the present epoch's members, by label.
+        members: The incarnations of the current epoch's members, by label.
         present: The incarnations of the controllers whose keys are in the state service.
     """
     return members.get(label) == present.get(label) is not None or not any(
@@ -94,10 +96,10 @@
 
 
 def successor(current: Epoch, present: Mapping[str, str]) -> Epoch | None:
-    """Return the epoch to propose for the controllers present, or None for no change.
+    """Return the epoch to propose for the controllers present, or None if nothing changes.
 
-    A restarted controller has a new incarnation: it has forgotten its reservations and
-    counters, so it must not go on in the present epoch.
+    A restarted controller has a new incarnation. It has lost its reservations and counters, so
+    it must not continue in the current epoch.
     """
     if not present or present == current.members:
         return None
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -1,4 +1,4 @@
-"""Taking over this controller's shard of the jobs when an epoch begins."""
+"""Failover: loads the jobs that this controller leads when an epoch begins."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 
 log = logging.getLogger(__name__)
 
-# The chunks of a job, by their size and index.
+# The chunks of a job, by chunk size and index.
 Chunks = dict[tuple[int, int], Chunk]
 
 
-class Shard(NamedTuple):
-    """What the records under `run/` hold of the jobs that this controller is to lead.
+class LoadedChunks(NamedTuple):
+    """The chunks under `run/` of the jobs that this controller leads.
 
     Attributes:
-        chunks: The jobs' chunks, by job.
-        unreadable: The jobs with a chunk that can't be read, of all controllers.
+        chunks: The chunks, by job.
+        unreadable: The jobs of any controller that have a malformed chunk.
     """
 
     chunks: dict[str, Chunks]
@@ -47,11 +47,11 @@
 
 
 class EndedJob(NamedTuple):
-    """A job that has ended, and still has chunks.
+    """A job that has ended and still has chunks.
 
     Attributes:
-        job: Its description.
-        status: Its final state.
+        job: The job's description.
+        status: The status in the job's final record.
     """
 
     job: Job
@@ -59,7 +59,7 @@
 
 
 class Failover:
-    """Loads the shard of an epoch's jobs that this controller leads."""
+    """Loads the jobs that an epoch assigns to this controller."""
 
     def __init__(
         self,
@@ -89,9 +89,10 @@
         self.store = store
 
     async def load(self, epoch: Epoch) -> None:
-        """Load the shard, trying until the epoch has moved on.
+        """Load this controller's jobs, with retries until a newer epoch begins.
 
-        No commit of an earlier epoch can follow the key of this one.
+        The loaded records cannot change under an earlier epoch, because the commits of that
+        epoch fail once the key of this epoch is written.
         """
         attempt = self.store.begin()
         while self.membership.epoch is epoch:
@@ -105,40 +106,40 @@
             await self.store.back_off(attempt)
 
     async def _load_once(self, epoch: Epoch) -> None:
-        """Read the records and begin to serve, unless the epoch has moved on.
+        """Read the records and start serving, unless a newer epoch has begun meanwhile.
 
         Raises:
-            UnavailableError, OutcomeUnknownError: The state service doesn't answer.
+            UnavailableError, OutcomeUnknownError: The state service does not answer.
             MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
         """
         entries, _ = await self.store.scan("run/")
         if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
             "run/", [entry.key for entry in entries]
         ):
-            return  # records are gone: the rebuild sees to it
-        shard = self._parse_shard(entries, epoch)
-        ended = await self._ended_jobs(shard.chunks)
+            return  # records are missing: the rebuild restores them
+        loaded = self._parse_chunks(entries, epoch)
+        ended = await self._ended_jobs(loaded.chunks)
         if self.membership.epoch is not epoch or self.rebuild.in_doubt:
             return
         for job_id, (job, rev) in self.jobs.live.items():
             if (
                 rev
                 and epoch.member_for(job_id) == self.membership.label
-                and job_id not in shard.unreadable
+                and job_id not in loaded.unreadable
             ):
-                self.lead(job, rev, shard.chunks.get(job_id, {}), "")
+                self.lead(job, rev, loaded.chunks.get(job_id, {}), "")
         for job_id, (job, status) in ended.items():
             self.jobs.ended_descriptions[job_id] = job
-            self.lead(job, 0, shard.chunks[job_id], status)
+            self.lead(job, 0, loaded.chunks[job_id], status)
         self.membership.serving = True
         log.info("epoch=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
             self.routines.signal(name)
         await self.routines.flush()
 
-    def _parse_shard(self, entries: list[Entry], epoch: Epoch) -> Shard:
-        """The chunks of the jobs that the epoch gives to this controller."""
-        shard = Shard({}, set())
+    def _parse_chunks(self, entries: list[Entry], epoch: Epoch) -> LoadedChunks:
+        """Return the chunks of the jobs that the epoch assigns to this controller."""
+        loaded = LoadedChunks({}, set())
         for entry in entries:
             if is_anchor(entry.key):
                 continue
@@ -146,19 +147,19 @@
                 job_id, size, index = parse_chunk_key(entry.key)
                 if epoch.member_for(job_id) == self.membership.label:
                     chunk = Chunk.parse(entry.value, entry.rev)
-                    shard.chunks.setdefault(job_id, {})[size, index] = chunk
+                    loaded.chunks.setdefault(job_id, {})[size, index] = chunk
             except (KeyError, TypeError, ValueError) as exc:
-                # The job stays as it is: none of its tasks may be started, for
-                # they may run. All others go on.
+                # The job is not loaded, because its tasks may be running and must not be
+                # started a second time. All other jobs are served.
                 log.error("key=%s event=malformed-value cause=%r", entry.key, exc)
-                shard.unreadable.add(entry.key.split("/")[1])
-        return shard
+                loaded.unreadable.add(entry.key.split("/")[1])
+        return loaded
 
     async def _ended_jobs(self, chunks: dict[str, Chunks]) -> dict[str, EndedJob]:
-        """The jobs that have ended and still have chunks.
+        """Return the jobs that have ended and still have chunks.
 
         Raises:
-            UnavailableError: The state service doesn't answer.
+            UnavailableError: The state service does not answer.
             MsgspecError, KeyError, TypeError, ValueError: A record is malformed.
         """
         ended: dict[str, EndedJob] = {}
@@ -173,13 +174,13 @@
         return ended
 
     def lead(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
-        """Become the leader of a job, and start its routine.
+        """Become the leader of a job and start its routine.
 
         Args:
-            job: Its description.
-            rev: The revision of its live record, 0 if that is gone.
-            chunks: What was read of its tasks.
-            ended: Its final state, if it has one.
+            job: The job's description.
+            rev: The revision of the job's live record, or 0 if there is none.
+            chunks: The job's chunks as read.
+            ended: The status in the job's final record, or "" if the job has not ended.
         """
         cluster = self.settings.cluster
         managed = ManagedJob(
--- a/clayport/membership/flap_damping.py
+++ b/clayport/membership/flap_damping.py
@@ -1,28 +1,27 @@
-"""Flap damping: controllers that restart too often are left out of epochs for a while."""
+"""Flap damping: keeps controllers that restart too often out of epochs for a while."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-# Restarts within the window that cost a controller no pause: it is back at once, as after a
-# rolling upgrade.
+# Restarts within the window after which a controller rejoins at once, as in a rolling upgrade.
 RESTARTS_WITHOUT_PAUSE = 2
 
 
 class FlapDamping:
-    """Which controllers restart too often, and until when they are left out.
+    """Tracks the restarts of controllers and excludes those that restart too often.
 
-    Each restart costs all other controllers a new epoch: they announce it to their workers
-    and load their jobs again. So a controller that has restarted more than
-    `RESTARTS_WITHOUT_PAUSE` times within the window is left out for a pause that doubles with
-    each further restart, and the others serve its share. This only limits cost; who is in an
-    epoch is decided by the commit of its record.
+    Each restart causes a new epoch, which all other controllers announce to their workers and for
+    which they load their jobs again. So a controller that has restarted more than
+    `RESTARTS_WITHOUT_PAUSE` times within the window is excluded for a pause that doubles with
+    each further restart, and the others serve its share. The exclusion only limits this cost:
+    the commit of an epoch's record decides who is a member.
 
-    Controllers are named by their labels; times are seconds of one steady clock.
+    Controllers are identified by their labels. Times are seconds on the monotonic clock.
     """
 
     def __init__(self, window_s: float, pause_s: float, max_pause_s: float) -> None:
-        """Begin without any restart observed.
+        """Start with no restart observed.
 
         Args:
             window_s: How long a restart counts.
@@ -31,12 +30,12 @@
         """
         self.window_s, self.pause_s, self.max_pause_s = window_s, pause_s, max_pause_s
         self.last_incarnations: dict[str, str] = {}
-        self.restarts: dict[str, list[float]] = {}  # the times of those within the window
-        self.paused_until: dict[str, float] = {}  # when the pause ends
+        self.restarts: dict[str, list[float]] = {}  # times of the recent restarts
+        self.paused_until: dict[str, float] = {}
 
     def observe(self, present: Mapping[str, str], now: float) -> list[str]:
-        """Record the incarnations of those present; return who is left out from now on."""
-        left_out = []
+        """Record the incarnations of those present; return the controllers excluded from now on."""
+        excluded = []
         for label, incarnation in present.items():
             previous = self.last_incarnations.get(label)
             self.last_incarnations[label] = incarnation
@@ -49,16 +48,17 @@
                 self.paused_until[label] = now + min(
                     self.max_pause_s, self.pause_s * 2.0**doublings
                 )
-                left_out.append(label)
-        return left_out
+                excluded.append(label)
+        return excluded
 
     def admitted(
         self, members: Mapping[str, str], present: Mapping[str, str], now: float
     ) -> dict[str, str]:
-        """Return who may be in the next epoch, with their incarnations.
+        """Return the controllers that may be in the next epoch, with their incarnations.
 
-        These are the present members, which are never put out for their restarts, and all
-        others present whose pause is over. If that is nobody, all who are present.
+        These are the present members, which are never removed for their restarts, and all other
+        present controllers whose pause is over. If there are none, all present controllers are
+        admitted.
         """
         admitted = {
             label: incarnation
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between controllers, and what each says of itself with them."""
+"""Heartbeats between controllers, and the status that each controller sends with them."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 
 log = logging.getLogger(__name__)
 
-# Heartbeats in the time that a controller's lease lasts.
+# Heartbeats during one TTL of a controller's lease.
 HEARTBEATS_PER_LEASE = 4
-# How long no peer must be heard before this controller steps aside, and how old its process must
-# be for that, in the time of a controller's lease.
+# How long this controller must not have heard its peers before it leaves the members, and the
+# least age of its process at which it may do so, in TTLs of a controller's lease.
 ISOLATION_LEASES = 1.5
 STARTUP_LEASES = 2
 
 
 class HeartbeatStatus(NamedTuple):
-    """What a heartbeat and its answer begin with, in the order of the frame.
+    """The first fields of a heartbeat and of its answer, in the order of the frame.
 
     Attributes:
         label: The sender.
         epoch: The number of the newest epoch that the sender knows.
-        state_ok: Whether the state service answers it.
-        room_rev: The revision of its machines' room.
+        state_ok: Whether the state service answers the sender.
+        room_rev: A number that changes with the free room of the sender's machines.
     """
 
     label: str
@@ -54,7 +54,7 @@
 
 
 class Heartbeats:
-    """Exchanges signs of life, demand and promises on cancellations with the peers."""
+    """Exchanges liveness, resource demand and promises on cancellations with the peers."""
 
     def __init__(
         self,
@@ -90,22 +90,22 @@
         self.watermark = watermark
 
     async def exchange_heartbeats(self, peer: Peer) -> None:
-        """Exchange heartbeats with one peer, several in the time of a controller's lease."""
+        """Exchange heartbeats with one peer, several during one TTL of a controller's lease."""
         while True:
             self.stalls.check(time.monotonic())
             try:
-                await self._exchange(peer)
+                await self._send_heartbeat(peer)
             except PeerError as exc:
                 log.debug("peer=%s event=out-of-reach cause=%s", peer.label, exc)
-            self._update_away(time.monotonic())
+            self._update_isolation(time.monotonic())
             await self.routines.flush()
             await curio.sleep(self.membership.lease_ttl_s / HEARTBEATS_PER_LEASE)
 
-    async def _exchange(self, peer: Peer) -> None:
-        """Send one heartbeat and take in its answer.
+    async def _send_heartbeat(self, peer: Peer) -> None:
+        """Send one heartbeat and process its answer.
 
         Raises:
-            PeerError: The peer has not answered.
+            PeerError: The peer did not answer.
         """
         sent = time.monotonic()
         fields = (*self.status(sent), self._demand_for(peer.label))
@@ -121,8 +121,8 @@
         if label == peer.label:
             self._note_heard(peer, epoch, state_ok, room_rev)
 
-    def _update_away(self, now: float) -> None:
-        """Leave the members while no peer is reached, and come back after that."""
+    def _update_isolation(self, now: float) -> None:
+        """Leave the members while this controller is isolated, and rejoin afterwards."""
         away = (
             self.membership.records_loaded
             and self.stalls.check(now)
@@ -143,17 +143,17 @@
     def receive(
         self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> bool:
-        """Take in a heartbeat that a peer has sent.
+        """Process a heartbeat that a peer has sent.
 
         Args:
             label: The sender.
-            epoch: The number of the newest epoch that it knows.
-            state_ok: Whether the state service answers it.
-            room_rev: The revision of its machines' room.
-            demand: What waits there, if we are to rent by it.
+            epoch: The number of the newest epoch that the sender knows.
+            state_ok: Whether the state service answers the sender.
+            room_rev: A number that changes with the free room of the sender's machines.
+            demand: The demand of the sender's waiting jobs, if this controller rents machines.
 
         Returns:
-            Whether the sender is a peer of ours.
+            Whether the sender is a known peer.
         """
         peer = self.peers.get(label)
         if peer is None:
@@ -166,7 +166,7 @@
         return True
 
     def _note_heard(self, peer: Peer, epoch: int, state_ok: bool, room_rev: int) -> None:
-        """Take note of the status that a peer has sent just now."""
+        """Record the status that a peer has just sent."""
         peer.heard = time.monotonic()
         peer.state_ok, peer.epoch = state_ok, epoch
         if room_rev != peer.room_rev:
@@ -177,7 +177,7 @@
             self.membership.rescan = True
 
     def status(self, now: float) -> HeartbeatStatus:
-        """Return what our heartbeats and our answers to them begin with."""
+        """Return this controller's status, which begins its heartbeats and its answers to them."""
         return HeartbeatStatus(
             self.membership.label,
             self.membership.epoch.number,
@@ -186,7 +186,7 @@
         )
 
     def _demand_for(self, label: str) -> list[DemandRow]:
-        """Return what waits here, for the one member that rents by it; nobody else asks."""
+        """Return the demand of the jobs waiting here; empty unless the peer is the provisioner."""
         return (
             self.placer.demand_report.own_rows()
             if self.membership.serving and label == self.membership.epoch.provisioner
@@ -194,15 +194,16 @@
         )
 
     def promise(self, label: str, known_rev: int, now: float) -> bool:
-        """Promise a peer to tell users of no cancellation unknown to it.
+        """Promise a peer that users are told of no cancellation that the peer does not know.
 
         Args:
             label: The peer.
-            known_rev: The revision up to which it has read the records.
+            known_rev: The revision up to which the peer has read the records.
             now: The time of the heartbeat.
 
         Returns:
-            Whether it is promised; not while it lacks a cancellation that was told already.
+            Whether the promise is given. It is refused while the peer does not know a cancellation
+            that a user has already been told of.
         """
         self.promises.note_records_read(label, known_rev)
         if self.promises.renew(label, now):
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -1,4 +1,4 @@
-"""A controller's own key in the state service, and its proposals of the next epoch."""
+"""Registers a controller in the state service under a lease, and proposes epochs."""
 
 from __future__ import annotations
 
@@ -29,24 +29,24 @@
 
 log = logging.getLogger(__name__)
 
-# In the time that our key's lease lasts: its renewals, what is tried again after an error, and
-# checks of whether an epoch is to be proposed.
+# During one TTL of this controller's lease: renewals, retries after an error, and checks whether
+# an epoch must be proposed.
 RENEWALS_PER_LEASE = 3
 RETRIES_PER_LEASE = 8
 CHECKS_PER_LEASE = 2
-# As shares of the same time, the pauses before a proposal and after one that came too late, and
-# after one that the state service has not answered.
+# How many pauses fit into one TTL: the pause before a proposal and after a conflict, and the pause
+# after a proposal that the state service did not answer.
 PROPOSAL_PAUSES_PER_LEASE = 20
 UNANSWERED_PAUSES_PER_LEASE = 10
-# The shortest pause between two rounds that keep the lease, in seconds.
+# The shortest pause between two attempts to obtain or renew the lease, in seconds.
 MIN_PAUSE_S = 0.001
 
 
 class MembershipRegistration:
-    """The routines that keep a controller among the members.
+    """Runs the routines that register a controller and propose epochs.
 
     Attributes:
-        flap_damping: Leaves out of the next epoch those that come and go too often.
+        flap_damping: Excludes controllers that restart too often from the next epoch.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         self.flap_damping = FlapDamping(4 * workers.lease_s, workers.report_s, 4 * workers.lease_s)
 
     async def maintain_lease(self) -> None:
-        """Hold our key in the state service while we can serve."""
+        """Keep this controller's key in the state service, except while it is isolated."""
         while True:
             pause_s = self.membership.lease_ttl_s / RENEWALS_PER_LEASE
             try:
                 if self.membership.away:
-                    await self._step_aside()
+                    await self._unregister()
                 elif self.membership.lease is None:
                     lease = await self.store.lease(self.membership.lease_ttl_s)
-                    await self._enter(lease)
+                    await self._register(lease)
                     self.membership.lease = lease
                 elif not await self.store.renew(self.membership.lease):
                     self.membership.lease = None
@@ -91,13 +91,13 @@
                 pause_s = self.routines.jitter(self.membership.lease_ttl_s / RETRIES_PER_LEASE)
             await self.routines.wait("lease", max(pause_s, MIN_PAUSE_S))
 
-    async def _step_aside(self) -> None:
-        """Remove our key, if it is there."""
+    async def _unregister(self) -> None:
+        """Delete this controller's key, if there is one."""
         if self.membership.lease is None or not self.membership.present.get(self.membership.label):
             return
         lease, self.membership.lease = self.membership.lease, None
         key = NODE_PREFIX + self.membership.label
-        # Carried out late, it must not take away a later key of ours.
+        # The condition keeps a delayed deletion from removing a key that was written later.
         await self.store.commit(
             Txn()
             .require(key, self.membership.present_revs.get(self.membership.label, 0))
@@ -106,25 +106,26 @@
         )
         log.info("event=stepped-aside lease=%d", lease)
 
-    async def _enter(self, lease: int) -> None:
-        """Write our key under `lease`, and with the first one the version's record.
+    async def _register(self, lease: int) -> None:
+        """Write this controller's key under `lease`, and its version record if that is outdated.
 
-        So the epoch that takes us in is later than that record. The record is written once and
-        no more: a second copy, applied after that epoch had begun, left all who came later
-        waiting for another before they took pipelines.
+        Both are written in one transaction, so that the epoch that admits this controller is later
+        than its version record. The version record must not be written a second time: controllers
+        accept pipelines only in an epoch later than all version records, so a copy applied after
+        the epoch had begun would make controllers that start later wait for another epoch.
 
         Raises:
             ConflictError: Neither key explains why the transaction was refused.
-            NoLeaseError: The lease has ended.
-            UnavailableError: The state service has not answered.
-            OutcomeUnknownError: Our key may have been written.
+            NoLeaseError: The lease has expired.
+            UnavailableError: The state service did not execute the transaction.
+            OutcomeUnknownError: The key may have been written.
         """
         version_key = VERSION_PREFIX + self.membership.label
         node_key = NODE_PREFIX + self.membership.label
         node_rev = self.membership.present_revs.get(self.membership.label, 0)
         while True:
-            # In place of the one that is known, and of no other: a copy that is carried out
-            # late, by a process that has ended since, would put that in our place.
+            # Conditional on the known revision of the key: otherwise a delayed write of a process
+            # that has ended could overwrite the key of its successor.
             txn = (
                 Txn()
                 .require(node_key, node_rev)
@@ -137,7 +138,7 @@
                 await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
             except ConflictError as exc:
-                # Written by a process before this one: the replica has not been read yet.
+                # An earlier process wrote the key, and the replica has not been read yet.
                 if node_key in exc.failed:
                     entry = await self.store.get(node_key, allow_in_doubt=True)
                     node_rev = entry.rev if entry is not None else 0
@@ -150,23 +151,24 @@
                     self.versions.note_version(self.membership.label, entry.value, entry.rev)
 
     async def propose_epochs(self) -> None:
-        """Propose the next epoch when those present differ from its members."""
+        """Propose the next epoch when the controllers present differ from the members."""
         while True:
             await self.routines.wait("members", self.membership.lease_ttl_s / CHECKS_PER_LEASE)
             if not self.membership.records_loaded or not self.stalls.check(time.monotonic()):
                 continue
-            if self._proposal() is None:
+            if self._next_epoch() is None:
                 continue
-            # Others see the same; after pauses of different lengths most find the epoch proposed.
+            # Other controllers see the same difference. After pauses of random length, most of
+            # them find the epoch already proposed.
             await curio.sleep(
                 self.routines.jitter(self.membership.lease_ttl_s / PROPOSAL_PAUSES_PER_LEASE)
             )
-            proposal = self._proposal()
+            proposal = self._next_epoch()
             if proposal is not None:
                 await self._propose(proposal)
 
     async def _propose(self, proposal: Epoch) -> None:
-        """Write the next epoch in place of the one known here; pause if that fails."""
+        """Commit the next epoch if the current one is unchanged; pause if the commit fails."""
         txn = Txn().require(EPOCH_KEY, self.membership.epoch.rev)
         txn.put(EPOCH_KEY, proposal.value())
         try:
@@ -178,8 +180,8 @@
                 self.routines.jitter(self.membership.lease_ttl_s / UNANSWERED_PAUSES_PER_LEASE)
             )
 
-    def _proposal(self) -> Epoch | None:
-        """Return the next epoch, if there is to be one and it is ours to propose."""
+    def _next_epoch(self) -> Epoch | None:
+        """Return the next epoch if one is needed and this controller may propose it."""
         now = time.monotonic()
         for label in self.flap_damping.observe(self.membership.present, now):
             log.info(
--- a/clayport/membership/rendezvous.py
+++ b/clayport/membership/rendezvous.py
@@ -1,18 +1,18 @@
-"""Rendezvous hashing: which member a key belongs to, computed by each controller alone."""
+"""Rendezvous hashing: assigns keys to members without coordination between controllers."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from hashlib import blake2b
 
-# The length of a hash; 64 bits make equal hashes of two members unlikely.
+# The length of a hash. With 64 bits, equal hashes of two members are unlikely.
 DIGEST_BYTES = 8
 
 
 def rendezvous(key: str, members: Iterable[str]) -> str:
     """Return the member with the highest hash of key and member, or "" if there are none.
 
-    When a member leaves, only the keys that it held move (highest random weight hashing).
+    When a member leaves, only its keys are reassigned (highest random weight hashing).
     """
     return max(
         members,
--- a/clayport/membership/state.py
+++ b/clayport/membership/state.py
@@ -1,4 +1,4 @@
-"""What this controller knows of its own membership and of the others' presence."""
+"""The state of this controller's membership, and the controllers known to be present."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class MembershipState:
-    """Who takes part, and whether this process may act. Free of I/O.
+    """Holds the current epoch, the controllers present and whether this process serves. No I/O.
 
     Attributes:
         label: This controller's name in the settings.
-        incarnation: Drawn anew by each process, so that a restarted one is not taken for its
-            predecessor.
-        lease_ttl_s: How long this controller's key lives without a renewal.
-        started_at: When this process began, on the steady clock.
-        epoch: The newest epoch that is known here.
-        epoch_started_at: When this process took that epoch over, on the steady clock.
-        present: The incarnation of each controller that has its key in the store.
-        present_revs: The revisions of those keys.
-        lease: The lease of our own key, while there is one.
-        away: Whether we have stepped aside because no peer is in reach.
+        incarnation: A random identifier of this process, which distinguishes a restarted
+            controller from its predecessor.
+        lease_ttl_s: The TTL of the lease that this controller's key is under.
+        started_at: When this process started, on the monotonic clock.
+        epoch: The newest epoch known here.
+        epoch_started_at: When this process switched to that epoch, on the monotonic clock.
+        present: The incarnation of each controller whose key is in the state service, by label.
+        present_revs: The revisions of those keys, by label.
+        lease: The lease that this controller's key is under; None without one.
+        away: Whether this controller has left the members because it is cut off from its peers.
         records_loaded: Whether the records have been read at least once.
-        rescan: Whether the records have to be read again from the start.
-        serving: Whether we are a member and our share of the work is loaded.
+        rescan: Whether all records have to be read again.
+        serving: Whether this controller is a member and has loaded its jobs.
     """
 
     def __init__(self, label: str, incarnation: str, lease_ttl_s: float, now: float) -> None:
@@ -42,9 +42,9 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether the epoch known here contains this process."""
+        """Whether the newest epoch known here contains this process."""
         return self.epoch.members.get(self.label) == self.incarnation
 
     def request_rescan(self) -> None:
-        """Have the records read anew: somebody acts under a newer epoch than the one known here."""
+        """Request a new read of the records, because another process acts under a newer epoch."""
         self.rescan = True
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -1,4 +1,4 @@
-"""The change from one epoch to the next within this process."""
+"""The transition of this process from one epoch to the next."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EpochTransition:
-    """Drops what belonged to the epoch before, and has our share of the new one loaded."""
+    """Drops the state of the previous epoch and starts loading this controller's new jobs."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.routines = routines
 
     def begin(self, epoch: Epoch) -> None:
-        """Act under a new epoch: serve nothing until our share of it has been loaded."""
+        """Switch to a new epoch, and serve nothing until this controller's jobs are loaded."""
         self.membership.epoch, self.membership.epoch_started_at = epoch, time.monotonic()
         self.membership.serving = False
         log.info(
@@ -55,7 +55,8 @@
             ",".join(sorted(epoch.members)),
         )
         if self.rebuild.recovery is not None:
-            # Members may have seen more than the records show: their histories are compared.
+            # Other members may have seen higher revisions than the records show, so histories are
+            # compared before the next commit.
             self.rebuild.recovery.history.needs_check_in = True
         for managed in self.jobs.managed.values():
             self.routines.signal(managed.name)
