--- a/clayport/records/__init__.py
+++ b/clayport/records/__init__.py
@@ -1,1 +1,1 @@
-"""The records in the key-value store: keys, the client, and the replica in memory."""
+"""The records in the state service: their keys and values, the client and the replica."""
--- a/clayport/records/chunk.py
+++ b/clayport/records/chunk.py
@@ -1,4 +1,4 @@
-"""The record of a slice of a job's tasks: what is assigned, and what is done."""
+"""Chunks: the records of a job's tasks, with their assignments and the tasks that are done."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 # The longest JSON text of one assignment, and of one run of done tasks, in bytes.
 ASSIGNED_BYTES = 36
 DONE_RUN_BYTES = 14
-# What a transaction's values may take together of its 64 KiB, in bytes.
+# The total size of a transaction's values, in bytes. A transaction may have 64 KiB in all.
 TXN_BYTES = 50_000
-# The longest JSON text of a task in a chunk, in bytes: an assignment like
-# `[99999,4294967296,"i-0000000000"],` and, in the worst case, a run of its own in the done list.
+# The longest JSON text of one task in a chunk, in bytes: an assignment such as
+# `[99999,4294967296,"i-0000000000"],` and, in the worst case, a separate run in the done list.
 CHUNK_ENTRY_BYTES = 56
-# The share of the largest value that chunks are sized for.
+# The share of the value size limit that a full chunk may take.
 VALUE_SHARE = 0.9
 
-# Where a task is: (attempt, machine). A plain tuple, since one is made for each task's start.
+# A task's attempt number and machine. A plain tuple, because one is created for every started task.
 Assignment: TypeAlias = tuple[int, str]
 
 
 class Chunk:
-    """A slice of a job's tasks as one value of the state service holds it.
+    """The state of a slice of a job's tasks, stored as one value in the state service.
 
     Attributes:
-        rev: The revision at which the value was read or written; 0 if it is not stored.
-        assigned: Attempt and machine of each task that has been started and not ended.
+        rev: The revision of the stored value, or 0 if there is none.
+        assigned: Attempt and machine of each task that has been started and has not ended.
         done: The numbers of the tasks that are done.
-        last_attempt: The highest attempt number that was given out. It never falls, so that
-            an attempt number is never used twice for a task.
+        last_attempt: The highest attempt number assigned so far. It never decreases, so that
+            no attempt number is used twice for a task.
     """
 
     __slots__ = ("assigned", "done", "last_attempt", "rev")
@@ -39,7 +39,7 @@
         self.last_attempt = 0
 
     def value(self) -> dict[str, Any]:
-        """Return the JSON value; runs of done tasks are kept as [first, last]."""
+        """Return the value as stored, with runs of done tasks as [first, last]."""
         runs: list[list[int]] = []
         for number in sorted(self.done):
             if runs and runs[-1][1] == number - 1:
@@ -60,8 +60,8 @@
 
         Raises:
             KeyError: A field of the value is missing.
-            TypeError: A field of the value is of another type.
-            ValueError: A field of the value has another shape.
+            TypeError: A field of the value has a wrong type.
+            ValueError: A field of the value is malformed.
         """
         chunk = Chunk()
         chunk.rev = rev
@@ -74,9 +74,9 @@
         return chunk
 
     def max_value_bytes(self, size: int) -> int:
-        """Return an upper bound of the value's length in bytes, without building the value.
+        """Return an upper bound of the value's size in bytes, without building the value.
 
-        `size` is how many tasks a chunk of the job holds: their number bounds the runs.
+        `size` is the number of tasks in a chunk of the job, which limits the number of runs.
         """
         return (
             ASSIGNED_BYTES * len(self.assigned)
@@ -85,7 +85,7 @@
         )
 
     def copy(self) -> Chunk:
-        """Return a copy that can be changed apart from this chunk."""
+        """Return an independent copy."""
         other = Chunk()
         other.rev, other.assigned = self.rev, dict(self.assigned)
         other.done, other.last_attempt = set(self.done), self.last_attempt
@@ -93,5 +93,5 @@
 
 
 def chunk_size(value_kb: float) -> int:
-    """Return how many tasks a chunk holds so that its value always fits `value_kb` KiB."""
+    """Return the number of tasks per chunk with which a value never exceeds `value_kb` KiB."""
     return max(1, int(value_kb * 1024 * VALUE_SHARE) // CHUNK_ENTRY_BYTES)
--- a/clayport/records/errors.py
+++ b/clayport/records/errors.py
@@ -1,33 +1,33 @@
-"""What can go wrong with a request to the state service, the consensus-backed key-value store."""
+"""Errors of requests to the state service, a consensus-backed key-value store."""
 
 from __future__ import annotations
 
 
 class StateStoreError(Exception):
-    """A request to the state service did not do what was asked of it."""
+    """A request to the state service failed."""
 
 
 class UnavailableError(StateStoreError):
-    """The request was not executed: it was refused by the service, or never sent.
+    """The request was not executed: the service refused it, or it was never sent.
 
     Attributes:
-        after_s: Seconds after which a retry may be worthwhile; 0 where that is not known.
+        after_s: Seconds after which a retry may succeed, or 0 if that is unknown.
     """
 
-    def __init__(self, why: str, after_s: float = 0.0) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, after_s: float = 0.0) -> None:
+        super().__init__(reason)
         self.after_s = after_s
 
 
 class OutcomeUnknownError(StateStoreError):
-    """There was no usable answer: the request may have been executed, or may still be."""
+    """There was no usable answer: the request may have been executed, or may be executed later."""
 
 
 class ConflictError(StateStoreError):
-    """A condition of a transaction did not hold; nothing was changed.
+    """A condition of a transaction did not hold, and nothing was changed.
 
     Attributes:
-        failed: The keys whose revisions were others than the transaction required.
+        failed: The keys whose revisions differ from those that the transaction requires.
     """
 
     def __init__(self, failed: list[str]) -> None:
@@ -36,7 +36,7 @@
 
 
 class TransactionTooLargeError(UnavailableError):
-    """The transaction was not executed: it exceeds the service's present limits."""
+    """The transaction was not executed because it exceeds the service's current limits."""
 
 
 class NoLeaseError(StateStoreError):
@@ -44,4 +44,4 @@
 
 
 class CompactedError(StateStoreError):
-    """The watch starts before the last compaction; the keys have to be read again."""
+    """The watch starts before the last compaction, so the keys have to be read again."""
--- a/clayport/records/keys.py
+++ b/clayport/records/keys.py
@@ -1,16 +1,16 @@
-"""Keys of the records. Everything that must last is stored under one of them.
+"""Keys of the records. All durable state is stored under these keys.
 
 | key | record |
 | --- | --- |
-| `c/generation` | the epoch: number and members |
-| `c/node/<label>` | a controller that is present, under its lease |
+| `c/generation` | the epoch: its number and members |
+| `c/node/<label>` | a controller that is present; expires with its lease |
 | `c/version/<label>` | the newest format that a controller has understood |
-| `c/class/<class>` | one job of a class that needs GPUs, remembered over restarts |
+| `c/class/<class>` | an example job of a class that uses GPUs, kept across restarts |
 | `c/lineage` | the history that the records belong to (`rebuild`) |
 | `c/live/<job>` | a job that was accepted and has not ended |
 | `end/<job>` | how a job ended; never changed |
-| `run/<job>/<index>` or `run/<job>/<size>.<index>` | a chunk of its tasks: assigned, done |
-| `quota/<team>` | what a team's tasks use |
+| `run/<job>/<index>` or `run/<job>/<size>.<index>` | a chunk of the job's tasks |
+| `quota/<team>` | the resources that a team's tasks use |
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 NODE_PREFIX = "c/node/"
 LIVE_PREFIX = "c/live/"
 CLASS_PREFIX = "c/class/"
-# Kept for good, since a controller that has been upgraded never comes back old. The first
-# versions ignore the keys and write none.
+# Version records are never deleted, because an upgraded controller is never downgraded. The first
+# versions of the software neither read nor write them.
 VERSION_PREFIX = "c/version/"
-# Names the history of the records that holds.
+# The key of the record that names the current history.
 HEAD_KEY = "c/lineage"
 
 
 def is_anchor(key: str) -> bool:
-    """Return whether a key is an anchor of a history; no other key has such a part."""
+    """Return whether a key is a history's anchor; no other key contains `/~`."""
     return "/~" in key
 
 
@@ -46,9 +46,9 @@
 
     Args:
         job: The job's identifier.
-        index: The chunk's number within the job, from 0.
-        size: Tasks in a chunk, where that is not the number that the first versions derive
-            from `value_kb` (they write and expect the short form); 0 otherwise.
+        index: The chunk's index within the job, from 0.
+        size: The number of tasks in a chunk; 0 if it is the number that the first versions of
+            the software derive from `value_kb`. They write and expect the short form.
     """
     return f"run/{job}/{size}.{index:05d}" if size else f"run/{job}/{index:05d}"
 
@@ -57,7 +57,7 @@
     """Split a chunk's key into job, size (0 in the short form) and index.
 
     Raises:
-        ValueError: It is no key of a chunk.
+        ValueError: The key is not a chunk's key.
     """
     _, job, name = key.split("/")
     size, _, index = name.rpartition(".")
@@ -65,5 +65,5 @@
 
 
 def quota_key(team: str) -> str:
-    """Return the key of what a team's tasks use."""
+    """Return the key of the record of a team's resource usage."""
     return f"quota/{team}"
--- a/clayport/records/lookups.py
+++ b/clayport/records/lookups.py
@@ -1,4 +1,4 @@
-"""Linearizable reads of many keys at a time, by one comparison of their revisions."""
+"""Linearizable checks that keys are unchanged, batched into commits without writes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from clayport.records.store import StateStore
 
-# Comparisons are sent at least as far apart as this many requests at the controller's rate,
-# so that they take a fifth of its requests at most.
-REQUESTS_APART = 5.0
+# The pause between two batches, in requests at this controller's rate. The batches take at most a
+# fifth of the controller's requests.
+PAUSE_REQUESTS = 5.0
 
 
 class _Batch:
-    """Questions that are answered by the same comparison."""
+    """Keys whose revisions are compared in the same batch."""
 
     def __init__(self) -> None:
         self.revs: dict[str, int] = {}
@@ -30,31 +30,31 @@
 
 
 class Lookups:
-    """Whether keys still have the revisions known here, many of them in one request.
+    """Checks whether keys still have the revisions known here, many keys in one request.
 
-    A question goes with the next request that is sent after it, so the answer is never
-    older than the question: as good as a read of its own, and users may ask many times
-    as often as usual without taking the requests that the work itself needs.
+    Each check joins the next batch to be sent, so that its answer is as fresh as that of a
+    separate read. Batching keeps a surge of user requests from using up the rate limit that
+    scheduling needs.
 
     Args:
         store: The client of the state service.
-        most: Conditions that one transaction may have.
-        timeout_s: Half of the time that one comparison may take, retry included.
+        most: The number of conditions that one transaction may have.
+        timeout_s: Half of the time that one comparison may take, including a retry.
     """
 
     def __init__(self, store: StateStore, most: int, timeout_s: float) -> None:
         self.store, self.most, self.timeout_s = store, most, timeout_s
-        self.pause_s = REQUESTS_APART / store.requests.rate
-        self.next = _Batch()
+        self.pause_s = PAUSE_REQUESTS / store.requests.rate
+        self.next_batch = _Batch()
         self.running = False
 
     async def unchanged(self, key: str, rev: int) -> bool:
         """Return whether the key still has this revision.
 
         Raises:
-            UnavailableError: There was no answer.
+            UnavailableError: The comparison failed.
         """
-        batch = self.next
+        batch = self.next_batch
         batch.revs[key] = rev
         if not self.running:
             self.running = True
@@ -65,13 +65,13 @@
         return key not in batch.changed
 
     async def _run(self) -> None:
-        """Answer batch after batch until nobody asks."""
+        """Process batches until no key is waiting."""
         try:
-            while self.next.revs:
-                batch, self.next = self.next, _Batch()
+            while self.next_batch.revs:
+                batch, self.next_batch = self.next_batch, _Batch()
                 try:
                     await self._compare(batch)
-                except Exception as exc:  # whatever it is, those who wait are to be told
+                except Exception as exc:  # any error is passed on to the waiting callers
                     batch.error = exc
                 finally:
                     await batch.answered.set()
@@ -80,19 +80,19 @@
             self.running = False
 
     async def _compare(self, batch: _Batch) -> None:
-        """Compare a batch's keys, as many in a request as the service allows."""
+        """Compare a batch's keys, with as many in each request as the service allows."""
         keys = list(batch.revs)
-        at_a_time = max(1, self.most - self.store.anchor_conditions)
-        for first in range(0, len(keys), at_a_time):
+        keys_per_request = max(1, self.most - self.store.anchor_conditions)
+        for first in range(0, len(keys), keys_per_request):
             txn = Txn()
-            for key in keys[first : first + at_a_time]:
+            for key in keys[first : first + keys_per_request]:
                 txn.require(key, batch.revs[key])
             try:
                 deadline = Deadline.within(time.monotonic(), 2 * self.timeout_s)
                 try:
                     await self.store.commit(txn, deadline.fraction(time.monotonic(), 0.5))
                 except OutcomeUnknownError:
-                    # A comparison changes nothing, so it may be repeated.
+                    # A comparison changes nothing, so the retry is safe.
                     await self.store.commit(txn, deadline)
             except ConflictError as exc:
                 batch.changed.update(exc.failed)
--- a/clayport/records/messages.py
+++ b/clayport/records/messages.py
@@ -1,6 +1,6 @@
-"""The state service's messages, apart from those of a commit (`records.transaction`).
+"""Messages of the state service, except those of commits (`records.transaction`).
 
-The protocol's field names stay on the wire; the structures here map them to ours.
+The structures map the field names of the protocol to the names used in the code.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Entry(msgspec.Struct):
-    """A key as the service holds it."""
+    """A key with its value and revision."""
 
     key: str
     value: Any = msgspec.field(name="data")
@@ -23,7 +23,7 @@
 
 
 class Page(msgspec.Struct):
-    """One page of the keys with a prefix; `more` says whether others follow."""
+    """One page of a scan; `more` tells whether further pages follow."""
 
     items: list[Entry] = msgspec.field(name="pairs")
     rev: int = msgspec.field(name="store_rev")
@@ -31,13 +31,13 @@
 
 
 class Change(msgspec.Struct):
-    """One change that a watch reports.
+    """One change reported by a watch.
 
     Attributes:
         rev: The revision of the change.
-        put: The key that was written, if one was.
-        delete: The key that was removed, if one was.
-        value: What was written.
+        put: The key that was written, or None.
+        delete: The key that was deleted, or None.
+        value: The written value.
     """
 
     rev: int = msgspec.field(name="key_rev")
@@ -47,35 +47,35 @@
 
 
 class WatchAnswer(msgspec.Struct):
-    """The changes since a revision, and the revision that they lead to."""
+    """The changes since a revision, and the revision to watch from next."""
 
     rev: int = msgspec.field(name="store_rev")
     events: list[Change] = msgspec.field(name="log", default_factory=list)
 
 
 class StoreRevision(msgspec.Struct):
-    """The revision of the store, in whichever answer carries one; 0 where none does."""
+    """The store revision in any answer; 0 if the answer has none."""
 
     rev: int = msgspec.field(name="store_rev", default=0)
 
 
 class LeaseRequest(msgspec.Struct):
-    """Asks for a lease that expires `ttl_ms` milliseconds after its last renewal."""
+    """A request for a lease that expires `ttl_ms` milliseconds after its last renewal."""
 
     ttl_ms: int
 
 
 class LeaseAnswer(msgspec.Struct):
-    """The lease that was granted."""
+    """A granted lease."""
 
     id: int = msgspec.field(name="hold")
 
 
 def decode(payload: bytes, kind: type[MessageT]) -> MessageT:
-    """Decode an answer of the given kind.
+    """Decode an answer of the given type.
 
     Raises:
-        OutcomeUnknownError: The answer is malformed, which says nothing of the request's outcome.
+        OutcomeUnknownError: The answer is malformed, so the outcome of the request is unknown.
     """
     try:
         return msgspec.json.decode(payload, type=kind)
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -1,7 +1,8 @@
-"""Paced requests to the state service, each answer held against the records' history.
+"""Paced requests to the state service, with each answer checked against the records' history.
 
-Requests wait for their turn by rate limit and priority, then for a place among those in
-flight; what fails is noted for whoever retries. `records.store` has the operations.
+A request waits for its turn under the rate limit, according to its priority, and then for a slot
+among the requests in flight. The circuit records failures and paces retries. The operations of the
+state service are in `records.store`.
 """
 
 from __future__ import annotations
@@ -31,28 +32,28 @@
 if TYPE_CHECKING:
     from clayport.rebuild.history import History
 
-# The share of the service's limits that all controllers together use.
+# The share of the service's rate limits that all controllers together use.
 RATE_SHARE = 0.9
-# Retries that each first try earns.
+# Retries that each first attempt adds to the retry budget.
 RETRIES_PER_REQUEST = 0.1
-# The share of this controller's requests that all its retries may make together.
+# The share of this controller's request rate that all retries together may use.
 RETRY_RATE_SHARE = 0.2
-# Retries pause for this share of a request's timeout at first, and for all of it at most.
-FIRST_PAUSE_SHARE = 1 / 8
-# Requests in flight: to begin with, as many as are sent in these seconds at the full rate; at
-# most, as many as in a second; and never fewer than keep the work going.
+# The first pause before a retry, as a share of the request timeout. The longest is the timeout.
+FIRST_RETRY_PAUSE_SHARE = 1 / 8
+# The limit of requests in flight: at first the number of requests sent in these seconds at the full
+# rate, at most the number sent in one second, and never below the minimum that keeps work moving.
 INITIAL_IN_FLIGHT_S = 0.05
 MIN_IN_FLIGHT = 4
-# Keep-alive connections for requests. Each of the two watches has one of its own.
-CONNECTIONS = 8
-# How long before the start the service counts as having last answered.
-NEVER_ANSWERED_S = 3600.0
+# Keep-alive connections for requests. Each of the two watches has a separate connection.
+KEPT_CONNECTIONS = 8
+# At the start, the service counts as having last answered this long ago.
+INITIAL_SILENCE_S = 3600.0
 
 RECORDS_IN_DOUBT = "the records are in doubt"
 
 
-def _gate(rate: float, timeout_s: float) -> Gate:
-    """Return the gate that bounds the requests in flight of a client with this rate."""
+def _make_gate(rate: float, timeout_s: float) -> Gate:
+    """Return the gate that limits the requests in flight of a client with this rate."""
     return Gate(
         ConcurrencyLimit(
             max(MIN_IN_FLIGHT, int(INITIAL_IN_FLIGHT_S * rate)),
@@ -63,17 +64,17 @@
     )
 
 
-def _circuit(
+def _make_circuit(
     rate: float, timeout_s: float, now: float, uniform: Callable[[float, float], float]
 ) -> Circuit:
     """Return the circuit of a client with this rate.
 
-    Whatever waits for the service to come back is woken as soon as it does.
+    Routines that wait to retry are woken as soon as the service answers again.
     """
     retry_rate = max(1.0, RETRY_RATE_SHARE * rate)
     return Circuit(
         RetryPolicy(
-            FIRST_PAUSE_SHARE * timeout_s,
+            FIRST_RETRY_PAUSE_SHARE * timeout_s,
             timeout_s,
             RetryBudget(RETRIES_PER_REQUEST, retry_rate, retry_rate, now),
             uniform,
@@ -82,27 +83,27 @@
 
 
 class PacedClient:
-    """Sends requests to the state service, paced to this controller's share.
+    """Sends requests to the state service within this controller's share of the rate limits.
 
-    Requests with `allow_in_doubt` are made even while the records are in doubt, outside of any
-    history of the records.
+    Requests with `allow_in_doubt` are sent even while the records are in doubt, and their answers
+    are not checked against a history.
 
     Args:
         host: The service's host.
         port: The service's port.
-        rps: Requests per second that the service takes of all controllers.
-        write_rps: Writes per second that the service takes of all controllers.
+        rps: Requests per second that the service accepts from all controllers.
+        write_rps: Writes per second that the service accepts from all controllers.
         timeout_s: How long one request may take.
-        controllers: How many controllers share the service.
+        controllers: The number of controllers that share the service.
         uniform: Draws the jitter of retries.
 
     Attributes:
         requests: The rate limit of requests.
         changes: The rate limit of writes.
         last_served_at: When the service last served a request, in seconds on the monotonic clock.
-        last_failed_at: When it last failed to.
-        history: The history that commits rest on, where records may be rebuilt.
-        check_in: Asks the peers what they have seen of that history.
+        last_failed_at: When the service last failed to serve a request, on the same clock.
+        history: The history that answers are checked against; None if rebuilding is disabled.
+        check_in: Compares the revisions that the peers and the state service have reached.
     """
 
     def __init__(
@@ -115,47 +116,49 @@
         controllers: int,
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
-        self.client = http.Client(host, port, keep=CONNECTIONS)
+        self.client = http.Client(host, port, keep=KEPT_CONNECTIONS)
         self.watcher = http.Client(host, port, keep=1)
         self.recorder = http.Client(host, port, keep=1)
         self.timeout_s = timeout_s
         self.controllers = controllers
         now = time.monotonic()
-        self.rates = rps, write_rps
+        self.service_rates = rps, write_rps
         self.requests = TokenBucket(rps * RATE_SHARE / controllers, now)
         self.changes = TokenBucket(write_rps * RATE_SHARE / controllers, now)
-        self.last_served_at = now - NEVER_ANSWERED_S
+        self.last_served_at = now - INITIAL_SILENCE_S
         self.last_failed_at = now
         rate = self.requests.rate
-        self.gate = _gate(rate, timeout_s)
-        self.circuit = _circuit(rate, timeout_s, now, uniform)
+        self.gate = _make_gate(rate, timeout_s)
+        self.circuit = _make_circuit(rate, timeout_s, now, uniform)
         self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
         self.history: History | None = None
         self.check_in: Callable[[], Awaitable[None]] | None = None
 
     @property
     def anchor_conditions(self) -> int:
-        """Conditions that a commit may have beside its own, for the anchors of the history."""
+        """The number of conditions that a commit may need for the anchors of the history."""
         return 0 if self.history is None else self.history.ANCHORS
 
     def backlog(self, priority_s: float = 0.0) -> float:
-        """Return the seconds that a write of this priority would have to wait for its turn."""
+        """Return the seconds that a write with this priority would have to wait for its turn."""
         now = time.monotonic()
         return max(self.requests.backlog(now, priority_s), self.changes.backlog(now, priority_s))
 
     @property
     def ok(self) -> bool:
-        """Whether the service served the latest request that it answered or failed to."""
+        """Whether the service served the request whose outcome is the latest known."""
         return self.last_served_at >= self.last_failed_at
 
     def set_rates(self, rps: float, write_rps: float) -> None:
-        """Take over changed limits of the service; each controller keeps to its share."""
-        self.rates = rps, write_rps
+        """Apply changed limits of the service, of which each controller uses its share."""
+        self.service_rates = rps, write_rps
         self.shared_by(self.controllers)
 
     def shared_by(self, controllers: int) -> None:
-        """Share the service with so many: all, or one while the others stand still."""
-        self.requests.rate, self.changes.rate = (r * RATE_SHARE / controllers for r in self.rates)
+        """Divide the service's rates by this number: 1 during a rebuild, when the others wait."""
+        self.requests.rate, self.changes.rate = (
+            r * RATE_SHARE / controllers for r in self.service_rates
+        )
 
     async def call(
         self,
@@ -167,16 +170,21 @@
         priority_s: float = 0.0,
         allow_in_doubt: bool = False,
     ) -> tuple[int, bytes]:
-        """Wait for the request's turn, and send it; return status and payload."""
+        """Wait for the request's turn and send it; return the status and the payload.
+
+        Raises:
+            UnavailableError: The request was refused or not sent, or the records are in doubt.
+            OutcomeUnknownError: There was no answer, or one from another history.
+        """
         deadline = deadline or Deadline()
         if self.history is not None and self.history.suspicion and not allow_in_doubt:
             raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
-        wait = self._book_turn(writes, deadline, priority_s)
+        wait = self._reserve_turn(writes, deadline, priority_s)
         if wait > 0:
             await curio.sleep(wait)
         raw = None if body is None else msgspec.json.encode(body)
         if priority_s >= LEASE_PRIORITY_S:
-            # A lease and the epoch wait for nobody.
+            # Requests for leases and the epoch bypass the limit of requests in flight.
             return await self.send(
                 method, path, raw, self.timeout_s, self.client, allow_in_doubt, writes > 0
             )
@@ -193,19 +201,19 @@
         except GateClosedError as exc:
             raise UnavailableError(str(exc), self.timeout_s) from None
 
-    def _book_turn(self, writes: int, deadline: Deadline, priority_s: float) -> float:
-        """Take a request, and its writes, from the rate limits; return the seconds to wait.
+    def _reserve_turn(self, writes: int, deadline: Deadline, priority_s: float) -> float:
+        """Reserve a request and its writes in the rate limits; return the seconds to wait.
 
         Raises:
-            UnavailableError: The turn would come after the deadline; nothing was taken.
+            UnavailableError: The turn would come after the deadline, and nothing was reserved.
         """
         now = time.monotonic()
         wait = self.requests.delay(1, now, priority_s)
         if writes:
             wait = max(wait, self.changes.delay(writes, now, priority_s))
         if wait > 0 and not deadline.allows(now, wait):
-            # A user asks who will have left by then: refused now, so that the queue of
-            # those who ask again and again doesn't grow without end.
+            # The client will have given up by then. Refusing the request now keeps the queue
+            # from growing without bound when clients retry.
             self.requests.refund(1)
             self.changes.refund(writes)
             raise UnavailableError("too much is asked", wait)
@@ -221,19 +229,19 @@
         allow_in_doubt: bool = False,
         wrote: bool = False,
     ) -> tuple[int, bytes]:
-        """Exchange one request and answer, and note what it says of the service.
+        """Send one request, and record whether the service served it.
 
         Raises:
-            UnavailableError: It was refused or not sent, or the records are in doubt.
+            UnavailableError: The request was refused or not sent, or the records are in doubt.
             OutcomeUnknownError: There was no answer, or one from another history.
         """
-        name, floor = "", 0
+        name, min_revision = "", 0
         if self.history is not None and not allow_in_doubt:
             if self.history.needs_check_in and self.check_in is not None:
                 await self.check_in()
             if self.history.suspicion:
                 raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
-            name, floor = self.history.name, self.history.highest_revision
+            name, min_revision = self.history.name, self.history.highest_revision
         try:
             status, payload = await client.request(method, path, raw, timeout_s)
         except http.NotSentError as exc:
@@ -249,36 +257,36 @@
         self.last_served_at = time.monotonic()
         await self.circuit.record(True)
         if self.history is not None and not allow_in_doubt and status in (200, 404, 409):
-            self._check_history(self.history, payload, name, floor, wrote and status == 200)
+            self._check_history(self.history, payload, name, min_revision, wrote and status == 200)
         return status, payload
 
     @staticmethod
     def _check_history(
-        history: History, payload: bytes, name: str, floor: int, wrote: bool
+        history: History, payload: bytes, name: str, min_revision: int, wrote: bool
     ) -> None:
-        """Hold an answer against the history under which it was asked for.
+        """Check an answer against the history under which the request was sent.
 
         Args:
-            history: The history that is acted on now.
+            history: The current history.
             payload: The answer.
             name: The history's name when the request was sent.
-            floor: The highest revision that was known then.
-            wrote: Whether the request has changed something.
+            min_revision: The highest revision known when the request was sent.
+            wrote: Whether the request was a successful write.
 
         Raises:
-            OutcomeUnknownError: The answer comes from another history, or that under which
-                it was asked for has ended since.
+            OutcomeUnknownError: The answer is from another history, or the history under which
+                the request was sent has ended since.
         """
         rev = decode(payload, StoreRevision).rev
         if (
             history.name != name
-            or (rev and not history.check_revision(rev, floor, wrote))
+            or (rev and not history.check_revision(rev, min_revision, wrote))
             or history.suspicion
         ):
             raise OutcomeUnknownError(RECORDS_IN_DOUBT)
 
     async def _note_failure(self) -> None:
-        """The service did not serve: the history may have a gap when it comes back."""
+        """Record a failure, after which the service may come back with lost commits."""
         self.last_failed_at = time.monotonic()
         if self.history is not None:
             self.history.needs_check_in = True
--- a/clayport/records/progress.py
+++ b/clayport/records/progress.py
@@ -1,4 +1,4 @@
-"""Up to when, and up to which revision, the records are known to this controller."""
+"""How far this controller has read the records: up to which time and which revision."""
 
 from __future__ import annotations
 
@@ -6,14 +6,16 @@
 
 
 class ReadProgress:
-    """How far the records under `c/` have been read. Free of I/O.
+    """Tracks how far the records under `c/` have been read. No I/O.
 
-    A job whose live record is gone holds it back until the job's end has been read.
+    A job whose live record has been deleted holds the progress back until the job's final record
+    has been read.
 
     Attributes:
-        seen: The revision up to which all changes under `c/` are known here.
-        unresolved_ends: Jobs whose live record is gone and whose end is still to be read, and
-            up to when, and up to which revision, all was known before.
+        seen: The revision up to which all changes under `c/` have been read.
+        unresolved_ends: Jobs whose live record has been deleted and whose final record has not
+            been read yet, with the time and the revision up to which everything was known before
+            the deletion.
     """
 
     def __init__(self, watermark: CancellationWatermark) -> None:
@@ -23,15 +25,13 @@
 
     @property
     def known_rev(self) -> int:
-        """Up to which revision it is known what became of every job."""
+        """The revision up to which the state of every job is known."""
         return next(iter(self.unresolved_ends.values()), (0.0, self.seen))[1]
 
     def note_read(self, asked_at: float, rev: int) -> None:
-        """All changes up to a revision have been read.
+        """Record that all changes up to the revision `rev` have been read.
 
-        Args:
-            asked_at: When they were asked for, on the steady clock.
-            rev: The revision.
+        `asked_at` is when the request was sent, in seconds on the monotonic clock.
         """
         self.seen = rev
         self.watermark.note_records_read(
@@ -39,9 +39,9 @@
         )
 
     def note_unresolved(self, job: str) -> None:
-        """The live record of a job is gone, and its end is still to be read."""
+        """Record that a job's live record was deleted and its final record has not been read."""
         self.unresolved_ends.setdefault(job, (self.watermark.records_read_at, self.known_rev))
 
     def note_resolved(self, job: str) -> None:
-        """The end of a job has been read, or is not looked for any more."""
+        """Record that a job's final record has been read, or is no longer looked for."""
         self.unresolved_ends.pop(job, None)
--- a/clayport/records/rate_limit.py
+++ b/clayport/records/rate_limit.py
@@ -1,47 +1,47 @@
-"""Rate limits, and the priorities with which requests pass them. Pure: no I/O, no clock."""
+"""Rate limits, and the priorities of requests. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
-# Priorities are given in seconds: a request with priority p is sent up to p seconds before
-# its turn in the queue of the rate limit, and passes those with a smaller one at the gate.
-# Submissions, and outcomes that users wait for. (The service allows bursts of a second's worth.)
+# Priorities are given in seconds: a request with priority p is sent up to p seconds before its turn
+# under the rate limit, and precedes requests of lower priority at the gate for requests in flight.
+# Submissions, and outcomes that users wait for. The service allows bursts of one second's requests.
 URGENT_PRIORITY_S = 0.5
-# Cancellations, which have a limit of their own.
+# Cancellations, which have a separate limit.
 CANCEL_PRIORITY_S = 1.0
-# The few requests that keep this controller's lease and the epoch. They skip the gate as well.
+# Requests that maintain this controller's lease and the epoch. They also bypass the gate.
 LEASE_PRIORITY_S = 5.0
 
 
 class TokenBucket:
-    """A token bucket that holds a second's worth: this controller's share of a rate limit.
+    """A token bucket for this controller's share of a rate limit, with one second's capacity.
 
-    Pacing requests by it keeps the service from answering 429. The level may fall below
-    zero: what is missing then is the queue of those that wait for their turn.
+    Pacing requests with the bucket keeps the service from answering 429. The level may fall below
+    zero; the deficit is what the waiting requests have taken in advance.
 
     Attributes:
-        rate: Tokens that are added each second, and the most that the bucket holds.
-        level: Tokens that are left, as of `at`.
-        at: When the level was last computed, in seconds on the monotonic clock.
+        rate: Tokens that are added each second, and the capacity of the bucket.
+        level: The tokens left at `updated_at`.
+        updated_at: When the level was last computed, in seconds on the monotonic clock.
     """
 
     def __init__(self, rate: float, now: float) -> None:
-        self.rate, self.level, self.at = rate, rate, now
+        self.rate, self.level, self.updated_at = rate, rate, now
 
     def delay(self, amount: float, now: float, priority_s: float = 0.0) -> float:
         """Take `amount` tokens; return the seconds to wait before they may be used.
 
-        A priority of `priority_s` seconds shortens the wait by as much.
+        The priority `priority_s` shortens the wait by that many seconds.
         """
-        self.level = min(self.rate, self.level + (now - self.at) * self.rate)
-        self.at = now
+        self.level = min(self.rate, self.level + (now - self.updated_at) * self.rate)
+        self.updated_at = now
         self.level -= amount
         return max(0.0, -self.level / self.rate - priority_s)
 
     def backlog(self, now: float, priority_s: float = 0.0) -> float:
-        """Return the seconds that a request would have to wait, without taking anything."""
-        level = min(self.rate, self.level + (now - self.at) * self.rate)
+        """Return the seconds that a request would have to wait, without taking tokens."""
+        level = min(self.rate, self.level + (now - self.updated_at) * self.rate)
         return max(0.0, -level / self.rate - priority_s)
 
     def refund(self, amount: float) -> None:
-        """Put back tokens that were taken and are not used after all."""
+        """Return tokens that were taken and not used."""
         self.level += amount
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -1,4 +1,4 @@
-"""The replica in memory of the records under `c/`, which one watch keeps."""
+"""The in-memory replica of the records under `c/`, kept up to date by a watch."""
 
 from __future__ import annotations
 
@@ -41,28 +41,28 @@
 
 
 class EpochListener(Protocol):
-    """Acts on a new epoch."""
+    """Is notified of new epochs."""
 
     def begin(self, epoch: Epoch) -> None:
-        """Act under the epoch from now on."""
+        """Switch to the epoch."""
         ...
 
 
 class RecordReplica:
-    """Keeps what this controller has in memory of the records, by one watch.
+    """Reads the records under `c/`, follows their changes and updates the state in memory.
 
     Args:
-        jobs: The jobs that are known here.
-        lifecycle: Enters accepted and ended jobs.
-        membership: Who is present.
-        objectives: How urgent jobs are.
+        jobs: The known jobs and the example job of each job class.
+        lifecycle: Records accepted and ended jobs.
+        membership: The controllers present and the current epoch.
+        objectives: Adds the scheduling objectives to job descriptions.
         progress: How far the records have been read.
-        rebuild: Is told which history the records belong to.
+        rebuild: Is notified of the history that the records belong to.
         routines: The signals of this process.
-        stalls: Says whether this process stood still while the records were read.
-        store: Where the records are read.
-        upgrade: How far an upgrade has come.
-        versions: Enters the versions of the controllers.
+        stalls: Tells whether this process stalled while the records were read.
+        store: The client of the state service.
+        upgrade: The progress of a rolling upgrade.
+        versions: Records the versions of the controllers.
     """
 
     def __init__(
@@ -93,11 +93,11 @@
         self.versions = versions
 
     def connect(self, *, transition: EpochListener) -> None:
-        """Set the part that is built later than this one."""
+        """Set the component that is created after this one."""
         self.transition = transition
 
     async def follow(self) -> None:
-        """Follow the epoch, the controllers present and the live jobs, while the process runs."""
+        """Follow the epoch, the controllers present and the live jobs until the process ends."""
         rev = 0
         attempt = self.store.begin()
         while True:
@@ -107,8 +107,8 @@
                 asked_at = time.monotonic()
                 changes, rev = await self.store.watch("c/", rev, self.membership.lease_ttl_s)
                 if self.membership.rescan:
-                    # Asked for before: an epoch among them would begin with jobs of
-                    # which this has not been read yet.
+                    # The watch was sent before the new read was requested. A new epoch among
+                    # these changes would begin before all of its jobs have been read.
                     continue
                 for change in changes:
                     self._apply(change)
@@ -127,10 +127,10 @@
                 await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s / 8))
 
     async def _scan(self) -> int:
-        """Read all records anew; the revision of the answer.
+        """Read all records under `c/` again; return the revision of the answer.
 
         Raises:
-            UnavailableError: They could not be read, or are in doubt.
+            UnavailableError: The records could not be read, or are in doubt.
         """
         stalls = self.stalls.count
         asked_at = time.monotonic()
@@ -147,7 +147,7 @@
             del self.membership.present[label]
             self.membership.present_revs.pop(label, None)
             if label == self.membership.label:
-                self.membership.lease = None  # the lease may be there, and the key is not
+                self.membership.lease = None  # only the key is gone; the lease may still exist
                 self.routines.signal("lease")
         for entry in entries:
             self._put(entry.key, entry.value, entry.rev)
@@ -163,7 +163,7 @@
         return rev
 
     def _apply(self, change: Change) -> None:
-        """Take in one change that the watch told."""
+        """Apply one change reported by the watch."""
         if change.put is not None:
             self._put(change.put, change.value, change.rev)
         elif change.delete is not None:
@@ -179,7 +179,7 @@
                 self.lifecycle.note_gone(change.delete[len(LIVE_PREFIX) :])
 
     def _put(self, key: str, value: Any, rev: int) -> None:
-        """Take in a record; a malformed one is logged and left out."""
+        """Apply a written record; a malformed record is logged and skipped."""
         try:
             if key == EPOCH_KEY:
                 if rev > self.membership.epoch.rev:
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -1,7 +1,7 @@
 """The client of the state service, the consensus-backed key-value store that holds all records.
 
-It decides nothing: outcomes are handed on as results or as errors of `records.errors`.
-How requests are paced and sent is in `records.paced_client`.
+The client makes no decisions: it passes outcomes on as results or as errors of `records.errors`.
+`records.paced_client` paces and sends the requests.
 """
 
 from __future__ import annotations
@@ -41,23 +41,21 @@
     commit_request,
 )
 
-# Other modules may import these from here as well as from the modules that define them.
-
-# Keys that one page of a scan holds at most.
+# The most keys that one page of a scan holds.
 PAGE_KEYS = 1000
 
 
 class StateStore(PacedClient):
-    """The state service's operations.
+    """The operations of the state service.
 
-    With `allow_in_doubt`, an operation is carried out even while the records are in doubt, outside
-    of any history of the records.
+    With `allow_in_doubt`, an operation is executed even while the records are in doubt, without
+    conditions and checks on a history.
     """
 
     async def get(
         self, key: str, deadline: Deadline | None = None, allow_in_doubt: bool = False
     ) -> Entry | None:
-        """Return the entry of a key, None if there is no such key.
+        """Return the entry of a key, or None if there is no such key.
 
         Raises:
             UnavailableError: The request was refused.
@@ -71,24 +69,24 @@
         return decode(payload, Entry)
 
     async def scan(self, prefix: str, allow_in_doubt: bool = False) -> tuple[list[Entry], int]:
-        """Return all keys with the prefix, and the revision of the first page.
+        """Return all entries with the prefix, and the revision of the first page.
 
         Raises:
             UnavailableError: A page was refused.
             OutcomeUnknownError: There was no usable answer.
         """
         entries: list[Entry] = []
-        first, since = 0, ""
+        first_rev, since = 0, ""
         while True:
             path = f"/keys?prefix={prefix}&most={PAGE_KEYS}" + (f"&since={since}" if since else "")
             status, payload = await self._read(path, allow_in_doubt=allow_in_doubt)
             if status != 200:
                 raise UnavailableError(f"{status} for {prefix}")
             page = decode(payload, Page)
-            first = first or page.rev
+            first_rev = first_rev or page.rev
             entries += page.items
             if not page.more or not page.items:
-                return entries, first
+                return entries, first_rev
             since = page.items[-1].key
 
     async def scan_all(
@@ -97,15 +95,15 @@
         allow_in_doubt: bool = False,
         read: Callable[[str, int], None] | None = None,
     ) -> tuple[dict[str, tuple[Any, int]], int]:
-        """Return all keys with any of the prefixes, and up to which revision they are whole.
+        """Return all entries with any of the prefixes, and the revision they are complete up to.
 
         Args:
             prefixes: The prefixes to scan, one after the other.
             allow_in_doubt: Whether to read even while the records are in doubt.
-            read: Is told each prefix and how many keys it has.
+            read: Called with each prefix and the number of its keys.
 
         Returns:
-            Value and revision by key, and a revision up to which all changes are among them.
+            Value and revision by key, and a revision up to which all changes are included.
 
         Raises:
             UnavailableError: A page was refused.
@@ -130,21 +128,23 @@
     ) -> int:
         """Apply a transaction; return its revision.
 
-        It holds in the history that is acted on, and in no other (`rebuild.history`).
+        Conditions on the anchors make the transaction fail in any history other than the current
+        one (`rebuild.history`).
 
         Args:
             txn: The transaction.
-            deadline: By when the outcome is of use.
-            priority_s: Its priority, for what users and replicas wait for: the outcomes of a
-                job of thousands of short tasks once delayed submissions.
+            deadline: The time after which the outcome is of no use.
+            priority_s: The priority of the commit. Without priorities, the outcomes of a job with
+                thousands of short tasks delay submissions.
             allow_in_doubt: Whether to commit even while the records are in doubt.
 
         Raises:
-            ConflictError: A condition did not hold; nothing was changed.
+            ConflictError: A condition did not hold, and nothing was changed.
             NoLeaseError: The lease that a write names has expired.
-            TransactionTooLargeError: It exceeds the service's limits and was not executed.
-            UnavailableError: It was not executed.
-            OutcomeUnknownError: It may have been executed.
+            TransactionTooLargeError: The transaction exceeds the service's limits and was not
+                executed.
+            UnavailableError: The transaction was not executed.
+            OutcomeUnknownError: The transaction may have been executed.
         """
         conditions = (
             txn.when
@@ -178,7 +178,7 @@
         raise UnavailableError(f"{status} {payload[:200]!r}")
 
     async def lease(self, ttl_s: float) -> int:
-        """Return the number of a new lease that expires `ttl_s` after its last renewal.
+        """Create a lease that expires `ttl_s` after its last renewal; return its number.
 
         Raises:
             UnavailableError: The request was refused.
@@ -196,13 +196,14 @@
         return decode(payload, LeaseAnswer).id
 
     async def renew(self, lease: int) -> bool:
-        """Renew a lease; return False when it has expired.
+        """Renew a lease; return False if it has expired.
 
         Raises:
             UnavailableError: The request was refused.
             OutcomeUnknownError: There was no answer.
         """
-        # Never behind users' reads: a controller that many asked once lost its lease.
+        # Renewals precede users' reads, because a controller under many reads would otherwise
+        # lose its lease.
         status, _ = await self.call(
             "POST", f"/leases/{lease}/touch", {}, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True
         )
@@ -213,13 +214,15 @@
     ) -> tuple[list[Change], int]:
         """Wait for changes of keys with the prefix after the revision `since`.
 
-        Each kind of watch has a connection of its own; `apart` chooses the second.
+        The replica and the snapshot recorder watch over separate connections; `apart` selects the
+        connection of the recorder.
 
         Returns:
-            The changes, none when `wait_s` is over, and the revision to go on from.
+            The changes, none if there were none within `wait_s`, and the revision to watch from
+            next.
 
         Raises:
-            CompactedError: `since` is too far back.
+            CompactedError: The changes after `since` have been compacted.
             UnavailableError: The request was refused.
             OutcomeUnknownError: There was no usable answer.
         """
@@ -240,7 +243,7 @@
     async def _read(
         self, path: str, deadline: Deadline | None = None, allow_in_doubt: bool = False
     ) -> tuple[int, bytes]:
-        """A read may be repeated: an unanswered one is tried once more."""
+        """Send a read request and retry it once without an answer; return status and payload."""
         try:
             return await self.call(
                 "GET",
--- a/clayport/records/transaction.py
+++ b/clayport/records/transaction.py
@@ -1,4 +1,4 @@
-"""Transactions on conditions (compare-and-swap), and the messages that commit them."""
+"""Conditional transactions (compare-and-swap), and the messages that commit them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Write(TypedDict, total=False):
-    """One write of a transaction, in the protocol's terms: a put or a removal.
+    """One write of a transaction with the field names of the protocol: a put or a deletion.
 
     Keys:
         write: The key to put.
         data: The value to put.
-        hold: The lease with which the put key expires.
-        remove: The key to remove.
+        hold: The lease with which the key expires.
+        remove: The key to delete.
     """
 
     write: str
@@ -28,7 +28,7 @@
     """A transaction under construction.
 
     Attributes:
-        when: The conditions: the revision that each of these keys must have (0: no such key).
+        when: The conditions: by key, the revision that it must have (0: the key must not exist).
         writes: The writes, in the order in which they are applied.
     """
 
@@ -37,12 +37,12 @@
         self.writes: list[Write] = []
 
     def require(self, key: str, rev: int) -> Txn:
-        """Add the condition that the key has this revision (0: that there is no such key)."""
+        """Add the condition that the key has this revision (0: that the key does not exist)."""
         self.when[key] = rev
         return self
 
     def put(self, key: str, value: Any, lease: int | None = None) -> Txn:
-        """Add a write of the key; with a lease, the key expires with that."""
+        """Add a write of the key; with a lease, the key expires with the lease."""
         write: Write = {"write": key, "data": value}
         if lease is not None:
             write["hold"] = lease
@@ -50,33 +50,33 @@
         return self
 
     def delete(self, key: str) -> Txn:
-        """Add the removal of the key."""
+        """Add the deletion of the key."""
         self.writes.append({"remove": key})
         return self
 
 
 class Condition(msgspec.Struct):
-    """The revision that a key must have for a commit to be carried out."""
+    """The revision that a key must have for a commit to succeed."""
 
     key: str
     rev: int = msgspec.field(name="key_rev")
 
 
 class CommitRequest(msgspec.Struct):
-    """A transaction as it is sent; without writes it is a comparison."""
+    """A transaction as sent; without writes it only compares revisions."""
 
     when: list[Condition]
     writes: list[Write] | msgspec.UnsetType = msgspec.UNSET
 
 
 class CommitAnswer(msgspec.Struct):
-    """The commit was carried out, at this revision of the store."""
+    """The answer to a successful commit, with the revision of the commit."""
 
     rev: int = msgspec.field(name="store_rev")
 
 
 class CommitConflict(msgspec.Struct):
-    """The commit was not carried out: these keys have other revisions."""
+    """The answer to a failed commit, with the keys whose revisions differ from the conditions."""
 
     failed: list[str] = []
 
@@ -84,7 +84,7 @@
 def commit_request(txn: Txn, conditions: Mapping[str, int]) -> CommitRequest:
     """Return the message that commits a transaction's writes under the conditions.
 
-    `conditions` are those of the transaction and any that the client adds to them.
+    `conditions` are those of the transaction and any that the client adds.
     """
     return CommitRequest(
         [Condition(key, rev) for key, rev in conditions.items()], txn.writes or msgspec.UNSET
--- a/clayport/records/upgrade.py
+++ b/clayport/records/upgrade.py
@@ -1,4 +1,4 @@
-"""Which formats the controllers understand, and what may be written while they are mixed."""
+"""The progress of a rolling upgrade, which determines the formats that may be written."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 
 class UpgradeState:
-    """How far an upgrade has come.
+    """The progress of a rolling upgrade.
 
     Attributes:
-        formats: By label, the newest format that a controller has understood, and the
-            revision of the record that says so.
-        complete: Whether every controller of the settings understands the present format.
-        promises_enabled: Whether every controller understands promises on cancellations.
-        limits: The store's limits that are kept to now.
-        chunk_size: Tasks in a chunk once all controllers keep to the limits that are to come.
+        formats: By controller, the newest format that it has understood, and the revision of its
+            version record.
+        complete: Whether every controller in the settings understands the current format.
+        promises_enabled: Whether every controller supports promises on cancellations.
+        limits: The limits of the state service that this controller observes now.
+        chunk_size: The number of tasks in a chunk once all controllers observe the lower of the
+            present and the announced limits.
     """
 
     def __init__(self, limits: StateSettings) -> None:
--- a/clayport/records/values.py
+++ b/clayport/records/values.py
@@ -1,4 +1,4 @@
-"""Values of the records of jobs and quotas: built, parsed, and cut down to a size."""
+"""Builds, parses and truncates the values of the records of jobs and quotas."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from clayport.model import Job
 
-# How a job may end, as final records name it.
+# The statuses in final records.
 END_STATUSES = ("done", "cancelled")
-# Fields of a description that the rest of a job's tasks can do without.
+# Fields of a description that the tasks of an ended job do not need.
 OPTIONAL_FIELDS = ("prereqs", "flavors")
-# Characters that are kept of the name of the image (`bundle`) when a description is cut down.
+# The length to which an image name (`bundle`) is truncated in a final record.
 TRUNCATED_IMAGE_CHARS = 20
 
 
@@ -21,7 +21,7 @@
 
     Args:
         job: The job's description.
-        at: The time of day of its submission, in seconds since the epoch of the clock.
+        at: When the job was submitted, in Unix time.
     """
     return {"j": msgspec.to_builtins(job), "t": round(at, 3)}
 
@@ -31,8 +31,8 @@
 
     Args:
         status: How the job ended: one of `END_STATUSES`.
-        at: The time of day of its end, in seconds since the epoch of the clock.
-        desc: The stored description, where tasks of the job may still be on machines.
+        at: When the job ended, in Unix time.
+        desc: The stored description, if tasks of the job may still be on machines.
     """
     value: dict[str, Any] = {"s": status, "t": round(at, 3)}
     if desc is not None:
@@ -41,10 +41,10 @@
 
 
 def parse_end(value: Any) -> tuple[str, float | None]:
-    """Return how a job ended, and when; None where the record is of a version that didn't say.
+    """Return the status and the time of a job's end; the time is None in records of old versions.
 
     Raises:
-        ValueError: The record names another status.
+        ValueError: The record has an unknown status.
     """
     status = value["s"]
     if status not in END_STATUSES:
@@ -53,10 +53,10 @@
 
 
 def truncate_end(value: dict[str, Any], value_kb: float) -> dict[str, Any]:
-    """Return the value of a final record, cut down if it exceeds `value_kb` KiB.
+    """Return the value of a final record, truncated if it exceeds `value_kb` KiB.
 
-    A description that was accepted under a larger limit is reduced to what the rest of its
-    tasks need. (A job too large to be cancelled would run on.)
+    A description that was accepted under a larger limit is reduced to the fields that the remaining
+    tasks need. Otherwise a job with a large description could not be cancelled.
     """
     if len(msgspec.json.encode(value)) <= value_kb * 1024 or "j" not in value:
         return value
@@ -65,5 +65,5 @@
 
 
 def parse_quota(value: Any) -> tuple[float, float]:
-    """Return the CPUs and GPUs that a team's tasks use; (0, 0) without a record."""
+    """Return the CPUs and GPUs that a team's tasks use, or (0, 0) without a record."""
     return (float(value["c"]), float(value["g"])) if value else (0.0, 0.0)
--- a/clayport/records/versions.py
+++ b/clayport/records/versions.py
@@ -1,4 +1,4 @@
-"""Counts which formats the controllers understand, and completes an upgrade by it."""
+"""Tracks the formats that the controllers understand, and completes rolling upgrades."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class VersionTracker:
-    """Keeps `UpgradeState` by the records of the controllers' versions.
+    """Updates `UpgradeState` from the version records of the controllers.
 
     Args:
-        jobs: The jobs whose drivers look again once the upgrade is complete.
-        lookups: Its batches grow with the limits of the store.
-        membership: The present epoch.
+        jobs: The managed jobs, whose routines are woken once the upgrade is complete.
+        lookups: Its batch size follows the limits of the state service.
+        membership: The current epoch.
         routines: The signals of this process.
-        settings: The labels of all controllers, and the limits of the store.
-        store: Its rates are those of the limits.
-        upgrade: What is kept.
+        settings: The labels of all controllers, and the limits of the state service.
+        store: Its request rates follow the limits of the state service.
+        upgrade: The state that is updated.
     """
 
     def __init__(
@@ -51,10 +51,11 @@
         self.upgrade = upgrade
 
     def count_versions(self) -> None:
-        """Note whether every controller of the settings, present or not, understands FORMAT.
+        """Complete the upgrade once every controller in the settings understands `FORMAT`.
 
-        And whether the epoch began after the last of them had said so: what their
-        predecessors have on its way fails under it. Once true, it stays.
+        Controllers that are not present count as well. The current epoch must have begun after the
+        last version record was written, so that delayed commits of older processes fail. A
+        completed upgrade stays complete.
         """
         found = [self.upgrade.formats.get(label, (0, 0)) for label in self.settings.labels]
         if self.membership.epoch.rev <= max(rev for _, rev in found):
@@ -79,14 +80,14 @@
             self.routines.signal(managed.name)
 
     def note_version(self, label: str, value: Any, rev: int) -> None:
-        """Enter the record of a controller's version.
+        """Store the format in a controller's version record.
 
-        A malformed one counts as format 0: the controller writes it anew.
+        A malformed record counts as format 0, so that the controller writes it again.
 
         Args:
             label: The controller.
-            value: The record.
-            rev: Its revision.
+            value: The record's value.
+            rev: The record's revision.
         """
         try:
             self.upgrade.formats[label] = (int(value["format"]), rev)
