--- a/tests/records/test_stored_data.py
+++ b/tests/records/test_stored_data.py
@@ -1,18 +1,19 @@
-"""What the versions before have stored and sent is read, and is written the same.
-
-`data/` holds what the version before wrote in a simulated day with a rebuild, a cancelled
-pipeline and limits that are to be lowered, and by hand where no day comes to it:
-
-- `records.json`: all records of one moment, each with its revision;
-- `records_without_times.json`: the form that the first versions gave to live and final records;
-- `end_cut_down.json`: a final record, and the same where values may be no longer than 0.3 KiB;
-- `lineages.json`: heads of histories, while they are rebuilt, when whole, and restored by hand;
-- `snapshot/`, `snapshot_header.json`, `snapshot_changes.json`: a base of `records.json` with a
-  log, the base's header, and what was appended to the log, block by block;
-- `evidence.bin`, `evidence.json`: a controller's evidence, packed and plain;
-- `frames.txt`: one frame of each kind between controllers, its kind and its bytes in hex.
-
-None of it is ever changed to suit the code: other controllers and disks hold the same.
+"""Tests that data stored and sent by earlier versions can be read and is written unchanged.
+
+`data/` holds data that an earlier version wrote during a simulated day with a rebuild, a cancelled
+pipeline and announced lower limits. Data that no simulated day produces was written by hand:
+
+- `records.json`: all records at one moment, with their revisions;
+- `records_without_times.json`: live and final records in the form of the first versions;
+- `end_cut_down.json`: a final record, whole and truncated to a value limit of 0.3 KiB;
+- `lineages.json`: head records of histories that are being rebuilt, whole, and restored by hand;
+- `snapshot/`, `snapshot_header.json`, `snapshot_changes.json`: a snapshot base of `records.json`
+  with a log, the base's header, and the blocks of changes appended to the log;
+- `evidence.bin`, `evidence.json`: a controller's evidence, packed and as JSON;
+- `frames.txt`: one frame of each kind between controllers, with its kind and its bytes in hex.
+
+The data must never be changed to match the code, because running controllers and snapshots on disk
+have the same forms.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 
 
 RECORDS: dict[str, tuple[Any, int]] = {k: (v, rev) for k, (v, rev) in load("records.json").items()}
-LINEAGE = RECORDS["c/lineage"][0]
+HISTORY_HEAD = RECORDS["c/lineage"][0]
 WITHOUT_TIMES: dict[str, Any] = load("records_without_times.json")
 FRAMES = {
     int(kind): bytes.fromhex(raw)
@@ -54,7 +55,7 @@
 
 
 def values(prefix: str) -> dict[str, Any]:
-    """The records under a prefix without its anchor, by the rest of their keys."""
+    """Return the values of the records under a prefix, without its anchor, by the key's suffix."""
     found = {
         key[len(prefix) :]: value
         for key, (value, _) in RECORDS.items()
@@ -64,15 +65,15 @@
     return found
 
 
-def same_text(written: Any, stored: Any) -> None:
-    """Equal as JSON, with the types of the numbers and the order of the fields."""
+def assert_same_json(written: Any, stored: Any) -> None:
+    """Assert that both encode to the same JSON text, including number types and field order."""
     assert msgspec.json.encode(written) == msgspec.json.encode(stored)
 
 
 # -- records -----------------------------------------------------------------------
 
 
-def test_the_data_hold_a_record_of_every_kind() -> None:
+def test_data_contain_records_of_all_kinds() -> None:
     kinds = {key.rpartition("/")[0].removesuffix("/").split("/j-")[0] for key in RECORDS}
     assert kinds == {"c", "c/node", "c/version", "c/class", "c/live", "run", "end", "quota"}
     assert {"c/generation", "c/lineage"} <= set(RECORDS)
@@ -82,22 +83,22 @@
     assert any(chunk["d"] for chunk in values("run/").values())
 
 
-def test_a_generation_is_read_and_written_the_same() -> None:
+def test_epoch_round_trip() -> None:
     value, rev = RECORDS[keys.EPOCH_KEY]
     epoch = Epoch.parse(value, rev)
     assert epoch.number == value["number"] and epoch.rev == rev
     assert epoch.members == value["members"]
-    same_text(epoch.value(), value)
+    assert_same_json(epoch.value(), value)
 
 
-def test_live_records_are_read_and_written_the_same() -> None:
+def test_live_record_round_trip() -> None:
     for name, value in values("c/live/").items():
         job = msgspec.convert(value["j"], Job)
         assert job.id == name and keys.live_key(job.id) == f"c/live/{name}"
-        same_text(record_values.live_value(job, value["t"]), value)
+        assert_same_json(record_values.live_value(job, value["t"]), value)
 
 
-def test_a_description_s_fields_have_their_meaning() -> None:
+def test_description_fields_are_mapped_to_attributes() -> None:
     job = msgspec.convert(values("c/live/")["j-000024"]["j"], Description)
     assert (job.job_class, job.team, job.kind, job.priority) == ("train", "tight", "sweep", "high")
     assert (job.tasks, job.cpus, job.gpus, job.memory_gb) == (2, 4.0, 2.0, 4.0)
@@ -108,14 +109,14 @@
     assert (later.deadline_s, later.prereqs) == (300.0, ["j-000000"])
 
 
-def test_classes_are_read_and_written_the_same() -> None:
+def test_class_record_round_trip() -> None:
     for name, value in values("c/class/").items():
         job = msgspec.convert(value["j"], Job)
         assert job.job_class == name
-        same_text({"j": msgspec.to_builtins(job)}, value)
+        assert_same_json({"j": msgspec.to_builtins(job)}, value)
 
 
-def test_chunks_are_read_and_written_the_same() -> None:
+def test_chunk_round_trip() -> None:
     for rest, value in values("run/").items():
         key = f"run/{rest}"
         job, size, index = keys.parse_chunk_key(key)
@@ -124,84 +125,89 @@
         assert chunk.rev == 7 and chunk.last_attempt == value["n"]
         assert chunk.assigned == {n: (attempt, machine) for n, attempt, machine in value["a"]}
         assert chunk.done == {n for first, last in value["d"] for n in range(first, last + 1)}
-        same_text(chunk.value(), value)
+        assert_same_json(chunk.value(), value)
 
 
-def test_final_records_are_read_and_written_the_same() -> None:
+def test_final_record_round_trip() -> None:
     for name, value in values("end/").items():
         assert keys.end_key(name) == f"end/{name}"
         status, at = record_values.parse_end(value)
         assert (status, at) == (value["s"], value["t"]) and at is not None
-        same_text(record_values.end_value(status, at, value.get("j")), value)
+        assert_same_json(record_values.end_value(status, at, value.get("j")), value)
 
 
-def test_a_final_record_is_cut_down_the_same() -> None:
+def test_final_record_truncation_is_unchanged() -> None:
     ends = load("end_cut_down.json")
     assert record_values.truncate_end(ends["whole"], 0.3) == ends["cut_down"] != ends["whole"]
     assert record_values.parse_end(ends["cut_down"]) == ("cancelled", ends["whole"]["t"])
 
 
-def test_quotas_are_read_and_written_the_same() -> None:
+def test_quota_record_round_trip() -> None:
     for team, value in values("quota/").items():
         assert keys.quota_key(team) == f"quota/{team}"
         assert record_values.parse_quota(value) == (value["c"], value["g"])
     others = {k: v for k, v in RECORDS.items() if k.startswith(("c/live/", "end/", "run/"))}
     limits = {team: (1000.0, 1000.0) for team in values("quota/")}
-    said = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
-    written = merge(others, {"c0": said}, (), limits, 1000).changes
+    recovered = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
+    written = merge(others, {"c0": recovered}, (), limits, 1000).changes
     for team, value in values("quota/").items():
-        same_text(written[keys.quota_key(team)], value)
+        assert_same_json(written[keys.quota_key(team)], value)
 
 
-def test_anchors_are_written_the_same() -> None:
+def test_anchors_are_written_unchanged() -> None:
     anchors = {key: value for key, (value, _) in RECORDS.items() if history.is_anchor(key)}
-    name = LINEAGE["id"]
+    name = HISTORY_HEAD["id"]
     assert set(anchors) == {history.anchor_key(prefix, name) for prefix in history.PREFIXES}
     for value in anchors.values():
-        same_text(history.anchor_value(name), value)
+        assert_same_json(history.anchor_value(name), value)
+
 
+def test_records_are_restored_unchanged() -> None:
+    """The records are read as evidence and merged into an empty store.
 
-def test_what_is_restored_from_the_records_is_the_same() -> None:
-    """Read as evidence and merged into nothing; who holds what is left to the machines."""
-    said = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
-    assert said.epoch == RECORDS[keys.EPOCH_KEY][0]["number"]
-    assert said.members == RECORDS[keys.EPOCH_KEY][0]["members"]
-    assert said.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
-    written = merge({}, {"c0": said}, (), {}, 1000).changes
+    Assignments are not compared, because a rebuild takes them from the machines.
+    """
+    recovered = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
+    assert recovered.epoch == RECORDS[keys.EPOCH_KEY][0]["number"]
+    assert recovered.members == RECORDS[keys.EPOCH_KEY][0]["members"]
+    assert recovered.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
+    written = merge({}, {"c0": recovered}, (), {}, 1000).changes
     for prefix in ("c/live/", "c/version/", "c/class/"):
         for rest, value in values(prefix).items():
-            same_text(written[prefix + rest], value)
+            assert_same_json(written[prefix + rest], value)
     for name, value in values("end/").items():
-        assert said.ended[name] == (value["s"], value["t"], value.get("j"))
-        same_text(written[f"end/{name}"], {"s": value["s"], "t": value["t"]})
+        assert recovered.ended[name] == (value["s"], value["t"], value.get("j"))
+        assert_same_json(written[f"end/{name}"], {"s": value["s"], "t": value["t"]})
 
 
-def test_records_of_the_first_versions_are_read() -> None:
+def test_records_of_first_versions_are_read() -> None:
     live, end = sorted(WITHOUT_TIMES)
     assert "t" not in WITHOUT_TIMES[live] and "t" not in WITHOUT_TIMES[end]
     assert record_values.parse_end(WITHOUT_TIMES[end]) == ("done", None)
     found = files.Snapshot(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
-    said = remembered(found, "c0")
-    assert said.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
-    written = merge({}, {"c0": said}, (), {}, 1000).changes
-    same_text(written[end], WITHOUT_TIMES[end])
+    recovered = remembered(found, "c0")
+    assert recovered.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
+    written = merge({}, {"c0": recovered}, (), {}, 1000).changes
+    assert_same_json(written[end], WITHOUT_TIMES[end])
 
 
-# -- controllers that find the records ---------------------------------------------
+# -- controllers that start with stored records ------------------------------------
 
 
-# Controllers serve once they have asked all machines, or given them up.
-PATIENCE_S = 120.0
+# Controllers serve only after all machines have answered or have been given up.
+SERVING_TIMEOUT_S = 120.0
 
 
-async def begun_with(clock: Clock, records: dict[str, tuple[Any, int]], label: str = "") -> World:
-    """Controllers (one alone, if it is named) begin with records that are there already."""
+async def start_with_records(
+    clock: Clock, records: dict[str, tuple[Any, int]], label: str = ""
+) -> World:
+    """Start controllers, or only the one named `label`, with records that are already stored."""
     world = World(clock, 3, rebuild=True)
     world.state.keys = {key: (value, rev, None) for key, (value, rev) in records.items()}
     world.state.rev = max(rev for _, rev in records.values())
     for each in [label] if label else world.labels:
         await world.start(each)
-    end = clock() + PATIENCE_S
+    end = clock() + SERVING_TIMEOUT_S
     while clock() < end and not all(
         c.membership.serving and c.membership.present for c in world.controllers.values()
     ):
@@ -209,16 +215,16 @@
     return world
 
 
-def test_controllers_take_up_the_records(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = simulate(monkeypatch, lambda clock: begun_with(clock, RECORDS))
+def test_controllers_load_stored_records(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = simulate(monkeypatch, lambda clock: start_with_records(clock, RECORDS))
     stored = {key: value for key, (value, _, _) in world.state.keys.items()}
     for key, (value, rev) in RECORDS.items():
         if key.startswith(("c/version/", "c/class/", "c/live/", "end/")) and "/~" not in key:
             assert world.state.keys[key] == (value, rev, None)
     assert stored["c/generation"]["number"] > RECORDS["c/generation"][0]["number"]
     assert set(stored["c/generation"]) == set(RECORDS["c/generation"][0])
-    assert stored["c/lineage"]["n"] == LINEAGE["n"] + 1
-    assert set(stored["c/lineage"]) == set(LINEAGE) and stored["c/lineage"]["state"] == "whole"
+    assert stored["c/lineage"]["n"] == HISTORY_HEAD["n"] + 1
+    assert set(stored["c/lineage"]) == set(HISTORY_HEAD) and stored["c/lineage"]["state"] == "whole"
     assert len([key for key in stored if history.is_anchor(key)]) == len(history.PREFIXES)
     for label, controller in world.controllers.items():
         assert stored[f"c/node/{label}"] == {"inc": controller.membership.incarnation}
@@ -238,12 +244,12 @@
     assert set(managed_jobs) >= set(values("c/live/"))
 
 
-def test_controllers_write_versions_and_classes_as_before(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_versions_and_classes_are_written_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
     left = {k: row for k, row in RECORDS.items() if not k.startswith(("c/version/", "c/class/"))}
-    world = simulate(monkeypatch, lambda clock: begun_with(clock, left))
+    world = simulate(monkeypatch, lambda clock: start_with_records(clock, left))
     stored = {key: value for key, (value, _, _) in world.state.keys.items()}
     for label, value in values("c/version/").items():
-        same_text(stored[f"c/version/{label}"], value)
+        assert_same_json(stored[f"c/version/{label}"], value)
     described = [value["j"] for value in values("c/live/").values()]
     for name, value in values("c/class/").items():
         assert set(stored[f"c/class/{name}"]) == set(value) == {"j"}
@@ -251,36 +257,36 @@
         assert stored[f"c/class/{name}"]["j"] in described
 
 
-def test_a_controller_alone_reads_who_else_is_there(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = simulate(monkeypatch, lambda clock: begun_with(clock, RECORDS, "c0"))
+def test_single_controller_reads_present_controllers(monkeypatch: pytest.MonkeyPatch) -> None:
+    world = simulate(monkeypatch, lambda clock: start_with_records(clock, RECORDS, "c0"))
     controller = world.controllers["c0"]
     for label in ("c1", "c2"):
         assert controller.membership.present[label] == values("c/node/")[label]["inc"]
 
 
-@pytest.mark.parametrize("lineage", load("lineages.json"), ids=lambda value: value["state"])
-def test_a_history_s_head_is_read(monkeypatch: pytest.MonkeyPatch, lineage: Any) -> None:
-    """Whoever finds it with nobody there rebuilds, and the next number is written."""
+@pytest.mark.parametrize("head_record", load("lineages.json"), ids=lambda value: value["state"])
+def test_history_head_is_read(monkeypatch: pytest.MonkeyPatch, head_record: Any) -> None:
+    """Controllers that start without a running peer rebuild under the next history number."""
     rev = RECORDS["c/lineage"][1]
     records = {key: row for key, row in RECORDS.items() if not key.startswith("c/~")}
-    records["c/lineage"] = (lineage, rev)
-    records[f"c/~{lineage['id']}"] = (history.anchor_value(lineage["id"]), rev)
-    world = simulate(monkeypatch, lambda clock: begun_with(clock, records))
+    records["c/lineage"] = (head_record, rev)
+    records[f"c/~{head_record['id']}"] = (history.anchor_value(head_record["id"]), rev)
+    world = simulate(monkeypatch, lambda clock: start_with_records(clock, records))
     head = world.state.keys["c/lineage"][0]
-    assert list(head) == ["id", "n", "state", "by"] == list(lineage)
-    assert head["n"] == lineage["n"] + 1 and head["state"] == "whole"
-    assert head["by"] in world.labels and head["id"] != lineage["id"]
+    assert list(head) == ["id", "n", "state", "by"] == list(head_record)
+    assert head["n"] == head_record["n"] + 1 and head["state"] == "whole"
+    assert head["by"] in world.labels and head["id"] != head_record["id"]
 
 
 # -- frames ------------------------------------------------------------------------
 
 
-def test_the_data_hold_a_frame_of_every_kind() -> None:
+def test_data_contain_frames_of_all_kinds() -> None:
     assert set(FRAMES) == set(frames.SCHEMAS)
 
 
 @pytest.mark.parametrize("kind", FRAMES)
-def test_a_frame_is_read_and_written_the_same(kind: int) -> None:
+def test_frame_round_trip(kind: int) -> None:
     raw = FRAMES[kind]
     head, body = raw[: frames.HEADER.size], raw[frames.HEADER.size :]
     found, number, size = frames.decode_header(head)
@@ -290,7 +296,7 @@
     assert frames.encode(kind, number, fields) == raw
 
 
-def test_frames_hold_what_was_sent() -> None:
+def test_frames_decode_to_sent_fields() -> None:
     sent = {
         frames.PING: (
             "c0",
@@ -321,14 +327,14 @@
     return [[files.Row(*row) for row in block] for block in load("snapshot_changes.json")]
 
 
-def test_a_base_is_read_and_written_the_same(tmp_path: Path) -> None:
+def test_snapshot_base_round_trip(tmp_path: Path) -> None:
     path = DATA / "snapshot" / files.file_name(header())
     assert files.read_base(path) == (header(), RECORDS)
     written = files.write_base(tmp_path, header(), files.rows_of(RECORDS))
     assert written.name == path.name and written.read_bytes() == path.read_bytes()
 
 
-def test_a_log_is_read() -> None:
+def test_snapshot_log_is_read() -> None:
     expected = dict(RECORDS)
     for row in (row for block in changes() for row in block):
         if row.value is None:
@@ -341,7 +347,7 @@
     assert found.rev == max(row.rev for block in changes() for row in block)
 
 
-def test_a_log_is_written_the_same(tmp_path: Path) -> None:
+def test_snapshot_log_is_written_unchanged(tmp_path: Path) -> None:
     log = files.ChangeLog(tmp_path, header("log"))
     for block in changes():
         log.append(block)
@@ -350,8 +356,8 @@
     assert log.path.read_bytes() == stored.read_bytes()
 
 
-def test_evidence_is_unpacked_and_packed_the_same() -> None:
-    """Compared unpacked: how well zlib compresses differs between its versions."""
+def test_evidence_round_trip() -> None:
+    """The comparison is on unpacked data, because zlib versions compress differently."""
     raw = (DATA / "evidence.bin").read_bytes()
     found = evidence.unpack([raw])
     assert json.loads(msgspec.json.encode(found)) == load("evidence.json")
