--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -31,8 +31,8 @@
 
 # Heartbeats during one TTL of a controller's lease.
 HEARTBEATS_PER_LEASE = 4
-# How long this controller must not have heard its peers before it leaves the members, and the
-# least age of its process at which it may do so, in TTLs of a controller's lease.
+# The silence after which a peer counts as unreachable, and the age of this process up to which it
+# never leaves the members on account of unreachable peers, in TTLs of a controller's lease.
 ISOLATION_LEASES = 1.5
 STARTUP_LEASES = 2
 
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -132,11 +132,11 @@
         Raises:
             UnavailableError: The records could not be read, or are in doubt.
         """
-        stalls = self.stalls.count
+        stall_count = self.stalls.count
         asked_at = time.monotonic()
         entries, rev = await self.store.scan("c/")
-        self.stalls.confirmed_count = stalls
-        self.membership.rescan = stalls != self.stalls.count
+        self.stalls.confirmed_count = stall_count
+        self.membership.rescan = stall_count != self.stalls.count
         keys = {e.key for e in entries}
         if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
             "c/", keys
