--- a/clayport/scaling/catalogue.py
+++ b/clayport/scaling/catalogue.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers, and their present prices."""
+"""The catalogue of machine types that the cloud offers, with their current prices."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 
 log = logging.getLogger(__name__)
 
-# The pause between two reads of the catalogue, in leases of a worker.
+# The pause between two reads of the catalogue, in worker leases.
 REFRESH_LEASES = 20
-# How fast images are taken to be fetched where no machine type says it.
+# The assumed rate of image fetches when no machine type states one.
 DEFAULT_FETCH_GB_PER_S = 1.0
 
 
 class Catalogue:
-    """Keeps the machine types as the cloud lists them.
+    """Cache of the cloud's catalogue, refreshed periodically.
 
     Args:
         cloud: The client of the cloud's API.
-        machines: The machines owned here, whose free room depends on the types.
-        jobs: The jobs led here, whose dependencies go by how fast images are fetched.
+        machines: The machines that this controller owns; their free room depends on the types.
+        jobs: The jobs that this controller leads; the expected duration of a prerequisite
+            includes the fetch of its image.
         routines: Draws the jitter of the pauses.
         lease_s: The lease of a worker, in seconds.
 
     Attributes:
-        types: The machine types; empty until the catalogue was read once.
+        types: The machine types; empty until the catalogue has been read once.
     """
 
     def __init__(
@@ -63,10 +64,14 @@
                 await self.cloud.back_off(attempt)
 
     def _apply(self) -> None:
-        """Hand the types on to the parts that go by them; free room depends on them."""
-        self.machines.types = {kind.name: kind for kind in self.types}
+        """Pass the types to the machine table and the job registry, and recompute free room."""
+        self.machines.types = {machine_type.name: machine_type for machine_type in self.types}
         self.jobs.dependencies.fetch_gb_per_s = min(
-            (kind.fetch_gb_per_s for kind in self.types if kind.fetch_gb_per_s > 0),
+            (
+                machine_type.fetch_gb_per_s
+                for machine_type in self.types
+                if machine_type.fetch_gb_per_s > 0
+            ),
             default=DEFAULT_FETCH_GB_PER_S,
         )
         self.machines.mark_all_changed()
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -1,4 +1,4 @@
-"""The client of the cloud's API. It decides nothing: outcomes are handed on."""
+"""The client of the cloud's API. Callers decide what to do about failures."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 from clayport.records.rate_limit import TokenBucket
 from clayport.transport import http
 
-# The part of the given rate of requests that is used.
+# The share of the allowed request rate that is used.
 RATE_SHARE = 0.8
-# Retries that each first try earns, and the share of our requests that may be retries.
+# Retries that each first attempt adds to the retry budget, and the share of the request rate
+# that retries may use.
 RETRIES_PER_REQUEST, MAX_RETRY_SHARE = 0.1, 0.5
-# The pauses between retries, as shares of the time that a request may take.
+# Bounds of the pauses between retries, as shares of the request timeout.
 MIN_PAUSE_SHARE, MAX_PAUSE_SHARE = 0.1, 0.2
-# The most machines in one request, by the protocol: to return, and to list.
+# The protocol's limits on the machines of one request: to return, and to list.
 MAX_MACHINES_PER_RETURN = 100
 PAGE_SIZE = 500
-# Statuses of answers. (Importing `http` for their names would make each start longer.)
+# HTTP status codes. Importing the standard library's `http` for them would slow down startup.
 OK, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE = 200, 429, 503
-# By the protocol, what an answer with status 503 says when there is no such machine to rent.
+# In the protocol, the text of a 503 answer that means that no such machine can be rented.
 NO_CAPACITY = b"no capacity"
-# The bytes of an unexpected answer that an error quotes.
+# How many bytes of an unexpected answer an error quotes.
 MAX_QUOTED_BYTES = 100
 
 Answer = TypeVar("Answer")
@@ -39,7 +40,7 @@
 
 
 class NoCapacityError(Exception):
-    """No machine of this type and zone, on demand or spot as asked, can be rented now."""
+    """No spot or on-demand machine of the requested type and zone can be rented now."""
 
 
 class _Catalogue(msgspec.Struct):
@@ -49,27 +50,25 @@
 
 
 class _Page(msgspec.Struct):
-    """A page of the list of machines, and whether others follow."""
+    """A page of the list of machines; `more` says whether other pages follow."""
 
     machines: list[CloudMachine] = msgspec.field(name="hosts")
     more: bool = False
 
 
 class _Rented(msgspec.Struct):
-    """The names of the machines that were rented."""
+    """The answer to a rental: the names of the rented machines."""
 
     machines: list[str] = msgspec.field(name="hosts")
 
 
 class Cloud:
-    """Requests to the cloud, paced to this controller's share of its budget.
+    """Client of the cloud's API, rate-limited to this controller's share of the request rate.
 
     Args:
-        host: The host of the cloud's API.
-        port: Its port.
         rps: This controller's share of the requests per second that the cloud serves.
         timeout_s: How long a request may take.
-        uniform: Draws the jitter of pauses between retries.
+        uniform: Draws the jitter of the pauses between retries.
     """
 
     def __init__(
@@ -96,18 +95,18 @@
         self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
 
     async def turn(self) -> None:
-        """Wait until another request may be sent."""
+        """Wait until the rate limit allows another request."""
         delay_s = self.bucket.delay(1, time.monotonic())
         if delay_s > 0:
             await curio.sleep(delay_s)
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
-        """Send a request when it is its turn; see `_send`."""
+        """Wait for the rate limit, then send a request as `_send` does."""
         await self.turn()
         return await self._send(method, path, body)
 
     async def _send(self, method: str, path: str, body: Any) -> tuple[int, bytes]:
-        """Send a request at once, and return the status and body of the answer.
+        """Send a request without waiting, and return the status and body of the answer.
 
         Raises:
             CloudError: There was no answer.
@@ -118,7 +117,7 @@
         except http.NoAnswerError as exc:
             await self.circuit.record(False)
             raise CloudError(str(exc)) from None
-        # What is refused for lack of capacity has been served.
+        # A refusal for lack of capacity counts as served: the API itself is not overloaded.
         await self.circuit.record(
             status != TOO_MANY_REQUESTS
             and (status != SERVICE_UNAVAILABLE or NO_CAPACITY in payload)
@@ -133,7 +132,7 @@
 
     @classmethod
     def _decode(cls, status: int, payload: bytes, answer_type: type[Answer]) -> Answer:
-        """Return the answer to a request that was served, or raise CloudError."""
+        """Decode the answer to a request; raise CloudError if it was refused or is malformed."""
         cls._check(status, payload)
         try:
             return msgspec.json.decode(payload, type=answer_type)
@@ -141,41 +140,42 @@
             raise CloudError(f"malformed answer: {exc}") from None
 
     async def catalogue(self) -> list[MachineType]:
-        """Return the machine types with their present prices.
+        """Return the machine types with their current prices.
 
         Raises:
-            CloudError: The cloud refused, did not answer, or answered something else.
+            CloudError: The cloud refused, did not answer, or sent a malformed answer.
         """
         status, payload = await self._call("GET", "/catalog")
         return self._decode(status, payload, _Catalogue).types
 
     async def machines(self) -> list[CloudMachine]:
-        """Return the machines in the cloud's list, page after page; the list lags.
+        """Return all machines in the cloud's list, which is eventually consistent.
 
         Raises:
-            CloudError: A page was refused or not answered.
+            CloudError: A page was refused, not answered or malformed.
         """
         found: list[CloudMachine] = []
-        last = ""  # the last machine of the page before
+        last_id = ""  # the last machine of the previous page
         while True:
             status, payload = await self._call(
                 "GET",
-                f"/hosts?since={last}&most={PAGE_SIZE}" if last else f"/hosts?most={PAGE_SIZE}",
+                f"/hosts?since={last_id}&most={PAGE_SIZE}"
+                if last_id
+                else f"/hosts?most={PAGE_SIZE}",
             )
             page = self._decode(status, payload, _Page)
             found += page.machines
             if not page.more or not page.machines:
                 return found
-            last = page.machines[-1].id
+            last_id = page.machines[-1].id
 
     async def rent(
         self, rental: str, machine_type: str, zone: str, spot: bool, count: int
     ) -> list[str]:
-        """Rent up to `count` machines and return the names of those that were rented.
+        """Rent up to `count` machines and return the names of the rented ones.
 
         Args:
-            rental: The name of the rental, which makes the request idempotent: it is never
-                used for another request.
+            rental: The idempotency key of the request, never used for another one.
             machine_type: The name of the machine type.
             zone: The zone of the machines.
             spot: Whether to rent spot machines.
@@ -183,7 +183,7 @@
 
         Raises:
             NoCapacityError: No such machine can be rented now.
-            CloudError: Refused or unanswered; it may still be executed.
+            CloudError: The request was refused or not answered; it may still be executed.
         """
         body = {
             "rental": rental,
@@ -199,19 +199,19 @@
         return self._decode(status, payload, _Rented).machines
 
     async def give_back(self, names: list[str]) -> None:
-        """Return up to `MAX_MACHINES_PER_RETURN` machines; they and all on them are gone then.
+        """Return up to `MAX_MACHINES_PER_RETURN` machines, which ends everything on them.
 
         Raises:
-            CloudError: Refused or unanswered; it may still be executed.
+            CloudError: The request was refused or not answered; it may still be executed.
         """
         await self.turn()
         await self.return_now(names)
 
     async def return_now(self, names: list[str]) -> None:
-        """Return machines as `give_back`, by a caller that has waited for its `turn`.
+        """Return machines as `give_back` does, for a caller that has awaited `turn` itself.
 
         Raises:
-            CloudError: Refused or unanswered; it may still be executed.
+            CloudError: The request was refused or not answered; it may still be executed.
         """
         status, payload = await self._send("POST", "/hosts/return", {"hosts": names})
         self._check(status, payload)
--- a/clayport/scaling/consolidation.py
+++ b/clayport/scaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Emptying machines whose replicas others have room for, so that they can be returned."""
+"""Consolidation of replicas onto fewer machines, so that emptied machines can be returned."""
 
 from __future__ import annotations
 
@@ -16,24 +16,25 @@
 from clayport.settings import Settings
 from clayport.transport import frames
 
-# The share of the fleet's CPUs that has to be free before replicas are moved to
-# empty a machine.
+# The share of the fleet's CPUs that has to be free elsewhere before the replicas of a machine
+# that isn't expensive are moved.
 MIN_FREE_SHARE = 0.1
-# Free room that has to be left to empty a machine, in machines of its type.
+# The CPUs that have to be free elsewhere before a machine is emptied, in machines of its type.
 MIN_FREE_MACHINES = 2
-# Machines looked at in one round of emptying, each against all others.
+# The number of candidates checked in one round; each is compared with all other machines.
 MAX_CANDIDATES = 4
-# The share of all replicas' time that may go to moving them.
+# The share of all replicas' running time that may be lost to moving them.
 MAX_MOVING_SHARE = 0.001
 
 
 class Candidate(NamedTuple):
-    """A machine that could be emptied; the best sorts first.
+    """A machine that could be emptied; better candidates sort first.
 
     Attributes:
-        ordinary: Whether it is neither expensive for its replicas nor has GPUs that jobs need.
-        replica_cpus: The CPUs of its replicas.
-        machine: Its name.
+        ordinary: Whether the machine neither is expensive for its replicas nor has GPUs that
+            jobs need.
+        replica_cpus: The CPUs that its replicas hold.
+        machine: The name of the machine.
     """
 
     ordinary: bool
@@ -42,17 +43,18 @@
 
 
 class Consolidation:
-    """Empties machines, one at a time.
+    """Empties machines by evacuating their replicas, one machine at a time.
 
     Args:
         cached_state: The room of all machines.
-        objectives: Which jobs can wait for a cheaper machine.
-        routing: Asks the owner of a machine.
+        objectives: Says which jobs can wait for a cheaper machine.
+        routing: Sends requests to the owner of a machine.
         settings: The settings of the cluster.
-        loses_room: Whether less of a demand would fit without the first of some machines.
+        loses_room: Returns whether less of a demand fits without the first of the given
+            machines; the others are excluded in either case.
 
     Attributes:
-        next_at: When the next round is due, on the steady clock.
+        next_at: When the next round is due, in seconds on the monotonic clock.
     """
 
     def __init__(
@@ -70,7 +72,7 @@
         self.settings = settings
         self.loses_room = loses_room
         self.next_at = -1e9
-        self._tried_at: dict[str, float] = {}  # when a machine was last to be emptied
+        self._tried_at: dict[str, float] = {}  # when each machine was last asked to be emptied
 
     async def empty_one(
         self,
@@ -80,75 +82,82 @@
         policy: Policy,
         now: float,
     ) -> None:
-        """Empty a machine whose work the others have room for, the most expensive first.
+        """Evacuate one machine whose replicas fit on other machines, expensive machines first.
 
-        Nothing that waits could use it: neither a job that fits no machine of its
-        type nor one that can wait for a cheaper one. (A few waiting gangs once kept
-        nine expensive machines with replicas rented all day.) Replicas last, so without
-        this a machine that has one stays rented, however little else there is for it.
+        Replicas don't end by themselves, so a machine with a single replica would otherwise stay
+        rented. A machine that isn't expensive for its replicas is left alone while waiting
+        demand could use it. An expensive one is emptied even then, if the other machines have
+        room for both, because gangs that keep waiting would otherwise keep expensive machines
+        rented all day.
         """
         rooms = self.cached_state.rooms()
         self._tried_at = {name: at for name, at in self._tried_at.items() if name in rooms}
         fleet_cpus = sum(types[room.type].cpus for room in rooms.values() if room.type in types)
         candidates = self._candidates(rooms, types, policy, now)
-        # A look at all others for each: only the best few are looked at in a round.
+        # Each check compares the candidate with all other machines, so only the best few are
+        # checked in a round.
         all_replica_cpus = sum(room.replica_cpus for room in rooms.values())
         report_s = self.settings.cluster.workers.report_s
         for candidate in sorted(candidates)[:MAX_CANDIDATES]:
             room = rooms[candidate.machine]
-            kind = types[room.type]
+            machine_type = types[room.type]
             expensive = any(policy.expensive(job, room) for job in policy.services)
-            waiting = self._waiting_for(kind, demand, expensive)
+            waiting = self._waiting_for(machine_type, demand, expensive)
             if waiting and not expensive:
                 continue
-            free = self._free_elsewhere(room, rooms, waiting, expensive)
-            # Enough stays free that the next job doesn't buy it back.
-            least = MIN_FREE_MACHINES * kind.cpus
+            free_cpus = self._free_elsewhere(room, rooms, waiting, expensive)
+            # Enough room has to stay free that the next job doesn't cause a new rental.
+            min_free_cpus = MIN_FREE_MACHINES * machine_type.cpus
             if not expensive:
-                least = max(least, MIN_FREE_SHARE * fleet_cpus)
-            if free < least or (not expensive and self._spare_needs(room, rooms, spare, policy)):
+                min_free_cpus = max(min_free_cpus, MIN_FREE_SHARE * fleet_cpus)
+            if free_cpus < min_free_cpus or (
+                not expensive and self._needed_for_spare(room, rooms, spare, policy)
+            ):
                 continue
             self._tried_at[room.machine] = now
             if await self.routing.ask_owner(frames.EVACUATE, candidate.machine, True):
-                # Each replica that moves is missed for about as long as a report takes.
+                # A moved replica is down for about one report interval.
                 share = candidate.replica_cpus / max(candidate.replica_cpus, all_replica_cpus)
                 self.next_at = now + max(2.0, share / MAX_MOVING_SHARE) * report_s
             return
-        # The best few are the same a moment later.
+        # A round right after this one would check the same candidates.
         self.next_at = now + 2 * report_s
 
     def _candidates(
         self, rooms: Mapping[str, Room], types: dict[str, MachineType], policy: Policy, now: float
     ) -> list[Candidate]:
-        """The machines that only replicas keep rented, and that were not tried just now."""
+        """Return the open machines with replicas that were not asked to be emptied recently."""
         found = []
         for room in rooms.values():
-            kind = types.get(room.type)
-            if kind is None or not room.open or room.tasks == 0:
+            machine_type = types.get(room.type)
+            if machine_type is None or not room.open or room.tasks == 0:
                 continue
             gpu_jobs = room.type in policy.gpu_jobs
-            if gpu_jobs and room.gpus < kind.gpus:
-                continue  # its GPUs are in use
+            if gpu_jobs and room.gpus < machine_type.gpus:
+                continue  # jobs use its GPUs
             replica_cpus = room.replica_cpus
             if (
                 replica_cpus <= 0
                 or now - self._tried_at.get(room.machine, -1e9)
                 < 2 * self.settings.cluster.workers.lease_s
             ):
-                continue  # empties by itself, or has just been tried
+                continue  # it empties by itself, or was asked recently
             expensive = any(policy.expensive(job, room) for job in policy.services)
-            # The expensive ones first, then those with the fewest replicas to move.
+            # Expensive machines sort first, then machines with fewer replica CPUs to move.
             found.append(Candidate(not (expensive or gpu_jobs), replica_cpus, room.machine))
         return found
 
     def _waiting_for(
-        self, kind: MachineType, demand: list[Demand], expensive: bool
+        self, machine_type: MachineType, demand: list[Demand], expensive: bool
     ) -> list[Demand]:
-        """What waits and could use a machine of the type."""
+        """Return the waiting demand that could use a machine of the type.
+
+        For an expensive machine, demand that can wait for a cheaper one is left out.
+        """
         return [
             need
             for need in demand
-            if fits(need.job, kind)
+            if fits(need.job, machine_type)
             and not (expensive and self.objectives.can_wait(need.job, need.age_s))
         ]
 
@@ -156,30 +165,34 @@
     def _free_elsewhere(
         room: Room, rooms: Mapping[str, Room], waiting: list[Demand], expensive: bool
     ) -> float:
-        """The CPUs that the machine's replicas could have on others."""
+        """Return the CPUs on other machines that the replicas of the machine could use.
+
+        Replicas don't move from on-demand machines to spot machines.
+        """
         others = [
             other
             for other in rooms.values()
             if other.open and other.machine != room.machine and not (other.spot and not room.spot)
         ]
-        free = sum(other.cpus for other in others)
+        free_cpus = sum(other.cpus for other in others)
         if expensive:
-            # Its replicas are worth more than the progress of the lowest rank, which
-            # makes way for what waits as well. (Something always waits, and kept nine
-            # expensive machines with replicas rented all day.)
-            free += sum(
+            # Replicas may preempt tasks of the lowest rank, because moving them saves more
+            # than the lost progress costs. Waiting demand preempts those tasks too, so its
+            # CPUs are subtracted. If any waiting demand ruled evacuation out instead, expensive
+            # machines would stay rented all day, because some demand nearly always waits.
+            free_cpus += sum(
                 used[0]
                 for other in others
                 for (rank, _), used in other.used.items()
                 if rank <= RANKS["best_effort"]
             )
-            free -= sum(need.tasks * need.job.cpus for need in waiting)
-        return free
+            free_cpus -= sum(need.tasks * need.job.cpus for need in waiting)
+        return free_cpus
 
-    def _spare_needs(
+    def _needed_for_spare(
         self, room: Room, rooms: Mapping[str, Room], spare: list[Demand], policy: Policy
     ) -> bool:
-        """Whether the room to keep would be short without the machine."""
+        """Return whether less of the spare room would be left without the machine."""
         without = (
             room.machine,
             *(other.machine for other in rooms.values() if other.spot and not room.spot),
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -1,4 +1,4 @@
-"""What waits for room: whether it fits, and whether it can wait. Pure: no I/O, no clock."""
+"""Waiting demand: whether it fits the room, and how long it can wait. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from clayport.scheduling.policy import Policy
 from clayport.scheduling.spread import Spread
 
-# Estimates are often wrong by half: a queue is taken to last this much longer,
-# and this share of the time allowed is planned with.
-LINE, MARGIN = 1.5, 0.8
-# A job that has time for so many rounds of its tasks is rented for by its pace.
-WAVES = 4.0
-# Types whose machines will do without an image that all are taken to have.
-NO_TYPES: frozenset[str] = frozenset()
+# Users' estimates of durations are often wrong by half. Estimated durations are multiplied by
+# the first number, and the time allowed for a job by the second.
+LINE, DEADLINE_SHARE = 1.5, 0.8
+# A job that has time for at least this many waves of its tasks is planned by its rate of
+# completed tasks.
+MIN_WAVES = 4.0
+# Passed to `place` as `uncached`: no machine without the cached image is considered. Demand is
+# placed with an empty image, which every machine counts as having.
+NO_MACHINE_TYPES: frozenset[str] = frozenset()
 
 
 class Demand(NamedTuple):
     """Tasks of a job that wait for room.
 
     Attributes:
-        job: The job.
-        tasks: How many of its tasks wait.
+        tasks: The number of waiting tasks.
         age_s: For how long they have waited.
-        zones: The zones in which its other tasks are, where that matters.
+        zones: The zones of the job's other tasks, if its placement depends on them.
     """
 
     job: Job
@@ -43,38 +44,38 @@
     index: Index,
     demand: Iterable[Demand],
     policy: Policy,
-    can_wait: bool = False,
+    avoid_expensive: bool = False,
     avoid_idle_on_demand: bool = False,
 ) -> list[Demand]:
-    """The demand that doesn't fit into the rooms, which are charged for what does.
+    """Place demand in the rooms, charging them, and return the demand that doesn't fit.
 
-    Images are left out of it: they don't change how much fits, and with an order of the
-    machines for each image the renting controller took most of its core.
+    Images are ignored, because they don't change how much fits. Sorting the machines separately
+    for each image would take most of the provisioner's processor time.
 
     Args:
         index: The rooms.
-        demand: What is to fit, in order.
-        policy: What keeps work off machines.
-        can_wait: Whether to keep off expensive machines.
-        avoid_idle_on_demand: Whether to keep off idle on-demand machines.
+        demand: The demand, placed in this order.
+        policy: The placement policy.
+        avoid_expensive: Whether to place nothing on expensive machines.
+        avoid_idle_on_demand: Whether to place nothing on idle on-demand machines.
     """
-    left = []
+    unmet = []
     for need in demand:
-        # A gang gets all or none of what it needs.
+        # A gang is placed whole or not at all.
         chosen = place(
             msgspec.structs.replace(need.job, image=""),
             need.tasks,
             index,
             Spread(need.job, need.zones),
             policy,
-            can_wait,
+            avoid_expensive,
             avoid_idle_on_demand=avoid_idle_on_demand,
-            uncached=NO_TYPES,
+            uncached=NO_MACHINE_TYPES,
         )
         if len(chosen) < need.tasks:
             zones = (*need.zones, *(r.zone for r in chosen)) if need.job.spread else need.zones
-            left.append(need._replace(tasks=need.tasks - len(chosen), zones=zones))
-    return left
+            unmet.append(need._replace(tasks=need.tasks - len(chosen), zones=zones))
+    return unmet
 
 
 def surely_fits(
@@ -82,18 +83,25 @@
     demand: Iterable[Demand],
     policy: Policy,
     without: Iterable[str] = (),
-    can_wait: bool = False,
+    avoid_expensive: bool = False,
 ) -> bool:
-    """Whether all of the demand surely fits, without some of the machines.
+    """Return whether a fast check shows that the demand fits without the excluded machines.
 
-    On a fleet that shrinks it nearly always does, and trying it out (`unmet_demand` in a trial)
-    for one machine after the other was most of what the renting controller computed.
+    False means only that `unmet_demand` in a trial has to decide. On a shrinking fleet the demand
+    nearly always fits, and a trial for each idle machine would take most of the provisioner's
+    processor time.
     """
-    counted = set(without)
+    excluded = set(without)
     return all(
         need.tasks <= 0
         or can_hold(
-            need.job, need.tasks, index, Spread(need.job, need.zones), policy, can_wait, counted
+            need.job,
+            need.tasks,
+            index,
+            Spread(need.job, need.zones),
+            policy,
+            avoid_expensive,
+            excluded,
         )
         for need in demand
     )
@@ -103,34 +111,44 @@
     job: Job,
     age_s: float,
     limits: dict[str, float],
-    line_factor: float = LINE,
-    margin: float = MARGIN,
+    estimate_factor: float = LINE,
+    deadline_share: float = DEADLINE_SHARE,
 ) -> float:
-    """Seconds that the job's tasks may still wait; negative when it is late already.
+    """Return the seconds that the job's tasks can still wait; negative if the job will be late.
+
+    A job with neither a deadline nor a limit for its class has no slack: the result is minus
+    infinity.
 
     Args:
         job: The job.
-        age_s: For how long it has waited.
-        limits: By class, the seconds within which jobs are to be done.
-        line_factor: How many times its estimate the job is taken to run.
-        margin: The share of the time allowed that is planned with.
+        age_s: For how long the job has waited.
+        limits: By class, the seconds within which jobs should finish.
+        estimate_factor: The factor applied to the job's estimated duration.
+        deadline_share: The share of the time allowed that is planned with.
     """
     limit = job.deadline_s if job.deadline_s is not None else limits.get(job.job_class)
-    return -math.inf if limit is None else margin * limit - age_s - line_factor * job.estimate_s
+    return (
+        -math.inf
+        if limit is None
+        else deadline_share * limit - age_s - estimate_factor * job.estimate_s
+    )
 
 
 def time_left_s(job: Job, age_s: float, limits: dict[str, float]) -> float:
-    """Seconds that the job's tasks may still wait, if its estimate is right."""
+    """Return the seconds that the job's tasks can still wait if its estimate is right.
+
+    The result is infinite for a job with neither a deadline nor a limit for its class.
+    """
     limit = job.deadline_s if job.deadline_s is not None else limits.get(job.job_class)
     return math.inf if limit is None else limit - age_s - job.estimate_s
 
 
 class Waves(NamedTuple):
-    """How a job of many short tasks can run in waves.
+    """A plan for an array of many short tasks that run in successive waves.
 
     Attributes:
-        tasks: How many tasks have to run at a time for it to end in time.
-        late: Whether it will be late at its present pace; None: too early to say.
+        tasks: How many tasks have to run at a time for the job to finish in time.
+        late: Whether the job will be late at its present rate; None: too early to say.
     """
 
     tasks: int
@@ -138,19 +156,20 @@
 
 
 def plan_waves(need: Demand, limits: dict[str, float], boot_s: float) -> Waves | None:
-    """Plan a job whose tasks are so short that it runs in many waves; None for all others.
+    """Plan an array with time for at least `MIN_WAVES` waves; return None for other jobs.
 
-    A job of 25,000 tasks of four seconds counted as early until it was nearly due, since
-    the fleet as a whole would have done it in no time (it is of the lowest rank, and got
-    what others left), and would then have had thousands of CPUs rented.
+    Such a job is judged by its own rate of completed tasks. Judged by the throughput of the
+    whole fleet, a low-rank array of 25,000 tasks of four seconds would count as early until
+    shortly before its deadline, because it gets only the room that other jobs leave. Thousands
+    of CPUs would then have to be rented for it at once.
     """
     job = need.job
     limit = job.deadline_s if job.deadline_s is not None else limits.get(job.job_class)
     if limit is None or job.kind != ARRAY:
         return None
-    left_s = max(MARGIN * limit - need.age_s, boot_s)
+    left_s = max(DEADLINE_SHARE * limit - need.age_s, boot_s)
     wave_s = LINE * max(job.estimate_s, 1.0)
-    if left_s < WAVES * wave_s or need.tasks <= 1:
+    if left_s < MIN_WAVES * wave_s or need.tasks <= 1:
         return None
     tasks = min(need.tasks, math.ceil(need.tasks * wave_s / left_s))
     if need.age_s <= wave_s:
@@ -162,36 +181,35 @@
     demand: Iterable[Demand],
     limits: dict[str, float],
     fleet_cpus: float,
-    line_factor: float = LINE,
-    margin: float = MARGIN,
+    estimate_factor: float = LINE,
+    deadline_share: float = DEADLINE_SHARE,
     boot_s: float = 0.0,
 ) -> list[Demand]:
-    """The demand that would be late if it waited for room to become free.
+    """Return the demand that would finish late if it waited for room on the present fleet.
 
-    Work of a class that is to be done within a time may wait in the queue as long as the
-    queue, served by the fleet as it is, lets it end in time. (Also not to rent while the
-    queue moves faster than a machine boots was tried: work that fits no machine there
-    waited for ever, and jobs were late more often.)
+    A job with a deadline can stay queued as long as the present fleet works off the queue ahead
+    of it in time. That the queue moves faster than a machine boots is no reason not to rent: jobs
+    that fit no present machine would wait forever, and more jobs would finish late.
 
-    With factors of 1 it is what will be late if the estimates are right: an expensive
-    machine costs too much to be rented for the margin alone.
+    With both factors 1, the result is the demand that will be late if the estimates are right.
+    This is used for expensive machines, which cost too much to be rented for the margins alone.
 
     Args:
-        demand: What waits, the most urgent first.
-        limits: By class, the seconds within which jobs are to be done.
-        fleet_cpus: The CPUs of the fleet, without what replicas hold.
-        line_factor: How many times its estimate a job is taken to run.
-        margin: The share of the time allowed that is planned with.
-        boot_s: How long a rented machine takes to come up.
+        demand: The waiting demand, the most urgent first.
+        limits: By class, the seconds within which jobs should finish.
+        fleet_cpus: The CPUs of the fleet, without those that replicas hold.
+        estimate_factor: The factor applied to the jobs' estimated durations.
+        deadline_share: The share of the time allowed that is planned with.
+        boot_s: The boot time of a rented machine.
     """
-    ahead = 0.0
+    ahead_cpu_s = 0.0
     found = []
     for need in demand:
         job = need.job
-        queue_s = line_factor * ahead / fleet_cpus if fleet_cpus > 0 else math.inf
-        ahead += need.tasks * job.cpus * max(1.0, job.estimate_s)
+        queue_s = estimate_factor * ahead_cpu_s / fleet_cpus if fleet_cpus > 0 else math.inf
+        ahead_cpu_s += need.tasks * job.cpus * max(1.0, job.estimate_s)
         waves = plan_waves(need, limits, boot_s)
-        late = queue_s > slack_s(job, need.age_s, limits, line_factor, margin)
+        late = queue_s > slack_s(job, need.age_s, limits, estimate_factor, deadline_share)
         if waves is None:
             if late:
                 found.append(need)
--- a/clayport/scaling/machine_list.py
+++ b/clayport/scaling/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's list as last seen, and the rented machines that have not come up yet."""
+"""The cloud's list of machines as last read, and the rented machines that are still booting."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 from clayport.machines.removal import MachineRemoval
 from clayport.membership.state import MembershipState
 from clayport.model import CloudMachine, MachineType
-from clayport.scaling.boot_times import GIVE_UP_FACTOR, LATE, BootingMachine, BootTimes, Kind
+from clayport.scaling.boot_times import (
+    GIVE_UP_FACTOR,
+    LATE_FACTOR,
+    BootingMachine,
+    BootTimes,
+    MachineKind,
+)
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, Cloud
 from clayport.scaling.provisioning import empty_room
@@ -17,18 +23,19 @@
 
 log = logging.getLogger(__name__)
 
-# How long boots are remembered, in leases of a worker.
+# For how long a boot time counts, in worker leases.
 BOOT_MEMORY_LEASES = 20
 
 
 class MachineList:
-    """What the cloud lists, what is booting, and what has been returned.
+    """Keeps track of listed, booting and returned machines.
 
     Attributes:
-        listed: The machines of the cloud's list when it was last read, by id.
-        listed_at: When that was, on the steady clock.
-        booting: Machines that have not reported yet, by name.
-        returned: When machines were returned, for as long as the list may still have them.
+        listed: The machines of the cloud's list as last read, by id.
+        listed_at: When the list was last read, in seconds on the monotonic clock.
+        booting: The rented machines that have not reported yet, by name.
+        returned: By name, when a machine was returned; kept for as long as the cloud's list may
+            still contain the machine.
     """
 
     def __init__(
@@ -51,25 +58,25 @@
         self.listed_at = -1e9
         self.booting: dict[str, BootingMachine] = {}
         self.returned: dict[str, float] = {}
-        self._rented_here: set[str] = set()  # those of `booting` that this controller rented
+        self._rented_here: set[str] = set()  # names in `booting` that this controller rented
         self._boot_times = BootTimes(BOOT_MEMORY_LEASES * settings.cluster.workers.lease_s)
 
-    def note_rented(self, name: str, kind: Kind, now: float) -> None:
-        """Record a machine that this controller has just rented."""
+    def note_rented(self, name: str, kind: MachineKind, now: float) -> None:
+        """Record a machine that this controller has just rented as booting."""
         self.booting[name] = BootingMachine(name, kind, now)
         self._rented_here.add(name)
 
     def booting_rooms(self, types: dict[str, MachineType], now: float) -> list[Room]:
-        """Return the room of the machines on their way that are still counted on."""
-        found = []
+        """Return the empty rooms of booting machines, except of those that are late."""
+        rooms = []
         for boot in self.booting.values():
-            kind = types.get(boot.kind[0])
-            if kind is not None and now - boot.since < LATE * kind.boot_s:
-                found.append(empty_room(kind, boot.name, boot.kind[1], boot.kind[2]))
-        return found
+            machine_type = types.get(boot.kind[0])
+            if machine_type is not None and now - boot.since < LATE_FACTOR * machine_type.boot_s:
+                rooms.append(empty_room(machine_type, boot.name, boot.kind[1], boot.kind[2]))
+        return rooms
 
     def observed_types(self, now: float) -> list[MachineType]:
-        """Return the machine types with the boot times that are to be expected now."""
+        """Return the machine types with their boot times corrected by recent boots."""
         return self._boot_times.observed(
             self.catalogue.types,
             (boot for name, boot in self.booting.items() if name in self._rented_here),
@@ -77,7 +84,7 @@
         )
 
     async def refresh(self, now: float) -> None:
-        """Read the cloud's list, and return the machines that it lists as failed.
+        """Read the cloud's list, and return to the cloud the machines that it lists as failed.
 
         Raises:
             CloudError: A page or a return was refused or not answered.
@@ -97,7 +104,7 @@
             await self.give_back(failed[first : first + MAX_MACHINES_PER_RETURN], now)
 
     def _note_listed(self, found: list[CloudMachine], now: float) -> list[str]:
-        """Count listed machines that have not reported as booting; return the failed ones."""
+        """Record listed machines that have not reported as booting; return the failed ones."""
         failed = []
         for machine in found:
             if machine.id in self.returned:
@@ -116,22 +123,24 @@
         return failed
 
     def _drop_settled(self, settled_s: float, now: float) -> None:
-        """Forget booting machines that have come up, were returned or are long unlisted."""
+        """Drop booting machines that came up, were returned or have not been listed for long."""
         for name, boot in list(self.booting.items()):
-            gone = name not in self.listed and now - boot.since > settled_s
-            if name in self.view.rooms or name in self.returned or gone:
+            unlisted = name not in self.listed and now - boot.since > settled_s
+            if name in self.view.rooms or name in self.returned or unlisted:
                 if name in self.view.rooms and name in self._rented_here:
                     self._note_boot_time(boot, now)
                 self._rented_here.discard(name)
                 del self.booting[name]
 
     def _note_boot_time(self, boot: BootingMachine, now: float) -> None:
-        for kind in self.catalogue.types:
-            if kind.name == boot.kind[0]:
-                self._boot_times.note(kind, now - boot.since, now)
+        for machine_type in self.catalogue.types:
+            if machine_type.name == boot.kind[0]:
+                self._boot_times.note(machine_type, now - boot.since, now)
 
     async def give_up_late(self, types: dict[str, MachineType], now: float) -> None:
-        """Return machines that never came up; they cost as long as they are kept.
+        """Return machines that have not come up after `GIVE_UP_FACTOR` times their boot time.
+
+        A machine costs money for as long as it is kept, whether it comes up or not.
 
         Raises:
             CloudError: The return was refused or not answered.
@@ -150,7 +159,7 @@
             await self.give_back(late[:MAX_MACHINES_PER_RETURN], now)
 
     async def give_back(self, names: list[str], now: float) -> None:
-        """Return machines, and announce to all controllers that they are gone.
+        """Return machines to the cloud, and announce their removal to all controllers.
 
         Raises:
             CloudError: The return was refused or not answered.
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -1,4 +1,4 @@
-"""Which machines to rent for what waits. Pure: no I/O, no clock."""
+"""Choice of machines to rent for unmet demand. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.boot_times import Kind, ready_s
+from clayport.scaling.boot_times import MachineKind, ready_s
 from clayport.scaling.demand import Demand
 from clayport.scheduling.index import Index
 from clayport.scheduling.placement import place
@@ -14,24 +14,24 @@
 from clayport.scheduling.room import Room, capacity
 from clayport.scheduling.spread import Spread
 
-# The share of the busy CPUs by which work may be expected to grow.
+# The expected growth of the load, as a share of the busy CPUs.
 EXPECTED_GROWTH = 0.1
-# Machines that the cloud rents with one request, at most.
+# The cloud's limit on the machines rented with one request.
 MAX_RENTED_AT_ONCE = 50
 
 
-def empty_room(kind: MachineType, name: str, zone: str, spot: bool) -> Room:
-    """Return the room of a machine of the type on which nothing runs."""
+def empty_room(machine_type: MachineType, name: str, zone: str, spot: bool) -> Room:
+    """Return the room of an idle machine of the type."""
     return Room(
         machine=name,
         address="",
-        type=kind.name,
+        type=machine_type.name,
         zone=zone,
         spot=spot,
         open=True,
-        cpus=kind.cpus,
-        gpus=kind.gpus,
-        memory_gb=kind.memory_gb,
+        cpus=machine_type.cpus,
+        gpus=machine_type.gpus,
+        memory_gb=machine_type.memory_gb,
         tasks=0,
         images=(),
         idle_since=math.inf,
@@ -39,57 +39,58 @@
     )
 
 
-def price_of(kind: MachineType, spot: bool) -> float:
+def price_of(machine_type: MachineType, spot: bool) -> float:
     """Return the type's price per hour, as a spot or an on-demand machine."""
-    return kind.spot_price if spot else kind.price
+    return machine_type.spot_price if spot else machine_type.price
 
 
 class Offer(NamedTuple):
-    """A machine that could be rented for a job.
+    """A kind of machine that could be rented for a job.
 
     Attributes:
-        price: Its price, raised where machines of its type come up late.
-        capacity: How many tasks of the job it holds.
-        zone: Its zone.
-        kind: Its type.
-        spot: Whether it is a spot machine.
+        price: The price per hour, raised in proportion if machines of the type boot late.
+        capacity: How many tasks of the job the machine holds.
+        zone: The zone of the machine.
+        machine_type: The type of the machine.
+        spot: Whether the machine is a spot machine.
     """
 
     price: float
     capacity: int
     zone: str
-    kind: MachineType
+    machine_type: MachineType
     spot: bool
 
 
 def plan_rentals(
     types: list[MachineType],
     missing: list[Demand],
-    refused: set[Kind],
+    refused: set[MachineKind],
     busy_cpus: float,
     policy: Policy,
-    left: dict[str, float],
-    boot_s: dict[str, float] | None = None,
-) -> list[Kind]:
-    """Choose machines to rent for what is missing, the cheapest for a task first.
+    time_left_s: dict[str, float],
+    nominal_boot_s: dict[str, float] | None = None,
+) -> list[MachineKind]:
+    """Choose machines to rent for unmet demand, by the lowest price per task.
 
-    A big machine is worth its price only when it fills up. What will use it is what is
-    missing now and a share of what the fleet is busy with, since that much more work can be
-    expected while the machine lives.
+    A large machine is worth its price only when it fills up. The load that can fill it is
+    the unmet demand plus `EXPECTED_GROWTH` of the busy CPUs, because about that much more
+    load arrives while the machine is rented.
 
     Args:
-        types: The machine types, with the boot times that are to be expected.
+        types: The machine types, with corrected boot times.
         missing: The demand that found no room.
-        refused: What the cloud has none of.
-        busy_cpus: The CPUs that work holds now.
-        policy: What keeps work off machines.
-        left: By job, the seconds that it may still wait: an expensive machine is rented only
-            for a job that it can still bring in time.
-        boot_s: By type, the boot times of the settings. A type whose machines come up later
-            counts as so much more expensive: they are paid for meanwhile.
+        refused: The kinds of machine for which the cloud has no capacity.
+        busy_cpus: The CPUs in use now.
+        policy: The placement policy.
+        time_left_s: By job, the seconds that the job can still wait. An expensive machine is
+            rented only for a job that can still finish in time on it.
+        nominal_boot_s: By type, the boot times in the catalogue. The price of a type whose
+            machines boot later is raised in proportion, because a machine costs money while it
+            boots.
     """
-    planned: list[Kind] = []
-    counts: dict[Kind, int] = {}
+    planned: list[MachineKind] = []
+    counts: dict[MachineKind, int] = {}
     rooms = Index()
     expected_cpus = EXPECTED_GROWTH * busy_cpus + sum(
         need.job.cpus * need.tasks for need in missing
@@ -97,20 +98,22 @@
     for job, wanted, _, other_zones in missing:
         spread = Spread(job, other_zones)
         likely = int(expected_cpus / job.cpus) if job.cpus else wanted
-        offers = _offers(types, job, refused, policy, left.get(job.id, math.inf), boot_s)
+        offers = _offers(
+            types, job, refused, policy, time_left_s.get(job.id, math.inf), nominal_boot_s
+        )
         wanted -= len(place(job, wanted, rooms, spread)) if offers else wanted
         zones: dict[str, int] = {}
         while wanted > 0:
             best = _best_offer(offers, max(wanted, likely), zones, spread)
             if best is None:
                 break
-            _, most, zone, kind, spot = best
-            rental = (kind.name, zone, spot)
+            _, most, zone, machine_type, spot = best
+            rental = (machine_type.name, zone, spot)
             if counts.get(rental, 0) >= MAX_RENTED_AT_ONCE:
-                # As many as are rented at once: the rest is planned in the next round, so
-                # that a flood costs no more than that.
+                # No more can be rented with one request. The rest is planned in the next
+                # round, so that a burst of jobs doesn't make one round expensive.
                 break
-            room = empty_room(kind, f"new-{len(planned)}", zone, spot)
+            room = empty_room(machine_type, f"new-{len(planned)}", zone, spot)
             tasks = _allowed_in(zone, min(wanted, most), spread)
             room.take(job, tasks)
             rooms.add(room)
@@ -122,7 +125,7 @@
 
 
 def _allowed_in(zone: str, most: int, spread: Spread) -> int:
-    """Add tasks in the zone, as many as may be there, and return how many were added."""
+    """Add up to `most` tasks to the zone, as the spread allows; return how many were added."""
     tasks = 0
     while tasks < most and spread.allows(zone):
         spread.add(zone)
@@ -133,13 +136,13 @@
 def _best_offer(
     offers: list[Offer], tasks: int, zones: dict[str, int], spread: Spread
 ) -> Offer | None:
-    """The offer with the least price per task, if the job may use its zone.
+    """Return the offer with the lowest price per task in the zones that the job may use.
 
     Args:
-        offers: The offers.
-        tasks: How many tasks are there to use a machine.
-        zones: How many machines have been rented for the job in each zone: of equal offers
-            the one in the zone with the fewest is taken.
+        offers: The offers to choose from.
+        tasks: How many tasks could run on the machine.
+        zones: How many machines are planned for the job in each zone. Among equally priced
+            offers, the zone with the fewest wins.
         spread: The zones of the job's tasks.
     """
     best = min(
@@ -156,25 +159,31 @@
 def _offers(
     types: list[MachineType],
     job: Job,
-    refused: set[Kind],
+    refused: set[MachineKind],
     policy: Policy,
     time_left_s: float,
-    boot_s: dict[str, float] | None,
+    nominal_boot_s: dict[str, float] | None,
 ) -> list[Offer]:
-    """The machines that could be rented for a job."""
+    """Return the kinds of machine that could be rented for a job."""
     expensive = policy.expensive_types(job)
     found: list[Offer] = []
-    for kind in types:
-        if not fits(job, kind) or (kind.name in expensive and time_left_s < ready_s(job, kind)):
+    for machine_type in types:
+        if not fits(job, machine_type) or (
+            machine_type.name in expensive and time_left_s < ready_s(job, machine_type)
+        ):
             continue
-        most = capacity(job, empty_room(kind, "", "", False))
-        lateness = max(1.0, kind.boot_s / boot_s[kind.name]) if boot_s else 1.0
-        for zone in kind.zones:
+        most = capacity(job, empty_room(machine_type, "", "", False))
+        lateness = (
+            max(1.0, machine_type.boot_s / nominal_boot_s[machine_type.name])
+            if nominal_boot_s
+            else 1.0
+        )
+        for zone in machine_type.zones:
             if most <= 0 or job.zone not in (None, zone):
                 continue
             found += [
-                Offer(price_of(kind, spot) * lateness, most, zone, kind, spot)
+                Offer(price_of(machine_type, spot) * lateness, most, zone, machine_type, spot)
                 for spot in ((True, False) if job.spot else (False,))
-                if (kind.name, zone, spot) not in refused
+                if (machine_type.name, zone, spot) not in refused
             ]
     return found
--- a/clayport/scaling/rental_plan.py
+++ b/clayport/scaling/rental_plan.py
@@ -1,4 +1,4 @@
-"""What to rent in one round, from what waits and what is there or on its way."""
+"""Planning of the rentals of one round from demand, free room and booting machines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from clayport.model import MachineType
-from clayport.scaling.boot_times import Kind
+from clayport.scaling.boot_times import MachineKind
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.demand import Demand, surely_fits, time_left_s, unmet_demand, urgent_demand
 from clayport.scaling.provisioning import plan_rentals
@@ -16,19 +16,19 @@
 from clayport.scheduling.room import Room
 from clayport.scheduling.urgency import SchedulingObjectives
 
-# A job that asks for no CPUs is counted as asking for this many.
+# A job that requests fewer CPUs counts as requesting this many.
 MIN_JOB_CPUS = 0.1
 
 
 class Workload(NamedTuple):
-    """What rentals are planned for, as of one round.
+    """The input of one round of planning.
 
     Attributes:
-        waiting: All that waits.
-        demand: Of that, what is not backfill.
-        spare: The room to keep for what is to be expected.
-        observed: The machine types, with the boot times that are to be expected.
-        booting: The room of machines that are on their way.
+        waiting: All waiting demand.
+        demand: The waiting demand without backfill.
+        spare: The demand to keep spare room for.
+        observed: The machine types, with boot times corrected by recent boots.
+        booting: The rooms of booting machines.
     """
 
     waiting: list[Demand]
@@ -39,11 +39,11 @@
 
 
 class FleetCpus(NamedTuple):
-    """CPUs of the machines that are there.
+    """CPUs of the present machines.
 
     Attributes:
-        without_replicas: Those that replicas don't hold.
-        busy: Those that work holds.
+        without_replicas: The CPUs that replicas don't hold.
+        busy: The CPUs in use.
     """
 
     without_replicas: float
@@ -51,7 +51,7 @@
 
 
 def replicas_on_expensive(index: Index, policy: Policy) -> list[Demand]:
-    """Return replicas of one service that run on machines far more expensive than they need."""
+    """Return the replicas of one service that run on expensive machines, as demand."""
     found = []
     for job in policy.services:
         cpus = sum(
@@ -66,23 +66,24 @@
 
 
 def fleet_cpus(index: Index, types: dict[str, MachineType]) -> FleetCpus:
-    """Count the CPUs of the machines in the index whose types are known."""
-    there = busy = replica_cpus = 0.0
+    """Sum the CPUs of the machines in the index whose types are known."""
+    total_cpus = busy = replica_cpus = 0.0
     for pool in index.pools.values():
-        kind = types.get(pool.type)
+        machine_type = types.get(pool.type)
         totals = pool.count()
-        if kind is not None:
-            there += totals.machines * kind.cpus
+        if machine_type is not None:
+            total_cpus += totals.machines * machine_type.cpus
             replica_cpus += totals.replica_cpus
-            busy += len(pool.rooms) * kind.cpus - totals.free
-    return FleetCpus(there - replica_cpus, busy)
+            busy += len(pool.rooms) * machine_type.cpus - totals.free
+    return FleetCpus(total_cpus - replica_cpus, busy)
 
 
 class RentalPlanner:
     """Decides which machines to rent.
 
     Attributes:
-        refused: What the cloud had none of, and until when it is not asked for again.
+        refused: The kinds of machine for which the cloud had no capacity, with the time until
+            which they are not requested again.
     """
 
     def __init__(
@@ -91,52 +92,56 @@
         self.catalogue = catalogue
         self.objectives = objectives
         self.placer = placer
-        self.refused: dict[Kind, float] = {}
+        self.refused: dict[MachineKind, float] = {}
 
     def forget_refusals(self, now: float) -> None:
-        """Let the cloud be asked again for what it refused a while ago."""
+        """Drop expired refusals, so that these kinds of machine are requested again."""
         self.refused = {kind: until for kind, until in self.refused.items() if until > now}
 
     def plan(
         self, work: Workload, index: Index, policy: Policy, types: dict[str, MachineType]
-    ) -> list[Kind]:
-        """Return the machines to rent for what fits neither what is there nor on its way."""
+    ) -> list[MachineKind]:
+        """Return the machines to rent for demand that fits neither present nor booting machines."""
         without_replicas, busy = fleet_cpus(index, types)
         cpus = without_replicas + sum(room.cpus for room in work.booting)
-        boot_s = min(kind.boot_s for kind in work.observed)
+        boot_s = min(machine_type.boot_s for machine_type in work.observed)
         limits = self.objectives.finish_limits
-        needs = urgent_demand(work.demand, limits, cpus, boot_s=boot_s)
+        urgent = urgent_demand(work.demand, limits, cpus, boot_s=boot_s)
         moving = replicas_on_expensive(index, policy)
         if (
-            not needs
-            and surely_fits(index, work.spare, policy, can_wait=True)
-            and surely_fits(index, moving, policy, can_wait=True)
+            not urgent
+            and surely_fits(index, work.spare, policy, avoid_expensive=True)
+            and surely_fits(index, moving, policy, avoid_expensive=True)
         ):
-            return self._plan_backfill_after(work, work.waiting, needs, busy, index, policy)
-        kept: list[Demand] = []
+            return self._plan_backfill_after(work, work.waiting, urgent, busy, index, policy)
+        unmet_spare: list[Demand] = []
         if moving:
             with index.trial(extra=work.booting):
-                # Room for replicas on expensive machines has to be where it is cheap: else
-                # it would keep expensive machines rented.
-                kept = unmet_demand(index, moving, policy, True)
+                # Only room on cheap machines counts for the replicas that are to leave expensive
+                # ones. Otherwise expensive machines would stay rented for these replicas.
+                unmet_spare = unmet_demand(index, moving, policy, True)
         with index.trial(extra=work.booting):
-            missing = unmet_demand(index, needs, policy)
-            # And so has room that is only kept.
-            kept = unmet_demand(index, work.spare, policy, True) + kept
-        if not missing and not kept:
-            return self._plan_backfill_after(work, work.waiting, needs, busy, index, policy)
-        left = self._time_left(work.demand, cpus, boot_s)
-        wanted = self._plan_missing(work, missing, left, busy, policy)
-        unhurried = {need.job.id: -math.inf for need in kept}
-        wanted += self._plan_missing(work, kept, unhurried, busy, policy)
-        if any(need.job.gpus > 0 for need in missing + kept):
-            return wanted
-        # Others lack machines, but none of those with GPUs.
+            missing = unmet_demand(index, urgent, policy)
+            # Spare room has to be on cheap machines for the same reason.
+            unmet_spare = unmet_demand(index, work.spare, policy, True) + unmet_spare
+        if not missing and not unmet_spare:
+            return self._plan_backfill_after(work, work.waiting, urgent, busy, index, policy)
+        time_left = self._time_left(work.demand, cpus, boot_s)
+        rentals = self._plan_missing(work, missing, time_left, busy, policy)
+        no_time_left = {need.job.id: -math.inf for need in unmet_spare}
+        rentals += self._plan_missing(work, unmet_spare, no_time_left, busy, policy)
+        if any(need.job.gpus > 0 for need in missing + unmet_spare):
+            return rentals
+        # The machines to rent have no GPUs, so backfill jobs with GPUs are planned as well.
         with_gpus = [need for need in work.waiting if need.job.gpus > 0]
-        return wanted + self._plan_backfill_after(work, with_gpus, needs, busy, index, policy)
+        return rentals + self._plan_backfill_after(work, with_gpus, urgent, busy, index, policy)
 
     def _time_left(self, demand: list[Demand], cpus: float, boot_s: float) -> dict[str, float]:
-        """By job, the seconds that it may still wait; none for what is in time as it is."""
+        """Return for each job the seconds that it can still wait for an expensive machine.
+
+        Jobs without an objective and jobs that will finish in time without a rental get minus
+        infinity, so that no expensive machine is rented for them.
+        """
         limits = self.objectives.finish_limits
         late = {need.job.id for need in urgent_demand(demand, limits, cpus, 1.0, 1.0, boot_s)}
         return {
@@ -150,68 +155,74 @@
         self,
         work: Workload,
         missing: list[Demand],
-        left: dict[str, float],
+        time_left: dict[str, float],
         busy: float,
         policy: Policy,
-    ) -> list[Kind]:
-        """The machines to rent for demand that found no room."""
-        boots = {kind.name: kind.boot_s for kind in self.catalogue.types}
-        return plan_rentals(work.observed, missing, set(self.refused), busy, policy, left, boots)
+    ) -> list[MachineKind]:
+        """Return the machines to rent for demand that found no room."""
+        boots = {machine_type.name: machine_type.boot_s for machine_type in self.catalogue.types}
+        return plan_rentals(
+            work.observed, missing, set(self.refused), busy, policy, time_left, boots
+        )
 
     def _plan_backfill_after(
         self,
         work: Workload,
         waiting: list[Demand],
-        needs: list[Demand],
+        urgent: list[Demand],
         busy: float,
         index: Index,
         policy: Policy,
-    ) -> list[Kind]:
-        """The machines to rent for backfill, in the room that all else leaves."""
+    ) -> list[MachineKind]:
+        """Return the machines to rent for backfill that other demand leaves no room for."""
         if not any(need.job.backfill for need in waiting):
             return []
         with index.trial(extra=work.booting):
-            unmet_demand(index, needs, policy)
+            unmet_demand(index, urgent, policy)
             unmet_demand(index, work.spare, policy, True)
             return self.plan_backfill(waiting, busy, index, policy)
 
     def plan_backfill(
         self, waiting: list[Demand], busy: float, index: Index, policy: Policy
-    ) -> list[Kind]:
+    ) -> list[MachineKind]:
         """Return the machines to rent for backfill, within a trial of the index.
 
-        Only once nothing else lacks any, within its share, and on-demand ones only if it
-        can't be had otherwise.
+        The caller plans backfill only when no other demand needs machines, or none with GPUs.
+        Beside jobs with an objective, backfill gets machines only within its share of the fleet.
+        Until a backfill job has waited for `long_wait_s`, no on-demand machine is rented for it
+        if it can run on spot machines.
 
         Args:
-            waiting: All that waits.
-            busy: The CPUs that work holds now.
-            index: The free room, without what all else needs.
-            policy: What keeps work off machines.
+            waiting: All waiting demand.
+            busy: The CPUs in use now.
+            index: The free room, charged for all other demand.
+            policy: The placement policy.
         """
         placer = self.placer
-        left: dict[int, float] = {}
-        wanted: list[Kind] = []
+        cpus_left: dict[int, float] = {}
+        rentals: list[MachineKind] = []
         on_demand = {
-            (kind.name, zone, False) for kind in self.catalogue.types for zone in kind.zones
+            (machine_type.name, zone, False)
+            for machine_type in self.catalogue.types
+            for zone in machine_type.zones
         }
         for need in waiting:
             if not need.job.backfill:
                 continue
-            beside, tasks, rank = (
+            bounded, tasks, rank = (
                 placer.backfill.hinders_objectives(need.job),
                 need.tasks,
                 need.job.rank,
             )
-            if beside:
-                if rank not in left:
-                    left[rank] = placer.backfill.cpus_left(index, rank)
-                if left[rank] < need.job.cpus:
+            if bounded:
+                if rank not in cpus_left:
+                    cpus_left[rank] = placer.backfill.cpus_left(index, rank)
+                if cpus_left[rank] < need.job.cpus:
                     continue
-                tasks = int(min(tasks, left[rank] / max(need.job.cpus, MIN_JOB_CPUS)))
-                left[rank] -= tasks * need.job.cpus
+                tasks = int(min(tasks, cpus_left[rank] / max(need.job.cpus, MIN_JOB_CPUS)))
+                cpus_left[rank] -= tasks * need.job.cpus
             refused, avoid_idle_on_demand = set(self.refused), False
-            if beside and need.age_s < placer.backfill.long_wait_s:
+            if bounded and need.age_s < placer.backfill.long_wait_s:
                 if need.job.spot:
                     refused |= on_demand
                 avoid_idle_on_demand = True
@@ -221,7 +232,7 @@
                 policy,
                 avoid_idle_on_demand=avoid_idle_on_demand,
             )
-            wanted += plan_rentals(
+            rentals += plan_rentals(
                 self.catalogue.types, missing, refused, busy, policy, {need.job.id: -math.inf}
             )
-        return wanted
+        return rentals
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -1,4 +1,4 @@
-"""The routine that rents and returns machines, on the one member of the epoch that does."""
+"""The routine that rents and returns machines, on the one member of the epoch in charge."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from clayport.model import CloudMachine, MachineType
 from clayport.routines import Routines
 from clayport.scaling.arrivals import Arrivals, spare_room
-from clayport.scaling.boot_times import Kind
+from clayport.scaling.boot_times import MachineKind
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import Cloud, CloudError, NoCapacityError
 from clayport.scaling.consolidation import Consolidation
@@ -38,25 +38,27 @@
 
 log = logging.getLogger(__name__)
 
-# Idle machines looked at in one round, each against all others.
-MAX_IDLE_LOOKED_AT = 4
+# The number of idle machines checked in one round; each check looks at all other machines.
+MAX_IDLE_PER_ROUND = 4
 # How long a machine has to be idle before it is returned, in boot times of its type.
-IDLE_BOOTS = 0.5
-# For how long the cloud isn't asked again for what it had none of, in boot times of its type.
-REFUSED_BOOTS = 0.5
-# The first epochs of a service: with no machine listed in them, no predecessor rented any.
+MIN_IDLE_BOOT_TIMES = 0.5
+# For how long a kind of machine isn't requested again after the cloud had no capacity for it,
+# in boot times of its type.
+REFUSAL_BOOT_TIMES = 0.5
+# An epoch up to this number with no machine in the cloud's list is the start of a new service,
+# so that no predecessor has rented machines.
 FIRST_EPOCHS = 3
 
 
 class Provisioner:
-    """Rents and returns machines while this controller is the one that does.
+    """Rents and returns machines while this controller is the epoch's provisioner.
 
     Attributes:
-        machine_list: The cloud's list as last seen, and what is booting.
-        planner: Decides what to rent.
-        consolidation: Empties machines that others have room for.
-        began_at: When this controller began to rent and return, on the steady clock; also
-            set when it has stood still.
+        machine_list: The listed, booting and returned machines.
+        planner: Decides which machines to rent.
+        consolidation: Empties machines whose replicas fit elsewhere.
+        began_at: When this controller became the provisioner or last resumed after a stall, in
+            seconds on the monotonic clock.
     """
 
     def __init__(
@@ -107,21 +109,22 @@
             settings=settings,
             loses_room=self._loses_room,
         )
-        # Machines that their owners did not close, and until when they are not asked again.
-        self._not_closed: dict[str, float] = {}
-        self._rentals = 0  # requests so far, for their names
-        self._began_in: Epoch | None = None
-        self._ready_at = 0.0  # nothing is rented before
+        # Machines that their owners refused to drain, with the time until which the owners are
+        # not asked again.
+        self._drain_refused_until: dict[str, float] = {}
+        self._rental_count = 0  # number of requests so far, part of their names
+        self._known_epoch: Epoch | None = None
+        self._rent_from = 0.0  # no machine is rented before this time
         self._evacuated_at = -1e9
         self.began_at = -1e9
 
     @property
     def listed(self) -> dict[str, CloudMachine]:
-        """The machines of the cloud's list when it was last read, by id."""
+        """The machines of the cloud's list as last read, by id."""
         return self.machine_list.listed
 
     async def run(self) -> None:
-        """Rent and return, round after round, for as long as the process runs."""
+        """Run rounds of renting and returning for as long as the process runs."""
         attempt = self.cloud.begin()
         while True:
             await self.routines.wait("demand", self.membership.lease_ttl_s / 3)
@@ -134,8 +137,9 @@
                 continue
             now = time.monotonic()
             if not self.stalls.check(now) or self.membership.away or self.renewal.state_lost(now):
-                # Possibly evicted, or just awake after standing still: a return sent now may be
-                # held in the network and destroy, minutes later, machines that work.
+                # This controller may have been removed from the epoch, or has just resumed
+                # after a stall. A return sent now could be delayed in the network and destroy
+                # machines minutes later that run tasks by then.
                 continue
             try:
                 await self.tick()
@@ -145,7 +149,7 @@
                 await self.cloud.back_off(attempt)
 
     async def tick(self) -> None:
-        """Carry out one round.
+        """Run one round of renting and returning.
 
         Raises:
             CloudError: The cloud refused a request or didn't answer it.
@@ -155,11 +159,11 @@
         if self.membership.epoch is not epoch:
             return
         now = time.monotonic()
-        types = {kind.name: kind for kind in self.catalogue.types}
+        types = {machine_type.name: machine_type for machine_type in self.catalogue.types}
         await self._give_up_late(types, now)
         index, policy = self.cached_state.index(), self.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
-            self._describe(list(index.rooms.values()), types)
+            self._log_fleet(list(index.rooms.values()), types)
         waiting = self.placer.demand_report.whole_epoch()
         demand = [need for need in waiting if not need.job.backfill]
         observed = self.machine_list.observed_types(now)
@@ -171,7 +175,7 @@
             now,
         )
         self.planner.forget_refusals(now)
-        if now >= self._ready_at:
+        if now >= self._rent_from:
             booting = self.machine_list.booting_rooms(types, now)
             work = Workload(waiting, demand, spare, observed, booting)
             await self._rent(self.planner.plan(work, index, policy, types), types, now)
@@ -182,27 +186,27 @@
             await self.consolidation.empty_one(types, demand, spare, policy, now)
 
     async def _refresh(self, epoch: Epoch) -> None:
-        """Bring the peers' room and the cloud's list up to date; begin anew in a new epoch."""
+        """Refresh the cached room of the peers and the cloud's list; start over in a new epoch."""
         now = time.monotonic()
         lag_s = self.settings.cluster.cloud.list_lag_s
-        fresh = self._began_in is not epoch
-        await self.cached_state.refresh_peers(changed_only=not fresh)
-        if fresh or now - self.machine_list.listed_at > lag_s:
+        new_epoch = self._known_epoch is not epoch
+        await self.cached_state.refresh_peers(changed_only=not new_epoch)
+        if new_epoch or now - self.machine_list.listed_at > lag_s:
             await self.machine_list.refresh(now)
-        if fresh:
-            # What a predecessor rented may not be listed yet: wait for the list
-            # to be sure before renting again. Where the service is only just being
-            # started there was none, whatever machines there are already.
-            self._began_in = epoch
+        if new_epoch:
+            # Machines that the previous provisioner rented may not be listed yet, so renting
+            # waits until the list must contain them. When the service is only just starting,
+            # there was no previous provisioner, even if machines exist already.
+            self._known_epoch = epoch
             self.began_at = now
-            first = epoch.number == 1 or (epoch.number <= FIRST_EPOCHS and not self.listed)
-            self._ready_at = now + (0.0 if first else 2 * lag_s)
+            first_start = epoch.number == 1 or (epoch.number <= FIRST_EPOCHS and not self.listed)
+            self._rent_from = now + (0.0 if first_start else 2 * lag_s)
 
     async def _give_up_late(self, types: dict[str, MachineType], now: float) -> None:
-        """Return machines that never came up.
+        """Return machines that did not come up, except shortly after a takeover or a stall.
 
-        Not right after a takeover: machines that work are unknown then until
-        their reports have found their new owners.
+        At that time working machines look as if they had not come up, until their reports reach
+        the new owners.
         """
         if now - self.began_at < 2 * self.settings.cluster.workers.lease_s:
             return
@@ -211,21 +215,23 @@
     async def _evacuate_blocked(
         self, types: dict[str, MachineType], policy: Policy, now: float
     ) -> None:
-        """Move replicas off a machine where they were placed before a job that needs its GPUs
-        was known."""
+        """Evacuate one machine whose replicas block a job that needs its GPUs.
+
+        This happens when the replicas were placed before the job arrived.
+        """
         for room in list(self.cached_state.rooms().values()):
-            kind = types.get(room.type)
+            machine_type = types.get(room.type)
             if (
-                kind is not None
+                machine_type is not None
                 and room.open
-                and policy.blocked(room, kind) > 0
+                and policy.blocked(room, machine_type) > 0
                 and await self.routing.ask_owner(frames.EVACUATE, room.machine, False)
             ):
                 self._evacuated_at = now
                 break
 
-    def _describe(self, rooms: list[Room], types: dict[str, MachineType]) -> None:
-        """Log how full the fleet is, by type: machines, CPUs and those busy; and what waits."""
+    def _log_fleet(self, rooms: list[Room], types: dict[str, MachineType]) -> None:
+        """Log machines, busy CPUs and all CPUs by machine type, and the waiting tasks by class."""
         kinds: dict[tuple[str, bool], list[float]] = {}
         for room in rooms:
             if room.type in types:
@@ -247,27 +253,29 @@
             ),
         )
 
-    async def _rent(self, wanted: list[Kind], types: dict[str, MachineType], now: float) -> None:
-        """Rent the machines, each kind with one request.
+    async def _rent(
+        self, kinds: list[MachineKind], types: dict[str, MachineType], now: float
+    ) -> None:
+        """Rent the machines, with one request for each kind.
 
         Raises:
             CloudError: A request was refused or not answered; it may still be executed.
         """
-        counts: dict[Kind, int] = {}
-        for kind in wanted:
+        counts: dict[MachineKind, int] = {}
+        for kind in kinds:
             counts[kind] = counts.get(kind, 0) + 1
         for kind, count in counts.items():
-            self._rentals += 1
-            name = f"r-{self.membership.epoch.number}-{self.membership.label}-{self._rentals}"
+            self._rental_count += 1
+            name = f"r-{self.membership.epoch.number}-{self.membership.label}-{self._rental_count}"
             try:
-                got = await self.cloud.rent(name, *kind, min(count, MAX_RENTED_AT_ONCE))
+                rented = await self.cloud.rent(name, *kind, min(count, MAX_RENTED_AT_ONCE))
             except NoCapacityError:
-                got = []
-            log.info("event=scaled-out kind=%s wanted=%d got=%d", kind, count, len(got))
-            if len(got) < min(count, MAX_RENTED_AT_ONCE):
-                self.planner.refused[kind] = now + REFUSED_BOOTS * types[kind[0]].boot_s
+                rented = []
+            log.info("event=scaled-out kind=%s wanted=%d got=%d", kind, count, len(rented))
+            if len(rented) < min(count, MAX_RENTED_AT_ONCE):
+                self.planner.refused[kind] = now + REFUSAL_BOOT_TIMES * types[kind[0]].boot_s
                 self.routines.signal("demand")
-            for machine in got:
+            for machine in rented:
                 self.machine_list.note_rented(machine, kind, now)
 
     async def _return_idle(
@@ -278,33 +286,39 @@
         policy: Policy,
         now: float,
     ) -> None:
-        """Return machines idle for a while that are not needed as spare room."""
+        """Return machines that have been idle for a while and are not needed as spare room."""
         names: list[str] = []
         needs = demand + spare
         index = self.cached_state.index()
-        # Cheap room that replicas on expensive machines can still move to is kept.
+        # Cheap machines are kept while replicas on expensive machines can still move to them.
         keep_cpus = sum(need.job.cpus * need.tasks for need in replicas_on_expensive(index, policy))
-        self._not_closed = {name: until for name, until in self._not_closed.items() if now < until}
-        hurried = [need for need in demand if not self.objectives.can_wait(need.job, need.age_s)]
-        few = self._idle(index, types, now)[:MAX_IDLE_LOOKED_AT]
-        # Together first: where there is room to spare one look says so for all of them.
-        # (On a fleet that shrinks, looks one by one were half of all processor time.)
-        roomy = sum(room.open for room in few) > 1 and not self._lost(
-            self.cached_state.index(), [room.machine for room in few if room.open], needs, policy
+        self._drain_refused_until = {
+            name: until for name, until in self._drain_refused_until.items() if now < until
+        }
+        urgent = [need for need in demand if not self.objectives.can_wait(need.job, need.age_s)]
+        candidates = self._idle_rooms(index, types, now)[:MAX_IDLE_PER_ROUND]
+        # All candidates are checked together first, because with enough spare room one check
+        # decides for all of them. On a shrinking fleet, checks one by one would take half of
+        # the processor time.
+        all_spare = sum(room.open for room in candidates) > 1 and not self._lost(
+            self.cached_state.index(),
+            [room.machine for room in candidates if room.open],
+            needs,
+            policy,
         )
-        for room in few:
-            # An expensive machine is not kept for what may come, or for what can wait.
+        for room in candidates:
+            # An expensive machine is not kept for spare room or for demand that can wait.
             cheap = not any(policy.expensive(job, room) for job in policy.services)
             if keep_cpus > 0 and room.open and cheap:
                 keep_cpus -= room.cpus
                 continue
             if (
                 room.open
-                and not roomy
+                and not all_spare
                 and self._loses_room(
                     self.cached_state.index(),
                     (room.machine, *names),
-                    needs if cheap else hurried,
+                    needs if cheap else urgent,
                     policy,
                 )
             ):
@@ -312,14 +326,17 @@
             if await self.routing.ask_owner(frames.DRAIN, room.machine):
                 names.append(room.machine)
             else:
-                # Four that are never closed would keep all others rented.
-                self._not_closed[room.machine] = now + self.settings.cluster.workers.lease_s / 2
+                # Without the pause, `MAX_IDLE_PER_ROUND` machines whose owners always refuse
+                # would be the only candidates, and all other idle machines would stay rented.
+                self._drain_refused_until[room.machine] = (
+                    now + self.settings.cluster.workers.lease_s / 2
+                )
         if names:
             log.info("event=scaled-in machines=%s cause=idle", names)
             await self.machine_list.give_back(names, now)
 
-    def _idle(self, index: Index, types: dict[str, MachineType], now: float) -> list[Room]:
-        """The machines that could be returned: those closed first, then those on demand."""
+    def _idle_rooms(self, index: Index, types: dict[str, MachineType], now: float) -> list[Room]:
+        """Return the machines that could be returned: closed ones first, then on-demand ones."""
         idle = [
             room
             for room in index.rooms.values()
@@ -327,16 +344,19 @@
             and room.type in types
             and (room.tasks == 0 or (room.open and not room.spot))
             and room.machine not in self.machine_list.returned
-            and room.machine not in self._not_closed
-            and (not room.open or now - room.idle_since > IDLE_BOOTS * types[room.type].boot_s)
+            and room.machine not in self._drain_refused_until
+            and (
+                not room.open
+                or now - room.idle_since > MIN_IDLE_BOOT_TIMES * types[room.type].boot_s
+            )
         ]
-        # Closed ones first: nothing will ever start there again.
+        # Closed machines come first because no task will start on them again.
         idle.sort(key=lambda room: (room.open, room.spot, -types[room.type].price))
         return idle
 
     @staticmethod
     def _lost(index: Index, without: Sequence[str], needs: list[Demand], policy: Policy) -> int:
-        """How many tasks of what is needed don't fit without the machines."""
+        """Return the number of tasks of the demand that don't fit without the machines."""
         if surely_fits(index, needs, policy, without):
             return 0
         with index.trial(without):
@@ -346,7 +366,9 @@
     def _loses_room(
         cls, index: Index, without: Sequence[str], needs: list[Demand], policy: Policy
     ) -> bool:
-        """Whether less of what is needed would fit without the first of the machines (the
-        others are not counted on in any case)."""
+        """Return whether fewer tasks of the demand fit without the first of the machines.
+
+        The other machines are excluded in either case.
+        """
         lost = cls._lost(index, without, needs, policy)
         return lost > 0 and lost > cls._lost(index, without[1:], needs, policy)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: its sums, that it is what the slopes give, and what a start costs today."""
+"""The capacity page matches the measured slopes and its model, and starts cost what it states."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 SLOPES = read(ROOT / "docs/capacity/slopes.json")
 
 
-def alike(value: float) -> Slopes:
-    """Slopes of which each is the same."""
+def uniform_slopes(value: float) -> Slopes:
+    """Return slopes whose figures all have the same value."""
     return Slopes(
         "2026-01-01",
         Host("any", 1, "3.11", [0.0, 0.0]),
@@ -24,7 +24,7 @@
     )
 
 
-def test_the_page_is_what_the_slopes_give() -> None:
+def test_page_tables_match_slopes_file() -> None:
     text = (ROOT / "docs/CAPACITY.md").read_text()
     assert {match[1] for match in page.MARK.findall(text)} == set(page.TABLES)
     assert page.renewed(text, SLOPES) == text
@@ -32,14 +32,14 @@
         page.renewed("<!-- table: unheard-of -->\n<!-- end -->", SLOPES)
 
 
-def test_a_figure_has_its_spread() -> None:
+def test_figure_has_median_and_quartiles() -> None:
     assert figure("s", [4.0, 1.0, 3.0, 2.0, 5.0]) == Figure("s", 3.0, 2.0, 4.0, 5)
     assert figure("s", [4.0]) == Figure("s", 4.0, 4.0, 4.0, 1)
     with pytest.raises(ValueError):
         figure("s", [])
 
 
-def test_runs_are_pooled_with_their_whole_spread() -> None:
+def test_pooled_runs_keep_outermost_quartiles() -> None:
     runs = [
         Slopes(
             "2026-01-01",
@@ -48,17 +48,17 @@
         )
         for value, load in ((5.0, 1.0), (9.0, 2.0), (6.0, 3.0))
     ]
-    found = pooled(runs)
-    assert found.figures == {"x": Figure("s", 6.0, 4.0, 10.0, 9)}
-    assert found.host.loads == [1.0, 1.0, 2.0, 2.0, 3.0, 3.0]
+    combined = pooled(runs)
+    assert combined.figures == {"x": Figure("s", 6.0, 4.0, 10.0, 9)}
+    assert combined.host.loads == [1.0, 1.0, 2.0, 2.0, 3.0, 3.0]
     with pytest.raises(ValueError):
-        pooled([*runs, alike(1.0)])
+        pooled([*runs, uniform_slopes(1.0)])
 
 
 @pytest.mark.parametrize(
     "resource, fleet, cell",
     [
-        # With each slope 1, a start and its end cost two of everything.
+        # With every slope 1, a task's start and end together cost two units of each resource.
         (
             "puts and deletes a second",
             2 * SIZE.starts_a_second,
@@ -82,23 +82,27 @@
         ("processor: reports", 2 * SIZE.starts_a_second / SIZE.control_machines, 28_000 / 19 / 2),
     ],
 )
-def test_sums(resource: str, fleet: float, cell: float) -> None:
+def test_resource_needs_of_both_layouts(resource: str, fleet: float, cell: float) -> None:
     for layout, needed in ((ONE_FLEET, fleet), (CELLS, cell)):
-        row = next(r for r in model.rows(alike(1.0), layout) if r.resource == resource)
+        row = next(r for r in model.rows(uniform_slopes(1.0), layout) if r.resource == resource)
         assert row.needed[0] == pytest.approx(needed)
         assert row.factor <= row.worst
-    assert model.operations(alike(1.0))[0][-1] == 2 * SIZE.starts_a_second / LIMITS.state_writes
+    assert (
+        model.operations(uniform_slopes(1.0))[0][-1]
+        == 2 * SIZE.starts_a_second / LIMITS.state_writes
+    )
 
 
-# What each row guards: no record of use is changed for a team without a limit (1), tasks that
-# start together share a transaction (10), outcomes of an array are gathered (100).
+# Each size guards against one failure: a quota record is written for a team without a limit (1),
+# tasks that start together don't share a transaction (10), or the outcomes of an array's tasks are
+# written one by one (100).
 @pytest.mark.parametrize("tasks", [1, 10, 100])
-def test_a_start_and_an_end_cost_what_the_page_says(
+def test_start_and_end_take_the_stated_state_operations(
     monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
     whole.settings(monkeypatch)
     day = whole.Day(0, tasks, "free", monkeypatch)
     simulate(monkeypatch, day.play)
     for part in ("start", "end"):
-        said = SLOPES.median(f"{part}.{tasks}_task_jobs.free.state.operations")
-        assert day.found[part]["state.operations"] == pytest.approx(said, rel=0.15)
+        stated = SLOPES.median(f"{part}.{tasks}_task_jobs.free.state.operations")
+        assert day.found[part]["state.operations"] == pytest.approx(stated, rel=0.15)
