--- a/clayport/__init__.py
+++ b/clayport/__init__.py
@@ -1,3 +1,3 @@
-"""clayport: a cluster scheduler placing work from a cached state of free room."""
+"""clayport: a cluster scheduler that places tasks from a cached state of free room."""
 
 __version__ = "0.2.0"
--- a/clayport/__main__.py
+++ b/clayport/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m clayport`."""
+"""Entry point of `python3 -m clayport`."""
 
 import sys
 
--- a/clayport/cli.py
+++ b/clayport/cli.py
@@ -1,4 +1,4 @@
-"""The command line: one controller, or a command on snapshots of the records."""
+"""The command line: runs a controller, or a command on snapshots of the records."""
 
 from __future__ import annotations
 
@@ -19,45 +19,47 @@
 LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 DEFAULT_LOG_LEVEL = "info"
 SNAPSHOT_COMMANDS = ("snapshot", "restore")
-# Exit statuses: a controller runs until it fails.
+# Exit statuses. A controller only exits when it fails.
 EXIT_OK, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
 
 
 class UsageError(Exception):
-    """The command line or the environment can't be used; the text is for whoever wrote them."""
+    """The command line, the environment or the settings are invalid; the text says why."""
 
 
-def parser() -> argparse.ArgumentParser:
-    """Build the parser of the command line."""
-    p = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Build the command-line parser."""
+    parser = argparse.ArgumentParser(
         prog="clayport",
         description="Run one controller of clayport.",
         epilog="`clayport snapshot --help` and `clayport restore --help`: copies of the records, "
         "and putting them back.",
     )
-    p.add_argument("--config", metavar="FILE", required=True, help="the platform's settings (JSON)")
-    p.add_argument(
+    parser.add_argument(
+        "--config", metavar="FILE", required=True, help="the platform's settings (JSON)"
+    )
+    parser.add_argument(
         "--operator", metavar="FILE", help="the operator's own settings (protobuf text format)"
     )
-    p.add_argument("--check", action="store_true", help="check the settings and exit")
-    p.add_argument("--version", action="version", version=f"clayport {__version__}")
-    return p
+    parser.add_argument("--check", action="store_true", help="check the settings and exit")
+    parser.add_argument("--version", action="version", version=f"clayport {__version__}")
+    return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the controller, or a snapshot command; return the exit status."""
+    """Run a controller or a snapshot command; return the exit status."""
     arguments = sys.argv[1:] if argv is None else argv
     try:
         if arguments and arguments[0] in SNAPSHOT_COMMANDS:
             return _run_snapshot_command(arguments)
-        return _run(parser().parse_args(arguments))
+        return _run(build_parser().parse_args(arguments))
     except UsageError as exc:
         print(exc, file=sys.stderr)
         return EXIT_USAGE
 
 
 def _run(args: argparse.Namespace) -> int:
-    """Check the settings and run the controller."""
+    """Check the settings and, unless only that was asked for, run the controller."""
     log_level = _log_level()
     settings, operator = _load_settings(args.config, args.operator)
     if args.check:
@@ -66,7 +68,7 @@
     logging.basicConfig(
         level=log_level, stream=sys.stderr, format="%(levelname)s %(name)s %(message)s"
     )
-    # Imported late: checking settings needs none of it.
+    # Imported here because `--check` does not need curio.
     import curio
 
     controller = _build_controller(settings, operator)
@@ -75,7 +77,7 @@
 
 
 def _run_snapshot_command(arguments: list[str]) -> int:
-    # Imported late: a controller without snapshots has no need of the libraries.
+    # Imported here because a controller without snapshots does not need these libraries.
     try:
         from clayport.rebuild import commands
     except ModuleNotFoundError as exc:
@@ -93,12 +95,12 @@
 def _load_settings(
     path: str, operator_path: str | None
 ) -> tuple[Settings, OperatorSettings | None]:
-    """Load the platform's settings, and the operator's own if there are any."""
+    """Load the platform's settings and, if a path is given, the operator's settings."""
     try:
         settings = load(path)
         if not operator_path:
             return settings, None
-        # Imported late: protobuf costs memory and time.
+        # Imported here because protobuf costs memory and start time.
         from clayport import operator_settings
 
         return settings, operator_settings.load(operator_path)
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -1,7 +1,7 @@
 """The composition root: builds the parts of a controller and connects them.
 
-It decides nothing and owns no state. Which part owns which state is in
-`docs/architecture.md`.
+This module makes no decisions and owns no state. `docs/architecture.md` says which part owns
+which state.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 from clayport.scheduling.view import ClusterView
 from clayport.settings import Settings, endpoint
 from clayport.transport import http, peers
-from clayport.user_api import POLL_S, UserApi
+from clayport.user_api import POLL_TIMEOUT_S, UserApi
 
 if TYPE_CHECKING:
     from clayport.rebuild.recovery import Recovery
@@ -70,17 +70,17 @@
 
 Routine = Callable[..., Coroutine[Any, Any, None]]
 
-# A controller's lease, in leases of a worker: one that has crashed is evicted when it ends,
-# which leaves the workers time to find their new owner.
-MEMBER_LEASE = 0.3
-# Leases of a worker over which arrivals of tasks are counted.
-ARRIVALS_LEASES = 20
-# Work with more slack than this, in leases of a worker, keeps off expensive machines.
-PATIENCE_LEASES = 2
+# The length of a controller's lease as a fraction of a worker's lease. A crashed controller is
+# evicted when its lease expires, so a short lease leaves its workers time to find the new owner.
+MEMBER_LEASE_FRACTION = 0.3
+# The window in which arriving tasks are counted, in units of a worker's lease.
+ARRIVALS_WINDOW_LEASES = 20
+# Jobs with more slack than this, in units of a worker's lease, are kept off expensive machines.
+PATIENT_SLACK_LEASES = 2
 
 
 class Controller:
-    """The parts of one process, and its long-lived routines."""
+    """One controller process: all its parts and long-lived routines."""
 
     def __init__(
         self,
@@ -92,10 +92,10 @@
     ) -> None:
         self.settings = settings
         lease_s = settings.cluster.workers.lease_s
-        # Drawn anew by each process; all that is drawn later follows from it.
+        # Each process draws a new incarnation, which also seeds all later random draws.
         incarnation = incarnation or os.urandom(8).hex()
         self.membership = MembershipState(
-            settings.label, incarnation, MEMBER_LEASE * lease_s, time.monotonic()
+            settings.label, incarnation, MEMBER_LEASE_FRACTION * lease_s, time.monotonic()
         )
         self.routines = Routines(random.Random(incarnation), self.membership.lease_ttl_s / 3)
         self._build_clients()
@@ -113,7 +113,7 @@
             self.rebuild.enable(snapshots, second_copy)
 
     def _build_clients(self) -> None:
-        """The state service, the cloud and the peers; no connection is opened yet."""
+        """Build the clients of the state service, the cloud and the peers, without connecting."""
         cluster, services = self.settings.cluster, self.settings.services
         lease_s, uniform = cluster.workers.lease_s, self.routines.rng.uniform
         self.store = StateStore(
@@ -124,7 +124,7 @@
             cluster.size,
             uniform,
         )
-        self.lookups = Lookups(self.store, 4 * cluster.state.txn_ops, POLL_S / 3)
+        self.lookups = Lookups(self.store, 4 * cluster.state.txn_ops, POLL_TIMEOUT_S / 3)
         self.cloud = Cloud(
             *endpoint(services.cloud, "services.cloud"), cluster.cloud.rps, lease_s, uniform
         )
@@ -134,20 +134,22 @@
         }
 
     def _build_state(self) -> None:
-        """What is owned by one part and read by others."""
+        """Build the parts whose state other parts read."""
         cluster, now = self.settings.cluster, self.membership.started_at
         workers = cluster.workers
         self.objectives = SchedulingObjectives(
-            cluster.objectives, PATIENCE_LEASES * workers.lease_s
+            cluster.objectives, PATIENT_SLACK_LEASES * workers.lease_s
         )
         self.quotas = TeamQuotas(cluster.teams)
-        self.arrivals = Arrivals(ARRIVALS_LEASES * workers.lease_s, time.monotonic())
-        # What a start takes besides its image: a report each way and a look at the rooms.
+        self.arrivals = Arrivals(ARRIVALS_WINDOW_LEASES * workers.lease_s, time.monotonic())
+        # Besides fetching the image, a start takes about three report intervals: a report in each
+        # direction and a refresh of the cached state.
         self.jobs = JobRegistry(DependencyGraph(1.0, 3 * workers.report_s))
         self.upgrade = UpgradeState(cluster.state)
         self.view = ClusterView(self.settings.label)
-        # A promise outlasts an ordinary end of a process: until it is over, nobody can be told
-        # of what one that has just ended didn't acknowledge.
+        # A promise outlasts a short restart of a process. Until all promises of the previous
+        # process have expired, users can't be told of cancellations that peers have not
+        # acknowledged.
         self.promises = Promises(self.peers, workers.lease_s, now)
         self.watermark = CancellationWatermark(self.peers, workers.lease_s)
         self.queue = job_queue(
@@ -169,10 +171,10 @@
         self.removal = MachineRemoval(
             self.membership, self.machines, self.jobs, self.view, self.peers, self.routines
         )
-        self.rebuild = RebuildSupport(self.routines, self._recovery)
+        self.rebuild = RebuildSupport(self.routines, self._build_recovery)
 
     def _build_machine_routines(self) -> None:
-        """Stall detection, the cached state, and what talks to the machines."""
+        """Build stall detection, the cached state and the parts that talk to machines."""
         self.stalls = StallDetector(
             now=self.membership.started_at,
             machines=self.machines,
@@ -213,7 +215,7 @@
         self.routing = Routing(self.membership, self.machines, self.peers, self.store, self.fleet)
 
     def _build_replica(self) -> None:
-        """The replica of the records, and what follows from their changes."""
+        """Build the replica of the records and the parts that act on changes of records."""
         self.disclosure = CancellationDisclosure(
             membership=self.membership,
             peers=self.peers,
@@ -268,7 +270,7 @@
         )
 
     def _build_placement(self) -> None:
-        """The placer of waiting tasks."""
+        """Build the placer of waiting tasks."""
         self.placer = Placer(
             cached_state=self.cached_state,
             catalogue=self.catalogue,
@@ -288,7 +290,7 @@
         )
 
     def _build_dispatch(self) -> None:
-        """The routines of the jobs that this controller leads."""
+        """Build the parts that run the jobs of which this controller is the leader."""
         self.owner_requests = OwnerRequests(
             fleet=self.fleet,
             machines=self.machines,
@@ -329,7 +331,7 @@
         )
 
     def _build_scaling(self) -> None:
-        """Renting and returning machines."""
+        """Build the part that rents and returns machines."""
         self.provisioner = Provisioner(
             arrivals=self.arrivals,
             cached_state=self.cached_state,
@@ -349,7 +351,7 @@
         )
 
     def _build_user_api(self) -> None:
-        """Requests of users."""
+        """Build the handler of user requests."""
         self.user_api = UserApi(
             catalogue=self.catalogue,
             disclosure=self.disclosure,
@@ -372,7 +374,7 @@
         )
 
     def _build_membership(self) -> None:
-        """Heartbeats, registration and failover."""
+        """Build heartbeats, registration, failover and epoch transitions."""
         self.heartbeats = Heartbeats(
             cached_state=self.cached_state,
             disclosure=self.disclosure,
@@ -425,7 +427,7 @@
         )
 
     def _build_peer_requests(self) -> None:
-        """Requests of other controllers."""
+        """Build the handler of requests from other controllers."""
         self.peer_requests = PeerRequests(
             cached_state=self.cached_state,
             dispatcher=self.dispatcher,
@@ -443,7 +445,7 @@
         )
 
     def _connect(self) -> None:
-        """Give the parts that were built first those that were built after them."""
+        """Give parts that were built early the parts that were built after them."""
         self.stalls.connect(provisioner=self.provisioner)
         self.fleet.connect(
             dispatcher=self.task_events,
@@ -455,13 +457,13 @@
         self.record_replica.connect(transition=self.transition)
         self.placer.connect(dispatcher=self.dispatcher)
 
-    def _recovery(self, snapshots: str, second_copy: bool) -> Recovery:
-        from clayport.rebuild.recovery import Recovery  # imported only where it is used
+    def _build_recovery(self, snapshots: str, second_copy: bool) -> Recovery:
+        from clayport.rebuild.recovery import Recovery  # imported only if enabled
 
         return Recovery(self, snapshots, second_copy)
 
     def duties(self) -> tuple[Routine, ...]:
-        """The long-lived routines besides the listeners and those for each controller."""
+        """Return the long-lived routines, except listeners and those that run once per peer."""
         recovery = self.rebuild.recovery
         return (
             *((recovery.run,) if recovery is not None else ()),
@@ -479,29 +481,31 @@
         )
 
     async def run(self) -> None:
-        """All routines until one fails; the rest is cancelled in order then."""
-        s, w = self.settings, self.settings.cluster.workers
+        """Run all routines until one fails, then cancel the others in order."""
+        settings, workers = self.settings, self.settings.cluster.workers
         duty = self.routines.duty
         users = http.Server(
             self.user_api.handle,
-            s.cluster.machine_limits.max_sockets * 5 // 8,
-            3 * w.lease_s,
-            w.lease_s,
+            settings.cluster.machine_limits.max_sockets * 5 // 8,
+            3 * workers.lease_s,
+            workers.lease_s,
             "/v1/report",
         )
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(users.serve, *endpoint(s.bind, "bind"))
+            await group.spawn(users.serve, *endpoint(settings.bind, "bind"))
             await group.spawn(
                 peers.serve,
-                *endpoint(s.peer_bind, "peer_bind"),
+                *endpoint(settings.peer_bind, "peer_bind"),
                 self.peer_requests.answer,
-                4 * s.cluster.size,
-                w.lease_s,
+                4 * settings.cluster.size,
+                workers.lease_s,
             )
             for peer in self.peers.values():
                 await group.spawn(duty, self.heartbeats.exchange_heartbeats, peer)
-            for label in s.labels:
+            for label in settings.labels:
                 await group.spawn(duty, self.fleet.tell, label)
             for routine in self.duties():
                 await group.spawn(duty, routine)
-            log.info("label=%s event=started incarnation=%s", s.label, self.membership.incarnation)
+            log.info(
+                "label=%s event=started incarnation=%s", settings.label, self.membership.incarnation
+            )
--- a/clayport/imports.py
+++ b/clayport/imports.py
@@ -1,10 +1,10 @@
-"""Imports of libraries without the parts that a controller never runs.
+"""Faster imports: replaces modules that the libraries load but a controller never uses.
 
-Starting takes from the same share of a core as serving, and a controller that comes back has to
-answer its workers before their leases expire. Much of the time of the imports went into parts
+A restarted controller has to answer its workers before their leases expire, and its start
+competes with serving for the same share of a core. Much of the import time goes into modules
 that curio and hashlib load for features that are not used here: asyncio (futures of another
-event loop), multiprocessing (worker processes), ssl and OpenSSL's hashes (all that is needed of
-them is built in).
+event loop), multiprocessing (worker processes), ssl and the hashes of OpenSSL (the built-in
+ones suffice).
 """
 
 from __future__ import annotations
@@ -17,45 +17,45 @@
 from types import ModuleType
 from typing import Any
 
-# Optional modules: importing them fails, and the libraries go on without them.
-ABSENT = ("ssl", "_hashlib")
-# Modules that the libraries can't be imported without: empty ones take their place, with the
-# attributes that are used during the import.
-EMPTY: dict[str, dict[str, Any]] = {
+# Optional modules whose import is made to fail; the libraries work without them.
+BLOCKED_MODULES = ("ssl", "_hashlib")
+# Modules that the libraries require. Each is replaced by a stub that has only the attributes
+# that are used during the import.
+STUB_MODULES: dict[str, dict[str, Any]] = {
     "asyncio": {},
     "multiprocessing": {"cpu_count": os.cpu_count},
     "curio.channel": {"__all__": [], "Connection": None},
 }
 
 
-class EmptyModuleFinder:
-    """A finder and loader of empty modules in place of those in `EMPTY`."""
+class StubModuleFinder:
+    """An import finder and loader that creates the stubs in `STUB_MODULES`."""
 
     def find_spec(
         self, name: str, _path: object = None, _target: object = None
     ) -> ModuleSpec | None:
-        """A spec for the modules in `EMPTY`; None leaves the others to the next finder."""
-        return ModuleSpec(name, self) if name in EMPTY else None  # type: ignore[arg-type]
+        """Return a spec for a module in `STUB_MODULES`; None passes on to the next finder."""
+        return ModuleSpec(name, self) if name in STUB_MODULES else None  # type: ignore[arg-type]
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """The import system's default module will do."""
+        """Return None, so that the import system creates a default module."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Give the empty module what is used of the real one during the imports."""
-        vars(module).update(EMPTY[module.__name__])
+        """Add the attributes of the real module that are used during the imports."""
+        vars(module).update(STUB_MODULES[module.__name__])
 
 
 @contextmanager
-def reduced() -> Iterator[None]:
-    """Import libraries without the modules in `ABSENT` and `EMPTY`.
+def stub_unused_modules() -> Iterator[None]:
+    """Block or stub the modules in `BLOCKED_MODULES` and `STUB_MODULES` during the context.
 
-    Afterwards, whoever imports one of these gets the real one. Those that have been imported
-    before stay as they are.
+    Imports of these modules after the context load the real modules. Modules that were imported
+    before the context stay as they are.
     """
-    replaced = [name for name in (*ABSENT, *EMPTY) if name not in sys.modules]
-    finder = EmptyModuleFinder()
+    replaced = [name for name in (*BLOCKED_MODULES, *STUB_MODULES) if name not in sys.modules]
+    finder = StubModuleFinder()
     sys.meta_path.insert(0, finder)
-    for name in ABSENT:
+    for name in BLOCKED_MODULES:
         if name in replaced:
             sys.modules[name] = None  # type: ignore[assignment]
     try:
--- a/clayport/model.py
+++ b/clayport/model.py
@@ -1,7 +1,6 @@
-"""Jobs, tasks and machines, in the scheduler's own terms.
+"""Jobs, tasks and machines in the terms of the scheduler.
 
-The `rename` tables here map them to the protocol's names of fields: to the left the name in the
-code, to the right the one on the wire.
+Each `rename` table maps the names of fields in the code to their names on the wire.
 """
 
 from __future__ import annotations
@@ -11,22 +10,21 @@
 
 import msgspec
 
-# The most dependencies of a job: more don't fit a value of the state service in any case.
+# The most prerequisites of a job: more would exceed the value size limit of the state service.
 MAX_PREREQS = 1000
-# The most tasks of a job.
 MAX_TASKS = 100_000
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-# What records may hold: the first versions let a line feed through at the end of an id.
-# Requests are held to `valid_id`.
+# The form of a job id in records, where `$` also matches before a trailing line feed: early
+# versions accepted such ids. Requests are checked with `valid_id`, which is stricter.
 JobId = Annotated[str, msgspec.Meta(pattern=r"^j-[0-9]{1,30}$")]
-VALID_ID = re.compile(r"j-[0-9]{1,30}")
+JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,30}")
 Prereqs = Annotated[list[JobId], msgspec.Meta(max_length=MAX_PREREQS)]
 
-# Kinds of jobs: the tasks of an array start one by one, those of a gang all together or not at
-# all, and those of a service run until it is cancelled.
+# The kinds of jobs: tasks of an array start independently, tasks of a gang start all together or
+# not at all, and tasks of a service run until the service is cancelled.
 ARRAY, GANG, SERVICE = "sweep", "ensemble", "daemon"
-# The rank of each priority; a higher one goes first.
+# The rank of each priority; jobs of higher rank are scheduled first.
 RANKS = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
 
 
@@ -55,27 +53,27 @@
         "deadline_s": "due_s",
     },
 ):
-    """A job's description as its user submitted it.
+    """The description of a job as its user submitted it.
 
-    Times are in seconds, and cpus, gpus, memory and the image's size (GB) are those of one task.
+    Times are in seconds. CPUs, GPUs, memory (GB) and image size (GB) are per task.
 
     Attributes:
-        id: The job's name, which its user chooses: submitting it again changes nothing.
-        job_class: The class by which `settings.Objective` applies to it.
-        team: The team whose quota it counts against.
+        id: The id of the job. The user chooses it, so that submissions are idempotent.
+        job_class: The job class that selects the objectives (`settings.Objective`) of the job.
+        team: The team whose quota the job uses.
         kind: `ARRAY`, `GANG` or `SERVICE`.
         priority: A key of `RANKS`.
-        tasks: The number of its tasks.
-        one_zone: Whether all tasks have to be in one zone.
-        spread: Whether no zone may hold more than half of its tasks, rounded up.
-        spot: Whether it may run on spot machines.
-        estimate_s: How long a task takes, as the user guesses.
-        checkpoint_s: How often a task saves a checkpoint; 0: never.
-        save_s: How long saving one takes.
-        types: The machine types it may run on; None: any.
-        zone: The zone it has to run in; None: any.
-        deadline_s: By when it is to be done, counted from its submission.
-        prereqs: Jobs that have to be done before any task of this one starts.
+        tasks: The number of tasks.
+        one_zone: Whether all tasks must run in the same zone.
+        spread: Whether no zone may hold more than half of the tasks, rounded up.
+        spot: Whether tasks may run on spot machines.
+        estimate_s: The user's estimate of a task's run time.
+        checkpoint_s: The interval between checkpoints of a task; 0 means no checkpoints.
+        save_s: How long saving a checkpoint takes.
+        types: The machine types on which tasks may run; None means any.
+        zone: The zone in which tasks must run; None means any.
+        deadline_s: The deadline of the job, counted from its submission.
+        prereqs: The jobs that must be done before any task of this job starts.
     """
 
     id: JobId
@@ -95,7 +93,7 @@
     estimate_s: Amount
     checkpoint_s: Amount
     save_s: Amount
-    # What may be null may also be left out, in requests as in records.
+    # Fields that may be null may also be absent, in requests and in records.
     types: Annotated[list[Text], msgspec.Meta(max_length=64)] | None = None
     zone: Text | None = None
     deadline_s: Amount | None = None
@@ -103,28 +101,28 @@
 
 
 class Job(Description, frozen=True, rename={"without_objective": "aimless"}):
-    """A job's description, and what the controllers add to it.
+    """The description of a job with the fields that controllers add.
 
     Attributes:
-        without_objective: No service-level objective says when it is to be started or finished.
-            Users have no such field: whatever they send under this name is ignored.
+        without_objective: Whether no service-level objective bounds when the job starts or
+            finishes. Users can't set this field, and a value that they send is ignored.
     """
 
     without_objective: bool = False
 
     @property
     def rank(self) -> int:
-        """Its priority as a number; a higher one goes first."""
+        """The priority as a number; jobs of higher rank are scheduled first."""
         return RANKS[self.priority]
 
     @property
     def backfill(self) -> bool:
-        """Whether it takes only room that nobody else needs."""
+        """Whether the job only uses room that no other job needs."""
         return self.without_objective and self.kind != SERVICE
 
     @property
     def standing(self) -> int:
-        """The rank as it counts for preemption: without an objective, below the lowest."""
+        """The rank that counts for preemption: -1 for backfill jobs of the lowest rank."""
         return -1 if self.backfill and self.rank == 0 else self.rank
 
 
@@ -142,14 +140,14 @@
         "zones": "sites",
     },
 ):
-    """One row of the cloud's catalogue.
+    """A machine type in the cloud's catalogue.
 
     Attributes:
-        cache_gb: Local disk for images, in GB.
-        fetch_gb_per_s: How fast images arrive on it, in GB per second.
-        price: What it costs on demand, in the catalogue's unit.
-        spot_price: What it costs as a spot machine, likewise.
-        boot_s: How long it takes to boot, in seconds.
+        cache_gb: The size of the local image cache in GB.
+        fetch_gb_per_s: How fast a machine fetches images, in GB per second.
+        price: The on-demand price, in the unit of the catalogue.
+        spot_price: The spot price, in the unit of the catalogue.
+        boot_s: How long a machine takes to boot, in seconds.
     """
 
     name: str
@@ -174,11 +172,11 @@
         "saved": "stored",
     },
 ):
-    """A task as a worker lists it in its heartbeat.
+    """The state of a task in a worker's heartbeat.
 
     Attributes:
-        why: Why it ended, if it did.
-        saved: Whether it has saved a checkpoint.
+        why: The cause of the task's end; empty unless the task has ended.
+        saved: Whether the task has saved a checkpoint.
     """
 
     task: str
@@ -202,13 +200,13 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's heartbeat, with the status of its machine and tasks.
+    """A worker's heartbeat: the state of its machine and tasks.
 
     Attributes:
-        session: The worker's incarnation: a later process on the machine has a higher one.
-        seq: Counts the heartbeats of a session.
-        token: The highest fencing token that the worker has been sent.
-        notice_s: In how many seconds the cloud reclaims the machine; None: it doesn't.
+        session: The incarnation of the worker; a later process on the machine has a higher one.
+        seq: The sequence number of the heartbeat within the session.
+        token: The highest fencing token that the worker has received.
+        notice_s: The seconds until the cloud reclaims the machine; None if no notice was given.
     """
 
     machine: Text
@@ -233,7 +231,7 @@
         "age_s": "held_s",
     },
 ):
-    """A machine as the cloud lists it; `age_s` is for how long it has been rented."""
+    """A machine in the cloud's list of machines; `age_s` is the time since it was rented."""
 
     id: str
     address: str
@@ -245,22 +243,22 @@
 
 
 def valid_id(name: str) -> bool:
-    """Whether a name has the form that the protocol gives to job ids."""
-    return VALID_ID.fullmatch(name) is not None
+    """Return whether a text has the form of a job id."""
+    return JOB_ID_PATTERN.fullmatch(name) is not None
 
 
 def split_task(task: str) -> tuple[str, int]:
-    """Split a task's id into its job's id and its number.
+    """Split the id of a task into the job id and the task number.
 
     Raises:
-        ValueError: It is no task's id.
+        ValueError: The text is not a task id.
     """
     job, _, number = task.partition("/")
     return job, int(number)
 
 
 def fits(job: Job, machine_type: MachineType) -> bool:
-    """Whether one task of the job fits an empty machine of the type."""
+    """Return whether one task of the job fits on an empty machine of the type."""
     return (
         (job.types is None or machine_type.name in job.types)
         and job.cpus <= machine_type.cpus
--- a/clayport/operator_settings.py
+++ b/clayport/operator_settings.py
@@ -1,11 +1,10 @@
-"""The operator's own settings: a file in protobuf text format, read and checked.
+"""Reads and checks the operator's settings file, which is in protobuf text format, for example:
 
     refresh { start_s: 10 least_s: 1 most_s: 60 }
     rebuild { on: true directory: "/var/lib/clayport" }
 
-Imported only when such a file is given: protobuf costs memory and start time
-that a controller without one should not pay. The schema is declared here, so
-that no generated code has to be kept.
+This module is imported only if such a file is given, because protobuf costs memory and start
+time. The schema is declared here, so that the repository contains no generated code.
 """
 
 from __future__ import annotations
@@ -18,14 +17,14 @@
 
 from clayport.settings import ConfigError
 
-# The package of the schema's messages.
+# The protobuf package of the schema.
 PACKAGE = "clayport"
 REFRESH_FIELDS = ("start_s", "least_s", "most_s")
 
 
 @dataclass(frozen=True)
 class RefreshSettings:
-    """Bounds of the adaptive refresh interval, in seconds."""
+    """The initial value and the bounds of the adaptive refresh interval, in seconds."""
 
     start_s: float = 10.0
     least_s: float = 1.0
@@ -34,16 +33,16 @@
 
 @dataclass(frozen=True)
 class OperatorSettings:
-    """What the operator's file switches on or changes; the defaults are those of no file."""
+    """The operator's settings; the defaults apply if no file is given."""
 
     refresh: RefreshSettings = RefreshSettings()
-    rebuild: bool = False  # whether records that the state service loses are rebuilt
-    directory: str = ""  # where this controller keeps snapshots of them; none: nowhere
-    second_copy: bool = False  # whether 201 waits until a second place has the record
+    rebuild: bool = False  # whether to rebuild records that the state service has lost
+    directory: str = ""  # where to write snapshots of the records; empty for no snapshots
+    second_copy: bool = False  # whether to answer 201 only once a second copy exists
 
 
 def _add_field(message: Any, name: str, kind: int, message_type: str = "") -> None:
-    """Add an optional field to a message of the schema, with the next free number."""
+    """Add an optional field to a message type of the schema, with the next free number."""
     message.field.add(
         name=name,
         number=len(message.field) + 1,
@@ -53,8 +52,8 @@
     )
 
 
-def _empty_message() -> Any:
-    """Declare the schema; return an empty message of its outermost type."""
+def _new_message() -> Any:
+    """Declare the schema and return an empty message of its root type."""
     types = descriptor_pb2.FieldDescriptorProto
     file = descriptor_pb2.FileDescriptorProto(
         name="operator.proto", package=PACKAGE, syntax="proto2"
@@ -75,13 +74,14 @@
 
 
 def parse(text: str) -> OperatorSettings:
-    """Decode and check the operator's settings.
+    """Parse and check the operator's settings.
 
     Raises:
-        ConfigError: A field is unknown, out of its range or contradicts another.
+        ConfigError: The syntax is invalid, a field is unknown or out of range, or fields
+            contradict each other.
     """
     try:
-        message = text_format.Parse(text, _empty_message())
+        message = text_format.Parse(text, _new_message())
     except text_format.ParseError as exc:
         raise ConfigError(f"operator file: {' '.join(str(exc).split())}") from None
     refresh = _parse_refresh(message.refresh)
@@ -107,7 +107,7 @@
     """Read the operator's file (protobuf text format).
 
     Raises:
-        ConfigError: The file can't be read, or something in it is invalid.
+        ConfigError: The file can't be read, or its contents are invalid.
     """
     try:
         with open(path, encoding="utf-8") as file:
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -1,7 +1,7 @@
-"""What a controller answers to the requests of its peers: one method for each kind of frame.
+"""Answers the requests of other controllers, with one method for each kind of frame.
 
-The fields of each kind are laid out in `frames.SCHEMAS`; a method takes them as its
-arguments, in that order. Times are seconds on this process's steady clock.
+A method takes the fields of its kind as arguments, in the order of `frames.SCHEMAS`. Times are
+in seconds on the monotonic clock of this process.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 log = logging.getLogger(__name__)
 
-# The kind of the answer's frame, and its fields: bare tuples, as `frames` packs them.
+# The kind and the fields of a reply frame; the fields are plain tuples, as `frames` packs them.
 Answer = tuple[int, frames.Fields]
 
-# The records of lists in the frames, as `frames` unpacks them.
-# A machine.
+# List records as `frames` unpacks them.
+# A machine or a team.
 NameRecord = tuple[str]
-# A machine, and the number of a task that is to be placed there.
-PlaceRecord = tuple[str, int]
-# A machine, a task and its attempt.
+# A machine and the number of a task to reserve room for.
+ReservationRecord = tuple[str, int]
+# A machine, a task and the attempt.
 TaskRecord = tuple[str, str, int]
-# The same, seconds to save in, and whether to clear the task rather than kill it.
+# A machine, a task, the attempt, the grace period (s) and whether to clear rather than kill.
 StopRecord = tuple[str, str, int, float, bool]
-# A machine, a task and its attempt, the state seen, its cause, and whether the task has saved.
+# A machine, a task, the attempt, its state, the cause and whether a checkpoint is saved.
 TaskStateRecord = tuple[str, str, int, str, str, bool]
 
 AGREED: Answer = (frames.ACK, (True,))
@@ -57,12 +57,12 @@
 NO_HISTORY: Answer = (frames.HISTORY_REPLY, ("", 0, 0, False, 0))
 NO_EVIDENCE: Answer = (frames.EVIDENCE_REPLY, (0, b""))
 
-# Final states of a job, as `JOB_ENDED` carries them.
+# The final states of a job in JOB_ENDED frames.
 FINAL_STATES = ("done", "cancelled")
 
 
 class PeerRequests:
-    """Answers the peers of one controller."""
+    """The request handler for the peers of a controller."""
 
     def __init__(
         self,
@@ -96,10 +96,10 @@
         self.routines = routines
 
     async def answer(self, kind: int, values: frames.Fields) -> Answer:
-        """Answer one request; what it has signalled or started is carried out before.
+        """Answer one request, after flushing the signals and routines that it recorded.
 
-        A request that acts on machines or tasks is refused as a whole unless it names the
-        epoch that is served here.
+        A request that acts on machines or tasks is refused as a whole unless it comes from the
+        epoch in which this controller is serving.
         """
         try:
             handler = HANDLERS.get(kind)
@@ -112,7 +112,7 @@
             await self.routines.flush()
 
     def _is_current(self, epoch: int) -> bool:
-        """Whether this is the epoch whose work is loaded here."""
+        """Return whether this controller is serving in the epoch."""
         return self.membership.serving and epoch == self.membership.epoch.number
 
     # -- requests of any epoch --------------------------------------
@@ -120,7 +120,7 @@
     async def ping(
         self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> Answer:
-        """PING, a heartbeat without promises."""
+        """PING: a heartbeat that asks for no promise."""
         heartbeats = self.heartbeats
         heartbeats.receive(label, epoch, state_ok, room_rev, demand)
         return frames.PONG, heartbeats.status(time.monotonic())
@@ -135,7 +135,7 @@
         _incarnation: str,
         known_rev: int,
     ) -> Answer:
-        """HEARTBEAT, one that asks for a promise about cancellations."""
+        """HEARTBEAT: a heartbeat that asks for a promise about cancellations."""
         now = time.monotonic()
         heartbeats = self.heartbeats
         is_peer = heartbeats.receive(label, epoch, state_ok, room_rev, demand)
@@ -144,37 +144,37 @@
         return frames.HEARTBEAT_REPLY, (*status, self.membership.incarnation, promised)
 
     async def job_ended(self, job: str, status: str) -> Answer:
-        """JOB_ENDED: a job's final state, to be acknowledged before its user is told."""
+        """JOB_ENDED: acknowledge the final state of a job, so that its user may be told."""
         if status in FINAL_STATES and job not in self.jobs.ended:
             self.lifecycle.note_end(job, status)
         return AGREED
 
     async def history(self, *values: Any) -> Answer:
-        """HISTORY: which history of the records the sender acts on, and which we do."""
+        """HISTORY: exchange the record histories in which the sender and this controller act."""
         if self.rebuild.recovery is None:
             return NO_HISTORY
         return self.rebuild.recovery.answer(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
-        """EVIDENCE: one part of what is known here about the records to be rebuilt."""
+        """EVIDENCE: one part of this controller's evidence about the records to be rebuilt."""
         if self.rebuild.recovery is None:
             return NO_EVIDENCE
         return self.rebuild.recovery.answer(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
-        """INSPECT: whether a machine that its owner misses answers us."""
+        """INSPECT: whether a machine that is silent to its owner answers this controller."""
         return frames.ACK, (await self.fleet.inspect(machine, address),)
 
     async def gone(self, _epoch: int, machines: list[NameRecord]) -> Answer:
-        """GONE: machines whose return the cloud has confirmed.
+        """GONE: remove machines whose return the cloud has confirmed.
 
-        It holds in any epoch, since names are not used again.
+        This is valid in any epoch because machine names are not reused.
         """
         self.removal.apply(name for (name,) in machines)
         return AGREED
 
     async def report(self, epoch: int, body: bytes) -> Answer:
-        """REPORT: the report of a worker that can't reach us, passed on by a peer."""
+        """REPORT: a report that a peer forwards for a worker that can't reach this controller."""
         now = time.monotonic()
         try:
             report = msgspec.json.decode(body, type=WorkerHeartbeat)
@@ -192,49 +192,49 @@
     # -- requests to the leader of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
-        """COUNTS: how many tasks of a job are done and how many run."""
+        """COUNTS: how many tasks of a job are done and how many are running."""
         counts = self.dispatcher.counts(job)
         return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
     async def task_states(self, _epoch: int, events: list[TaskStateRecord]) -> Answer:
-        """TASK_STATES: what machines' owners have seen of tasks."""
+        """TASK_STATES: return verdicts on the task states that the owners of machines report."""
         verdicts = self.dispatcher.task_events.told(events)
         return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
-        """MOVE: whether a replica has another place than this machine."""
+        """MOVE: whether a replica can move from this machine to another one."""
         return frames.ACK, (self.placer.movable(job, number, machine, drain),)
 
-    # -- requests to the owner of machines -------------------------------
+    # -- requests to the owner of machines ---------------------------------
 
     async def free_room(self, _epoch: int, since: int, machines: list[NameRecord]) -> Answer:
-        """FREE_ROOM: the table of free room, or what has changed in it since a revision."""
+        """FREE_ROOM: the table of free room, or the changes to it since a revision."""
         return frames.TABLE, self.cached_state.table(since, [name for (name,) in machines])
 
     async def reserve(
-        self, _epoch: int, job: str, attempt: int, places: list[PlaceRecord]
+        self, _epoch: int, job: str, attempt: int, places: list[ReservationRecord]
     ) -> Answer:
-        """RESERVE: room for tasks of a job on our machines."""
-        known = self.jobs.description(job)
-        if known is None:
+        """RESERVE: reserve room for tasks of a job on machines of this owner."""
+        description = self.jobs.description(job)
+        if description is None:
             return NO_RESERVATIONS
-        grants = self.machines.reserve(known, places, attempt, time.monotonic())
+        grants = self.machines.reserve(description, places, attempt, time.monotonic())
         return frames.RESERVED, (True, [(granted,) for granted in grants])
 
     async def launch(self, _epoch: int, tasks: list[TaskRecord]) -> Answer:
-        """LAUNCH: start tasks whose room has been reserved."""
+        """LAUNCH: start tasks for which room is reserved."""
         verdicts = self.machines.launch(tasks)
-        self._poke(tasks)
+        self._send_commands(tasks)
         return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
     async def stop(self, _epoch: int, tasks: list[StopRecord]) -> Answer:
-        """STOP: kill tasks, or clear them from the machines' reports."""
+        """STOP: kill tasks, or clear ended ones from the reports of their machines."""
         self.machines.stop(tasks)
-        self._poke(tasks)
+        self._send_commands(tasks)
         return AGREED
 
     async def adopt(self, _epoch: int, tasks: list[TaskRecord]) -> Answer:
-        """ADOPT: tasks that the records say are on our machines."""
+        """ADOPT: take over tasks that are on machines of this owner according to the records."""
         self.machines.adopt(tasks, time.monotonic())
         return AGREED
 
@@ -247,26 +247,26 @@
         grace_s: float,
         borrowers: list[NameRecord],
     ) -> Answer:
-        """PREEMPT: make room on a machine for so many tasks of a job."""
-        wanting = self.jobs.description(job)
-        made = wanting is not None and self.machines.preempt(
-            wanting, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
+        """PREEMPT: make room on a machine for `count` tasks of a job."""
+        description = self.jobs.description(job)
+        freed = description is not None and self.machines.preempt(
+            description, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
         )
         self.fleet.poke(machine)
-        return frames.ACK, (made,)
+        return frames.ACK, (freed,)
 
     async def evacuate(self, _epoch: int, machine: str, drain: bool) -> Answer:
-        """EVACUATE: move replicas off a machine."""
+        """EVACUATE: move replicas to other machines."""
         return frames.ACK, (self.fleet.evacuate(machine, drain),)
 
     async def drain(self, _epoch: int, machine: str) -> Answer:
-        """DRAIN: whether a machine is empty and takes no more work."""
+        """DRAIN: close a machine to new tasks; whether the machine is empty and closed."""
         return frames.ACK, (self.machines.drain(machine),)
 
-    # -- requests to the one that rents machines -------------------------
+    # -- requests to the provisioner ---------------------------------------
 
     async def fence(self, _epoch: int, machine: str, _cause: str) -> Answer:
-        """FENCE: return a silent machine to the cloud; agreed once that is confirmed."""
+        """FENCE: return a silent machine to the cloud; accept once the cloud confirms."""
         if self.membership.epoch.provisioner != self.membership.label:
             return REFUSED
         try:
@@ -276,17 +276,17 @@
             return REFUSED
         return AGREED
 
-    def _poke(self, tasks: Iterable[TaskRecord | StopRecord]) -> None:
-        """Send the commands of the tasks' machines without waiting for their reports."""
+    def _send_commands(self, tasks: Iterable[TaskRecord | StopRecord]) -> None:
+        """Send the queued commands of the tasks' machines without waiting for their reports."""
         for machine in dict.fromkeys(task[0] for task in tasks):
             self.fleet.poke(machine)
 
 
 class Handler(NamedTuple):
-    """How one kind of request is answered."""
+    """The method that answers one kind of request, and its epoch check."""
 
     method: Callable[..., Awaitable[Answer]]
-    # The answer to a request of another epoch; None: those of any are carried out.
+    # The answer to a request from another epoch; None if requests of any epoch are handled.
     refusal: Answer | None = None
 
 
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -1,7 +1,7 @@
-"""Signals between the routines of one process, and short-lived routines.
+"""Signals between the routines of a process, and supervision of routines.
 
-A routine is a coroutine that runs as a task of curio; the word keeps it apart from the tasks
-of jobs.
+A routine is a coroutine that runs as a curio task. The name distinguishes it from the tasks of
+jobs.
 """
 
 from __future__ import annotations
@@ -17,18 +17,17 @@
 
 
 class Routines:
-    """Signals to be set and routines to be started, recorded by code that does no I/O.
+    """Records signals to set and routines to start, and carries both out on `flush`.
 
-    `signal` and `spawn` only record what is to be done, and may be called from synchronous
-    code; `flush` carries it out. Both are kept in order, so that a simulated day repeats
-    exactly.
+    `signal` and `spawn` do no I/O and may be called from synchronous code. Both keep their
+    order, so that simulations are reproducible.
 
     Attributes:
         rng: Draws the lengths of pauses.
-        duty_pause_s: About how long a long-lived routine pauses before it begins anew.
-        events: The event of each signal that was set or waited for, by the signal's name.
-        signalled: The signals to be set at the next flush (a set in order).
-        coroutines: The coroutines to be started at the next flush.
+        duty_pause_s: The mean pause before a long-lived routine is restarted.
+        events: By name, the event of each signal that was set or waited for.
+        signalled: The signals to be set by the next flush (an ordered set).
+        coroutines: The coroutines to be started by the next flush.
     """
 
     def __init__(self, rng: random.Random, duty_pause_s: float) -> None:
@@ -39,31 +38,31 @@
         self.coroutines: list[Coroutine[Any, Any, Any]] = []
 
     def signal(self, name: str) -> None:
-        """Set the signal `name` at the next flush."""
+        """Record that the next flush sets the signal `name`."""
         self.signalled[name] = None
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Start a short-lived routine at the next flush.
+        """Record that the next flush starts a short-lived routine.
 
-        An exception that it raises is logged and goes no further.
+        An exception that the routine raises is logged and not propagated.
         """
         self.coroutines.append(coroutine)
 
     async def flush(self) -> None:
-        """Start the routines and set the signals recorded, also while this goes on."""
+        """Start the recorded routines and set the recorded signals, until none are left."""
         while self.coroutines or self.signalled:
             coroutines, self.coroutines = self.coroutines, []
             signalled, self.signalled = self.signalled, {}
             for coroutine in coroutines:
-                await curio.spawn(self._guard(coroutine), daemon=True)
+                await curio.spawn(self._run_spawned(coroutine), daemon=True)
             for name in signalled:
                 await self._event(name).set()
 
     async def wait(self, name: str, timeout_s: float | None = None) -> None:
-        """Flush, then wait until `name` is signalled, or for `timeout_s` seconds at most.
+        """Flush, then wait until the signal `name` is set, for at most `timeout_s` seconds.
 
-        A signal wakes all that wait for its name; one that is set while none does ends the
-        next wait at once.
+        A signal wakes all routines that wait for it. If no routine is waiting, the next wait
+        returns at once.
         """
         await self.flush()
         event = self._event(name)
@@ -75,18 +74,18 @@
         event.clear()
 
     def jitter(self, base_s: float) -> float:
-        """Return a pause around `base_s` seconds: controllers must not come back in step."""
+        """Return a random pause around `base_s` seconds, so that controllers do not act in step."""
         return base_s * self.rng.uniform(0.5, 1.5)
 
     async def duty(self, routine: Callable[..., Coroutine[Any, Any, None]], *args: Any) -> None:
-        """Run a long-lived routine, and begin it anew after an error.
+        """Run a long-lived routine and restart it whenever it ends.
 
-        The error is logged and must not end the process, which would cost its users and workers
-        more than one round of the routine.
+        Errors are logged and do not end the process, because a restart of the process would
+        affect users and workers more than a restart of one routine.
 
         Args:
             routine: The routine.
-            *args: Its arguments.
+            *args: The arguments of the routine.
         """
         while True:
             try:
@@ -96,14 +95,14 @@
             await curio.sleep(self.jitter(self.duty_pause_s))
 
     def _event(self, name: str) -> curio.Event:
-        """Return the event of a signal, made when it is first asked for."""
+        """Return the event of a signal, creating it on first use."""
         event = self.events.get(name)
         if event is None:
             event = self.events[name] = curio.Event()
         return event
 
-    async def _guard(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Run a short-lived routine to its end, and what it has recorded."""
+    async def _run_spawned(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a short-lived routine and flush the signals and routines that it recorded."""
         try:
             await coroutine
         except Exception:
--- a/clayport/settings.py
+++ b/clayport/settings.py
@@ -1,7 +1,7 @@
-"""The platform's settings file: read, checked and handed on as plain structures.
+"""Reads and checks the platform's settings file.
 
-Unknown fields are ignored (the platform may add some); anything missing or
-contradictory is reported with the name of the field.
+Unknown fields are ignored, because the platform may add fields. A missing or invalid field is
+reported by name.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class ConfigError(Exception):
-    """The settings can't be used; the text names the field."""
+    """The settings are invalid; the text names the field."""
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Another controller: its label, its zone and its `host:port` for peers."""
+    """Another controller: its label, zone and `host:port` for peers."""
 
     label: Name
     location: str
@@ -30,14 +30,14 @@
 
 
 class Services(msgspec.Struct, frozen=True):
-    """The `host:port` of the cloud's API and of the state service."""
+    """The `host:port` of the cloud API and of the state service."""
 
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's quota (its guaranteed share) and limit; a limit of 0 means that there is none."""
+    """A team's quota (its guaranteed share) and its limit; a limit of 0 means no limit."""
 
     name: Name
     cpus: NonNegative = 0.0
@@ -47,10 +47,14 @@
 
 
 class Objective(msgspec.Struct, frozen=True):
-    """One service-level objective on a class of jobs.
-
-    `kind` is for example `wait` or `finished`; `within_s` is its bound in seconds, `share` the
-    share of the jobs that have to meet it, and `times` a multiple of a job's own deadline.
+    """A service-level objective for a class of jobs.
+
+    Attributes:
+        kind: The kind of objective, for example `wait` or `finished`.
+        job_class: The class of jobs to which the objective applies.
+        within_s: The bound in seconds.
+        share: The share of the jobs that must meet the objective.
+        times: The bound as a multiple of a job's own deadline.
     """
 
     kind: str
@@ -61,7 +65,7 @@
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
-    """Intervals and leases of the workers' protocol, in seconds."""
+    """Intervals and lease times of the worker protocol, in seconds."""
 
     report_s: Positive
     lease_s: Positive
@@ -71,9 +75,9 @@
 
 
 class NextLimits(msgspec.Struct, frozen=True):
-    """Limits that the state service will have some time after an upgrade.
+    """The limits of the state service after a coming upgrade.
 
-    What is absent stays as it is.
+    A limit that is absent does not change.
     """
 
     rps: Positive | None = None
@@ -83,9 +87,14 @@
 
 
 class StateSettings(msgspec.Struct, frozen=True):
-    """Limits of the state service, a consensus-backed key-value store.
-
-    Requests and writes per second, KiB of a value, writes of a transaction.
+    """Limits of the state service, a consistent key-value store.
+
+    Attributes:
+        rps: Requests per second.
+        write_rps: Writes per second.
+        value_kb: The size of a value in KiB.
+        txn_ops: The number of writes in a transaction.
+        next: The limits after a coming upgrade, if any.
     """
 
     rps: Positive
@@ -95,25 +104,25 @@
     next: NextLimits | None = None
 
     def least(self) -> StateSettings:
-        """What may be asked of the service at any time: the smaller of both limits."""
-        coming = self.next or NextLimits()
+        """Return the limits that hold before and after the upgrade: the smaller of each pair."""
+        next_limits = self.next or NextLimits()
         return StateSettings(
-            min(self.rps, coming.rps or self.rps),
-            min(self.write_rps, coming.write_rps or self.write_rps),
-            min(self.value_kb, coming.value_kb or self.value_kb),
-            min(self.txn_ops, coming.txn_ops or self.txn_ops),
+            min(self.rps, next_limits.rps or self.rps),
+            min(self.write_rps, next_limits.write_rps or self.write_rps),
+            min(self.value_kb, next_limits.value_kb or self.value_kb),
+            min(self.txn_ops, next_limits.txn_ops or self.txn_ops),
         )
 
 
 class CloudSettings(msgspec.Struct, frozen=True):
-    """Requests per second that the cloud serves, and the lag of its machine list in seconds."""
+    """The rate limit of the cloud API (requests per second) and the lag of its list (seconds)."""
 
     rps: Positive
     list_lag_s: NonNegative
 
 
-class Limits(msgspec.Struct, frozen=True):
-    """What a controller's process may use: a share of a core, MB of memory, sockets."""
+class ProcessLimits(msgspec.Struct, frozen=True):
+    """Resources that a controller process may use: share of a core, memory (MB), sockets."""
 
     core_share: Positive = 1.0
     mem_mb: Positive = 146.0
@@ -130,7 +139,7 @@
     state: StateSettings
     cloud: CloudSettings
     objectives: list[Objective] = []
-    machine_limits: Limits = Limits()
+    machine_limits: ProcessLimits = ProcessLimits()
     clock_error_ms: NonNegative = 0.0
 
 
@@ -147,7 +156,7 @@
 
     @property
     def labels(self) -> list[str]:
-        """All controllers, this one included."""
+        """The labels of all controllers, including this one."""
         return sorted([self.label, *(m.label for m in self.members)])
 
 
@@ -155,7 +164,7 @@
     """Split `host:port`.
 
     Raises:
-        ConfigError: The text is none; the error names `field`.
+        ConfigError: The text is not a valid `host:port`; the error names `field`.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
@@ -164,10 +173,10 @@
 
 
 def parse(raw: bytes) -> Settings:
-    """Decode and check the settings.
+    """Parse and check the settings.
 
     Raises:
-        ConfigError: They aren't JSON, a field is missing or invalid, or fields contradict
+        ConfigError: The text is not JSON, a field is missing or invalid, or fields contradict
             each other.
     """
     try:
@@ -213,7 +222,7 @@
     """Read the settings from a file.
 
     Raises:
-        ConfigError: The file can't be read, or `parse` refuses what it holds.
+        ConfigError: The file can't be read, or its contents are invalid.
     """
     try:
         with open(path, "rb") as file:
--- a/clayport/transport/__init__.py
+++ b/clayport/transport/__init__.py
@@ -1,5 +1,5 @@
-"""Bytes on the wire: HTTP, frames between controllers, and connections."""
+"""Network transport: HTTP/1.1, binary frames between controllers, and their connections."""
 
 
 class TransportError(Exception):
-    """Base of the errors of exchanges with users, workers, services and peers."""
+    """Base class of errors in exchanges with users, workers, services and peers."""
--- a/clayport/transport/frames.py
+++ b/clayport/transport/frames.py
@@ -1,12 +1,13 @@
-"""The frames between controllers, packed with struct.
+"""Binary frames exchanged between controllers, packed with `struct`.
 
-A frame is a header (magic, version, kind, request number, body length) and a body laid out by
-the schema of its kind. A schema is a tuple of field codes: `B`, `h`, `I`, `Q`, `d` and `?` as in
-`struct` (big-endian, unpadded); `s` text in UTF-8 and `b` bytes, each after its length; a tuple
-of codes is a list of records, after their number.
+A frame is a header (magic, version, kind, request number, body length) and a body whose layout
+is the schema of the frame's kind. A schema is a tuple of field codes. `B`, `h`, `I`, `Q`, `d`
+and `?` have the meaning they have in `struct` (big-endian, unpadded). `s` is UTF-8 text and `b`
+is bytes, both length-prefixed. A nested tuple of codes is a list of records, prefixed with
+their number.
 
-The functions here are on the path of every exchange between controllers. So headers and bodies
-are bare tuples, and runs of fields of fixed size are packed by one `struct` call each.
+Every exchange between controllers runs through these functions. For speed, headers and bodies
+are plain tuples, and each run of fixed-size fields is packed by a single `struct` call.
 """
 
 from __future__ import annotations
@@ -20,8 +21,9 @@
 MAGIC = 0xC1A7
 VERSION = 2
 HEADER = struct.Struct("!HBBII")  # magic, version, kind, request number, body length in bytes
-SIZE = struct.Struct("!I")  # bytes of a text or of bytes, or number of a list's records
-SIZE_BYTES = SIZE.size
+# The length of a text or of bytes, or the number of records in a list.
+LENGTH_PREFIX = struct.Struct("!I")
+LENGTH_PREFIX_BYTES = LENGTH_PREFIX.size
 MAX_BODY = 4 * 1024 * 1024  # bytes
 
 Schema = tuple[Any, ...]
@@ -29,19 +31,19 @@
 
 
 class FrameError(TransportError):
-    """Not a frame of this protocol; the connection can't be used any further."""
+    """A frame violates the protocol, so its connection can't be used any further."""
 
 
 class FrameEncodeError(FrameError):
-    """The fields don't fit the schema of their kind, or the frame would be too large."""
+    """The fields don't match the schema of their kind, or the frame would be too large."""
 
 
 class FrameDecodeError(FrameError):
-    """The bytes received are no frame, or its body doesn't follow the schema of its kind."""
+    """The received bytes are not a frame, or the body doesn't match the schema of its kind."""
 
 
 class FrameKind(IntEnum):
-    """What a frame asks or answers; the numbers are those on the wire."""
+    """The kind of a request or reply; the numbers are sent on the wire."""
 
     PING = 1
     PONG = 2
@@ -67,19 +69,18 @@
     PREEMPT = 22
     EVACUATE = 23
     MOVE = 24
-    # Only between controllers that understand histories of the records (`rebuild`).
+    # Sent only between controllers that support record histories (package `rebuild`).
     HISTORY = 25
     HISTORY_REPLY = 26
     EVIDENCE = 27
     EVIDENCE_REPLY = 28
-    # The heartbeat between controllers that keep promises on cancellations
-    # (`leases.cancellations`).
+    # Heartbeats that renew promises about cancellations (package `leases`).
     HEARTBEAT = 29
     HEARTBEAT_REPLY = 30
 
 
-# The kinds as names of this module: `frames.PING`. (Looking a member up in its class costs
-# more than a name of a module does.)
+# Aliases such as `frames.PING`, because looking up a module attribute is faster than looking up
+# a member of an enum class.
 PING, PONG = FrameKind.PING, FrameKind.PONG
 RESERVE, RESERVED = FrameKind.RESERVE, FrameKind.RESERVED
 LAUNCH, STOP, ADOPT = FrameKind.LAUNCH, FrameKind.STOP, FrameKind.ADOPT
@@ -96,32 +97,32 @@
 EVIDENCE, EVIDENCE_REPLY = FrameKind.EVIDENCE, FrameKind.EVIDENCE_REPLY
 HEARTBEAT, HEARTBEAT_REPLY = FrameKind.HEARTBEAT, FrameKind.HEARTBEAT_REPLY
 
-# -- records in lists ---------------------------------------------------------------
+# -- schemas of list records --------------------------------------------------------
 
-# job, pending tasks, since when (s), zones of its other tasks
+# job, waiting tasks, how long they have waited (s), zones of its other tasks
 DEMAND: Schema = ("s", "I", "d", "s")
 # machine, task, attempt
 TASK: Schema = ("s", "s", "Q")
-# machine, address, type, zone, spot, open, cpus, gpus, memory (GB), tasks, images, idle time (s),
-# job that its room is kept for
+# machine, address, type, zone, spot, open, free CPUs, free GPUs, free memory (GB), tasks, images,
+# idle time (s), job that the room is reserved for
 MACHINE: Schema = ("s", "s", "s", "s", "?", "?", "d", "d", "d", "I", "s", "d", "s")
-# machine, standing, without GPUs, cpus, gpus, memory (GB)
-TAKEN: Schema = ("s", "h", "?", "d", "d", "d")
+# machine, preemption rank of the jobs, whether they use no GPUs, CPUs, GPUs and memory (GB) in use
+USED_ROOM: Schema = ("s", "h", "?", "d", "d", "d")
 
-# The epoch leads every request that acts on machines or tasks: one from another epoch is
-# refused as a whole.
+# Every request that acts on machines or tasks begins with the epoch, because the receiver
+# rejects the whole request if it comes from another epoch.
 SCHEMAS: dict[int, Schema] = {
-    # label, epoch, whether the state service answers, room revision, demands
+    # label, epoch, whether the state service answers, room revision, demand rows
     PING: ("s", "Q", "?", "Q", DEMAND),
     # label, epoch, whether the state service answers, room revision
     PONG: ("s", "Q", "?", "Q"),
-    # the same as in PING, incarnation, revision up to which the records under `c/` are known
+    # the fields of PING, incarnation, revision up to which the sender has read records under `c/`
     HEARTBEAT: ("s", "Q", "?", "Q", DEMAND, "s", "Q"),
-    # the same as in PONG, incarnation, whether it promises
+    # the fields of PONG, incarnation, whether the promise is renewed
     HEARTBEAT_REPLY: ("s", "Q", "?", "Q", "s", "?"),
     # epoch, job, attempt, list of (machine, task number)
     RESERVE: ("Q", "s", "Q", ("s", "I")),
-    # whether answered, list of whether granted, in the order of the request
+    # whether the request was accepted, whether each reservation is granted, in request order
     RESERVED: ("?", ("?",)),
     # epoch, tasks
     LAUNCH: ("Q", TASK),
@@ -129,24 +130,24 @@
     STOP: ("Q", ("s", "s", "Q", "d", "?")),
     # epoch, tasks
     ADOPT: ("Q", TASK),
-    # whether agreed
+    # whether the request was accepted
     ACK: ("?",),
-    # epoch, list of (machine, task, attempt, state, cause, whether it has saved)
+    # epoch, list of (machine, task, attempt, state, cause, whether a checkpoint is saved)
     TASK_STATES: ("Q", ("s", "s", "Q", "s", "s", "?")),
-    # whether answered, list of verdicts, in the order of the request
+    # whether the request was accepted, list of verdicts, in request order
     VERDICTS: ("?", ("B",)),
-    # epoch, revision of the table that the sender knows, machines to be told anyway
+    # epoch, revision of the table that the sender has, machines to include even if unchanged
     FREE_ROOM: ("Q", "Q", ("s",)),
-    # whether answered, room revision, whether this is the whole table or what has changed since,
-    # machines that are gone, machines, what is taken on them
-    TABLE: ("?", "Q", "?", ("s",), MACHINE, TAKEN),
-    # job, its final state
+    # whether the request was accepted, room revision, whether this is the whole table rather than
+    # the changes, removed machines, machines, resources in use on them
+    TABLE: ("?", "Q", "?", ("s",), MACHINE, USED_ROOM),
+    # job, final state
     JOB_ENDED: ("s", "s"),
     # epoch, job
     COUNTS: ("Q", "s"),
-    # whether answered, tasks that are done, tasks that run
+    # whether the request was accepted, tasks done, tasks running
     COUNTED: ("?", "I", "I"),
-    # epoch, a worker's report as it came
+    # epoch, body of a worker's report as received
     REPORT: ("Q", "b"),
     # HTTP status, body of the answer to the worker
     REPORTED: ("I", "b"),
@@ -162,14 +163,14 @@
     MOVE: ("Q", "s", "I", "s", "?"),
     # epoch, machine, whether to drain it
     EVACUATE: ("Q", "s", "?"),
-    # epoch, machine, job, number of its tasks that are to fit, longest time its victims may take
-    # to save (s), teams that have borrowed and whose work of any rank may be stopped
+    # epoch, machine, job, number of its tasks to make room for, longest time that victims may take
+    # to save (s), borrowing teams, whose tasks of any rank may be preempted
     PREEMPT: ("Q", "s", "s", "I", "d", ("s",)),
-    # history, its number, highest revision seen, whether the sender stands still, revision up to
-    # which it holds the records under `c/` in memory
+    # history, its number, highest revision seen, whether the sender suspects its history and has
+    # stopped, revision up to which the sender has the records under `c/` in memory
     HISTORY: ("s", "Q", "Q", "?", "Q"),
     HISTORY_REPLY: ("s", "Q", "Q", "?", "Q"),
-    # history that is to be, number of the part
+    # history to be established, index of the part
     EVIDENCE: ("s", "I"),
     # number of parts, the part
     EVIDENCE_REPLY: ("I", "b"),
@@ -177,10 +178,14 @@
 
 
 class _Layout:
-    """A schema, compiled: runs of fields of fixed size are one `struct` each.
-
-    `steps` holds, in order, a Struct with its number of fields, a code `s` or `b`, or the
-    layout of a list's records.
+    """A compiled schema in which each run of fixed-size fields is a single `struct.Struct`.
+
+    Attributes:
+        steps: In field order, a tuple per step of a `Struct` (None if the step is not a run of
+            fixed-size fields), the number of fields, and the code `s` or `b` or the layout of
+            a list's records.
+        width: The number of fields.
+        fixed: The only `Struct` if all fields have a fixed size, otherwise None.
     """
 
     __slots__ = ("fixed", "steps", "width")
@@ -188,9 +193,9 @@
     def __init__(self, schema: Schema) -> None:
         self.steps: list[tuple[struct.Struct | None, int, _Layout | str]] = []
         self.width = len(schema)
-        run = ""  # codes of fixed size since the last field of another kind
+        run = ""  # codes of the current run of fixed-size fields
         for code in (*schema, None):
-            # None ends the last run.
+            # The trailing None ends the last run.
             if isinstance(code, str) and code not in "sb":
                 run += code
                 continue
@@ -199,15 +204,14 @@
                 run = ""
             if code is not None:
                 self.steps.append((None, 1, _Layout(code) if isinstance(code, tuple) else code))
-        # Records of nothing else are packed by one struct alone.
         self.fixed = self.steps[0][0] if len(self.steps) == 1 else None
 
     def pack(self, values: Any, out: list[bytes]) -> None:
         """Append the packed `values` to `out`.
 
         Raises:
-            FrameEncodeError: There are more or fewer values than fields.
-            struct.error: A value is out of its field's range, or of another type.
+            FrameEncodeError: The number of values differs from the number of fields.
+            struct.error: A value is out of range for its field, or has the wrong type.
         """
         if len(values) != self.width:
             raise FrameEncodeError("fields do not match the schema")
@@ -217,12 +221,12 @@
                 out.append(fixed.pack(*values[at : at + count]))
             elif isinstance(part, _Layout):
                 records = values[at]
-                out.append(SIZE.pack(len(records)))
+                out.append(LENGTH_PREFIX.pack(len(records)))
                 for record in records:
                     part.pack(record, out)
             else:
                 raw = values[at].encode() if part == "s" else values[at]
-                out.append(SIZE.pack(len(raw)))
+                out.append(LENGTH_PREFIX.pack(len(raw)))
                 out.append(raw)
             at += count
 
@@ -230,8 +234,8 @@
         """Read one record from offset `at` of `body`; return its values and the offset after it.
 
         Raises:
-            FrameDecodeError: A text, bytes or a list end beyond the body.
-            struct.error: The body ends within a field of fixed size.
+            FrameDecodeError: A text, a byte string or a list extends beyond the body.
+            struct.error: The body ends within a fixed-size field.
             UnicodeDecodeError: A text isn't UTF-8.
         """
         values: list[Any] = []
@@ -240,17 +244,17 @@
                 values += fixed.unpack_from(body, at)
                 at += fixed.size
                 continue
-            (size,) = SIZE.unpack_from(body, at)
-            at += SIZE_BYTES
+            (size,) = LENGTH_PREFIX.unpack_from(body, at)
+            at += LENGTH_PREFIX_BYTES
             if isinstance(part, _Layout):
                 if size > len(body) - at:
-                    raise FrameDecodeError("a list is longer than its frame")
+                    raise FrameDecodeError("list extends beyond the frame body")
                 records, at = part.unpack_list(body, at, size)
                 values.append(records)
                 continue
             raw = body[at : at + size]
             if len(raw) != size:
-                raise FrameDecodeError("truncated")
+                raise FrameDecodeError("field extends beyond the frame body")
             at += size
             values.append(raw.decode() if part == "s" else raw)
         return values, at
@@ -260,23 +264,23 @@
         if self.fixed is not None:
             end = at + count * self.fixed.size
             if end > len(body):
-                raise FrameDecodeError("truncated")
+                raise FrameDecodeError("list extends beyond the frame body")
             return list(self.fixed.iter_unpack(body[at:end])), end
-        found = []
+        records = []
         for _ in range(count):
             record, at = self.unpack(body, at)
-            found.append(tuple(record))
-        return found, at
+            records.append(tuple(record))
+        return records, at
 
 
 LAYOUTS: dict[int, _Layout] = {kind: _Layout(schema) for kind, schema in SCHEMAS.items()}
 
 
 def encode(kind: int, number: int, values: Fields) -> bytes:
-    """Pack a whole frame: the request `number` and the fields of its kind.
+    """Pack a whole frame from the request `number` and the field values of its kind.
 
     Raises:
-        FrameEncodeError: The values don't fit the kind's schema, or are too large.
+        FrameEncodeError: The values don't match the kind's schema, or the body exceeds `MAX_BODY`.
     """
     out: list[bytes] = []
     try:
@@ -285,16 +289,16 @@
         raise FrameEncodeError(str(exc)) from None
     body = b"".join(out)
     if len(body) > MAX_BODY:
-        raise FrameEncodeError("too large")
+        raise FrameEncodeError("frame body exceeds the maximum size")
     return HEADER.pack(MAGIC, VERSION, kind, number, len(body)) + body
 
 
 def decode_header(raw: bytes) -> tuple[int, int, int]:
-    """Return the kind, the request number and the body's length in bytes.
+    """Return the kind, the request number and the body length in bytes of a frame.
 
     Raises:
-        FrameDecodeError: The header is none of this version, of an unknown kind, or announces
-            more than `MAX_BODY` bytes.
+        FrameDecodeError: The magic, version or kind is unknown, or the body is longer than
+            `MAX_BODY`.
     """
     magic, version, kind, number, size = HEADER.unpack(raw)
     if magic != MAGIC or version != VERSION or kind not in SCHEMAS or size > MAX_BODY:
@@ -305,15 +309,15 @@
 
 
 def decode_body(kind: int, body: bytes) -> Fields:
-    """Return the fields of a body.
+    """Return the field values of a frame body.
 
     Raises:
-        FrameDecodeError: The body doesn't follow the kind's schema to its last byte.
+        FrameDecodeError: The body doesn't match the kind's schema exactly.
     """
     try:
         values, at = LAYOUTS[kind].unpack(body, 0)
     except (struct.error, UnicodeDecodeError) as exc:
         raise FrameDecodeError(str(exc)) from None
     if at != len(body):
-        raise FrameDecodeError("bytes left over")
+        raise FrameDecodeError("trailing bytes after the frame body")
     return tuple(values)
--- a/clayport/transport/http.py
+++ b/clayport/transport/http.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 over curio and h11: a server of a bounded number of connections, and a pooled client.
+"""HTTP/1.1 on curio and h11: a server with a connection limit, and a client with a pool.
 
-Both read and write message heads through `http_heads`, which caches what h11 says of them. A
-message with a head out of the ordinary, and what follows on its connection, is left to h11.
+The server and the client parse and encode message heads through `http_heads`, which caches the
+results of h11. If a head is unusual, an h11 connection handles that message and the rest of
+its connection.
 """
 
 from __future__ import annotations
@@ -17,43 +18,45 @@
 from curio import socket
 
 from clayport.transport import TransportError, http_heads
-from clayport.transport.listen import listener
+from clayport.transport.listen import open_listener
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 64 * 1024  # of a request, in bytes
-# What is read from a connection at once, in bytes.
+MAX_BODY = 64 * 1024  # the longest request body, in bytes
+# The most bytes that one read from a connection returns.
 MAX_READ_BYTES = 65536
 Headers = list[tuple[str, str]]
-# Answers a request, given its method, path and body, by a status, a body and further headers.
+# Takes the method, path and body of a request; returns the status, body and extra headers.
 Handler = Callable[[str, str, bytes], Awaitable[tuple[int, bytes, Headers]]]
 
 
 class HttpError(TransportError):
-    """An exchange over HTTP did not come about as asked."""
+    """An HTTP exchange failed."""
 
 
 class MessageTooLargeError(HttpError):
-    """A request's body is longer than `MAX_BODY`."""
+    """A request body is longer than `MAX_BODY`."""
 
 
 class NoAnswerError(HttpError):
-    """No response arrived: the request may have been executed or still may be."""
+    """No response arrived, so the request may have been executed or may still be."""
 
 
 class NotSentError(NoAnswerError):
-    """No connection came about: the request was never sent."""
+    """No connection could be opened, so the request was not sent."""
 
 
 def _serialize(conn: h11.Connection, *events: Any) -> bytes:
-    """Send events on h11's connection; return their bytes."""
+    """Pass events to an h11 connection and return the bytes to send."""
     return b"".join(conn.send(event) or b"" for event in events)
 
 
-async def _take_head(data: bytearray, receive: Callable[[], Awaitable[bytes]]) -> bytes | None:
-    """Take the next message's head out of `data`, after filling it by `receive`.
+async def _read_head(data: bytearray, receive: Callable[[], Awaitable[bytes]]) -> bytes | None:
+    """Remove and return the head of the next message from `data`, receiving more as needed.
 
-    Returns None if the other side is finished before that, or h11 has to look at what has come.
+    Returns:
+        The head, or None if the other side closed the connection before the end of the head, or
+        if h11 has to handle the received bytes.
     """
     while (head := http_heads.take_head(data)) is None:
         received = b"" if http_heads.needs_h11(data) else await receive()
@@ -64,17 +67,19 @@
 
 
 class Server:
-    """Serves requests over a bounded number of connections.
+    """Serves HTTP requests over a bounded number of connections.
 
-    Past the bound the oldest idle connection is closed, unless its last request was for
-    `kept_path`: a flood of users must not cost a worker its lease.
+    At the limit, the server closes the oldest idle connection before it serves a new one.
+    Connections whose last request was for `protected_path` are not closed, because a flood of
+    users must not make a worker lose its lease.
 
     Args:
         handler: Answers a request.
-        max_connections: How many connections are open at most, while one of a user is idle.
-        idle_s: How long a connection may stay without a request.
-        request_s: How long a request may take to arrive once it has begun.
-        kept_path: Start of the paths on which workers report.
+        max_connections: The most open connections, as long as a user's connection is idle and
+            can be closed.
+        idle_s: How long a connection may stay open between requests.
+        request_s: How long a request may take to arrive after its first byte.
+        protected_path: The path prefix of workers' reports.
     """
 
     def __init__(
@@ -83,33 +88,35 @@
         max_connections: int,
         idle_s: float,
         request_s: float,
-        kept_path: str,
+        protected_path: str,
     ) -> None:
         self.handler, self.max_connections = handler, max_connections
-        self.idle_s, self.request_s, self.kept_path = idle_s, request_s, kept_path
-        # Whether each is an idle one of a user; the oldest first.
+        self.idle_s, self.request_s, self.protected_path = idle_s, request_s, protected_path
+        # Whether each connection is idle and unprotected, the oldest connection first.
         self.connections: dict[curio.Task, bool] = {}
-        # By when what a connection is waited for has to come, on the monotonic clock.
+        # When the next bytes of each waiting connection are due, on the monotonic clock.
         self.deadlines: dict[curio.Task, float] = {}
 
     async def serve(self, host: str, port: int) -> None:
-        """Listen on an address and serve whoever connects, without end."""
-        # A whole fleet may come at once, when a controller is back.
-        sock = await listener(host, port, self.max_connections)
-        sweeper = await curio.spawn(self._close_late, daemon=True)
+        """Listen on an address and serve connections until cancelled."""
+        # The backlog is this long because all workers may reconnect at once after a restart.
+        sock = await open_listener(host, port, self.max_connections)
+        closer = await curio.spawn(self._close_overdue, daemon=True)
         try:
             await self._accept(sock)
         finally:
-            await sweeper.cancel()
+            await closer.cancel()
 
-    async def _close_late(self) -> None:
-        """Close connections that have taken too long: one duty for all of them. (A timer for
-        each read cost more than reading.)"""
+    async def _close_overdue(self) -> None:
+        """Periodically close all connections that have missed their deadlines.
+
+        One routine checks all connections, because a timer per read costs more than the read.
+        """
         while True:
             await curio.sleep(min(self.request_s, self.idle_s) / 4)
             now = time.monotonic()
             for task in [t for t, deadline in self.deadlines.items() if now > deadline]:
-                # Unless something has come while others were closed.
+                # Data may have arrived while other connections were being closed.
                 if self.deadlines.pop(task, now) < now:
                     self.connections.pop(task, None)
                     await task.cancel(blocking=False)
@@ -120,7 +127,7 @@
                 try:
                     client, _ = await sock.accept()
                 except OSError as exc:
-                    log.info("accept failed: %s", exc)
+                    log.info("cannot accept a connection: %s", exc)
                     await curio.sleep(self.request_s / 50)
                     continue
                 if len(self.connections) >= self.max_connections:
@@ -130,7 +137,7 @@
                 self.connections[task] = False
 
     async def _close_oldest_idle(self) -> None:
-        """Close the oldest idle connection of a user."""
+        """Close the oldest connection that is idle and unprotected."""
         for task, idle in self.connections.items():
             if idle:
                 self.connections.pop(task)
@@ -138,67 +145,67 @@
                 return
 
     async def _serve_connection(self, client: Any) -> None:
-        """Serve requests with ordinary heads; the rest is left to h11."""
-        me = await curio.current_task()
+        """Serve the requests of a connection; pass unusual ones and all that follow to h11."""
+        task = await curio.current_task()
         data = bytearray()
-        kept = False
+        protected = False
         try:
             while True:
-                if me in self.connections:
-                    self.connections[me] = not kept
-                head = await _take_head(data, lambda: self._receive(client, me, bool(data)))
-                asked = http_heads.parse_request_head(head) if head is not None else None
-                if head is None or asked is None or asked.length > MAX_BODY:
+                if task in self.connections:
+                    self.connections[task] = not protected
+                head = await _read_head(data, lambda: self._receive(client, task, bool(data)))
+                parsed = http_heads.parse_request_head(head) if head is not None else None
+                if head is None or parsed is None or parsed.length > MAX_BODY:
                     if head or data:
-                        await self._serve_with_h11(client, me, (head or b"") + data)
+                        await self._serve_with_h11(client, task, (head or b"") + data)
                     return
-                while len(data) < asked.length:
-                    more = await self._receive(client, me, True)
+                while len(data) < parsed.length:
+                    more = await self._receive(client, task, True)
                     if not more:
-                        await self._serve_with_h11(client, me, head + data)
+                        await self._serve_with_h11(client, task, head + data)
                         return
                     data.extend(more)
-                body = bytes(data[: asked.length])
-                del data[: asked.length]
-                kept = asked.path.startswith(self.kept_path)
-                status, payload, extra = await self.handler(asked.method, asked.path, body)
+                body = bytes(data[: parsed.length])
+                del data[: parsed.length]
+                protected = parsed.path.startswith(self.protected_path)
+                status, payload, extra = await self.handler(parsed.method, parsed.path, body)
                 await client.sendall(
                     http_heads.response_head(status, len(payload), tuple(extra)) + payload
                 )
         except OSError:
             pass
         finally:
-            self.connections.pop(me, None)
-            self.deadlines.pop(me, None)
+            self.connections.pop(task, None)
+            self.deadlines.pop(task, None)
             await client.close()
 
-    async def _receive(self, client: Any, me: curio.Task, begun: bool) -> bytes:
-        """Wait for what comes next and return it; empty when the other side is finished.
+    async def _receive(self, client: Any, task: curio.Task, started: bool) -> bytes:
+        """Return the next received bytes, or no bytes if the other side closed the connection.
 
-        Guards against slow and half-open clients: once a request has begun it must arrive
-        within request_s; between requests idle_s applies.
+        A deadline guards against slow and half-open clients: `request_s` if a request has
+        started to arrive, otherwise `idle_s`.
         """
-        self.deadlines[me] = time.monotonic() + (self.request_s if begun else self.idle_s)
+        self.deadlines[task] = time.monotonic() + (self.request_s if started else self.idle_s)
         data: bytes = await client.recv(MAX_READ_BYTES)
-        self.deadlines.pop(me, None)
-        if me in self.connections:
-            self.connections[me] = False
+        self.deadlines.pop(task, None)
+        if task in self.connections:
+            self.connections[task] = False
         return data
 
-    async def _serve_with_h11(self, client: Any, me: curio.Task, data: bytes) -> None:
-        """Serve the rest of a connection, of which `data` has come."""
+    async def _serve_with_h11(self, client: Any, task: curio.Task, data: bytes) -> None:
+        """Serve the rest of a connection with h11, beginning with the received `data`."""
         conn = h11.Connection(h11.SERVER, max_incomplete_event_size=http_heads.MAX_HEAD_BYTES)
-        kept = False
+        protected = False
         try:
             conn.receive_data(data)
             while True:
-                if me in self.connections:
-                    self.connections[me] = not kept
-                request, body = await self._read_request(conn, client, me)
+                if task in self.connections:
+                    self.connections[task] = not protected
+                request, body = await self._read_request(conn, client, task)
                 if request is None:
                     return
                 path = request.target.decode("latin-1")
-                kept = path.startswith(self.kept_path)
+                protected = path.startswith(self.protected_path)
                 status, payload, extra = await self.handler(
                     request.method.decode("latin-1"), path, body
                 )
@@ -207,27 +214,31 @@
                     return
                 conn.start_next_cycle()
         except MessageTooLargeError:
-            await self._refuse(conn, client, 413)
+            await self._send_error(conn, client, 413)
         except h11.RemoteProtocolError as exc:
-            await self._refuse(conn, client, exc.error_status_hint or 400)
+            await self._send_error(conn, client, exc.error_status_hint or 400)
         except h11.LocalProtocolError:
             pass
 
     async def _read_request(
-        self, conn: h11.Connection, client: Any, me: curio.Task
+        self, conn: h11.Connection, client: Any, task: curio.Task
     ) -> tuple[h11.Request | None, bytes]:
-        """Read one request and its body; None when the other side is finished.
+        """Read one request and its body.
+
+        Returns:
+            The request and its body; None and an empty body if the other side closed the
+            connection.
 
         Raises:
             MessageTooLargeError: The body is longer than `MAX_BODY`.
-            h11.RemoteProtocolError: What came is no request.
+            h11.RemoteProtocolError: The received bytes are not an HTTP request.
         """
         request, parts, size = None, [], 0
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                begun = request is not None or bool(conn.trailing_data[0])
-                conn.receive_data(await self._receive(client, me, begun))
+                started = request is not None or bool(conn.trailing_data[0])
+                conn.receive_data(await self._receive(client, task, started))
             elif isinstance(event, h11.Request):
                 request = event
             elif isinstance(event, h11.Data):
@@ -242,7 +253,7 @@
 
     @staticmethod
     def _response(conn: h11.Connection, status: int, payload: bytes, extra: Headers) -> bytes:
-        """Return the bytes of a whole response."""
+        """Encode a whole response."""
         return _serialize(
             conn,
             http_heads.response_event(status, len(payload), tuple(extra)),
@@ -250,8 +261,8 @@
             h11.EndOfMessage(),
         )
 
-    async def _refuse(self, conn: h11.Connection, client: Any, status: int) -> None:
-        """Answer a request that can't be served, if there is still a way to."""
+    async def _send_error(self, conn: h11.Connection, client: Any, status: int) -> None:
+        """Send an error response and close, if the connection still allows a response."""
         try:
             if conn.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 await client.sendall(self._response(conn, status, b"{}", [("Connection", "close")]))
@@ -260,12 +271,12 @@
 
 
 class Client:
-    """Requests to one address over a small pool of persistent connections.
+    """Sends requests to one address over a small pool of persistent connections.
 
     Args:
-        host: The address's host.
-        port: Its port.
-        keep: How many idle connections are kept at most.
+        host: The host of the address.
+        port: The port of the address.
+        keep: The most idle connections in the pool.
     """
 
     def __init__(self, host: str, port: int, keep: int) -> None:
@@ -276,18 +287,18 @@
     async def request(
         self, method: str, path: str, body: bytes | None, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Send a request and return its answer's status and body.
+        """Send a request and return the status and body of the response.
 
         Raises:
-            NotSentError: No connection came about in time.
-            NoAnswerError: There was no answer in time, or what came is none.
+            NotSentError: No connection could be opened in time.
+            NoAnswerError: No response arrived in time, or the received bytes are not one.
         """
         sent = False
         sock: Any = None
         try:
             async with curio.timeout_after(timeout_s):
-                # A pooled connection may have been closed by the other side; it
-                # is not tried twice, since the request may have been executed.
+                # The other side may have closed a pooled connection. The request is not sent
+                # again on another connection, because it may have been executed.
                 if self.idle:
                     sock = self.idle.pop()
                     sent = True
@@ -311,27 +322,28 @@
     async def _exchange(
         self, sock: Any, method: str, path: str, body: bytes | None
     ) -> tuple[int, bytes, bool]:
-        """Return the status, the body, and whether the connection may be used again."""
+        """Send a request; return the status, the body and whether the connection is reusable."""
         length = None if body is None else len(body)
         await sock.sendall(http_heads.request_head(method, path, self.name, length) + (body or b""))
         data = bytearray()
-        head = await _take_head(data, lambda: sock.recv(MAX_READ_BYTES))
-        answered = http_heads.parse_response_head(head) if head is not None else None
-        if answered is None:
+        head = await _read_head(data, lambda: sock.recv(MAX_READ_BYTES))
+        parsed = http_heads.parse_response_head(head) if head is not None else None
+        if parsed is None:
             return await self._read_with_h11(sock, method, path, body, (head or b"") + data)
-        while len(data) < answered.length:
+        while len(data) < parsed.length:
             more = await sock.recv(MAX_READ_BYTES)
             if not more:
                 raise EOFError("closed")
             data += more
-        return answered.status, bytes(data[: answered.length]), len(data) == answered.length
+        return parsed.status, bytes(data[: parsed.length]), len(data) == parsed.length
 
     async def _read_with_h11(
         self, sock: Any, method: str, path: str, body: bytes | None, data: bytes
     ) -> tuple[int, bytes, bool]:
-        """Read an answer with a head out of the ordinary, of which `data` has come.
+        """Read a response with an unusual head, beginning with the received `data`.
 
-        Returns the same as `_exchange`.
+        Returns:
+            The same as `_exchange`.
         """
         conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_READ_BYTES)
         _serialize(
@@ -358,6 +370,6 @@
                 raise EOFError("closed")
 
     async def close(self) -> None:
-        """Close the idle connections."""
+        """Close the idle connections of the pool."""
         while self.idle:
             await self.idle.pop().close()
--- a/clayport/transport/http_heads.py
+++ b/clayport/transport/http_heads.py
@@ -1,11 +1,11 @@
-"""Parsing and writing of HTTP message heads, cached. Pure: no I/O, no clock.
-
-Most requests and responses have a head that has been seen before: a worker's reports differ in
-their length at most, a user asks for the same job every few seconds, responses are alike. h11
-parses a head by regular expressions and keeps a state machine for each connection, which was a
-quarter of a controller's processor time at 640 workers. What it says of a head depends on
-nothing but its bytes, so it is cached. A head that changes how its message is framed, or what
-becomes of its connection, is left to h11.
+"""Cached parsing and encoding of HTTP message heads. Pure: no I/O, no clock.
+
+Most message heads repeat: a worker's reports differ in their length at most, a user polls the
+same job every few seconds, and most responses are alike. Without the cache, h11 (regular
+expressions and a state machine per connection) takes a quarter of a controller's CPU time at
+640 workers. The result of parsing a head depends only on its bytes, so it can be cached. Heads
+that affect the framing of their message or the state of their connection are not cached but
+handled by an h11 connection.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 
 import h11
 
-# Entries of each cache: more than a controller has workers and live jobs'
-# pollers, at a few hundred bytes each.
+# The size of each cache: more entries than a controller has workers and users that poll live
+# jobs, at a few hundred bytes each.
 MAX_CACHED_HEADS = 4096
-# Longer heads, in bytes, are not cached: a stranger's must not take the memory.
+# Longer heads (in bytes) are not cached, because any client could fill the memory with them.
 MAX_CACHED_BYTES = 1024
-# The longest head, in bytes, that is read at all.
+# The longest head, in bytes, that is accepted.
 MAX_HEAD_BYTES = 16 * 1024
-# Headers that change how a message is framed, or what becomes of its connection.
+# Headers that change the framing of a message or the state of its connection.
 FRAMING_HEADERS = {b"transfer-encoding", b"connection", b"expect", b"upgrade"}
 END_OF_HEAD = b"\r\n\r\n"
-# Those without which h11 takes no request.
+# The headers that h11 requires in a request.
 MINIMAL_HEADERS = [("Host", "clayport")]
 
 
 class RequestHead(NamedTuple):
-    """What a request's head says."""
+    """The parsed head of a request."""
 
     method: str
     path: str
-    length: int  # bytes of its body
+    length: int  # of the body, in bytes
 
 
 class ResponseHead(NamedTuple):
-    """What a response's head says."""
+    """The parsed head of a response."""
 
     status: int
-    length: int  # bytes of its body
+    length: int  # of the body, in bytes
 
 
 def take_head(data: bytearray) -> bytes | None:
-    """Take the head in front of `data` out of it; None while it isn't whole, or is too long."""
+    """Remove and return the head at the front of `data`; None if incomplete or too long."""
     end = data.find(END_OF_HEAD)
     if end < 0 or end > MAX_CACHED_BYTES:
         return None
@@ -55,9 +55,9 @@
 
 
 def needs_h11(data: bytearray) -> bool:
-    """Whether h11 has to look at what has come of a head that isn't whole.
+    """Return whether h11 has to handle an incomplete head.
 
-    It may be an error already, or have ended otherwise than most do.
+    The bytes may already be an error, or the head may end in an unusual way.
     """
     return (
         len(data) > MAX_CACHED_BYTES
@@ -68,9 +68,11 @@
 
 
 def _parse(conn: h11.Connection, head: bytes) -> tuple[Any, int | None]:
-    """Parse a head by h11; return its event, and the body's length in bytes if it is given.
+    """Parse a head with h11.
 
-    The event is None where h11 has to keep the connection.
+    Returns:
+        The h11 event and the content length in bytes (None if absent). Both are None if an h11
+        connection has to handle the message.
     """
     conn.receive_data(head)
     try:
@@ -91,7 +93,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def parse_request_head(head: bytes) -> RequestHead | None:
-    """Parse a request's head; None if its connection is to be left to h11."""
+    """Parse the head of a request; None if an h11 connection has to handle the message."""
     conn = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     event, length = _parse(conn, head)
     if event is None or event.method in (b"HEAD", b"CONNECT"):
@@ -101,7 +103,11 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def parse_response_head(head: bytes) -> ResponseHead | None:
-    """Parse the head of a response to anything but HEAD; None if it is to be left to h11."""
+    """Parse the head of a response to any method except HEAD.
+
+    Returns:
+        The parsed head; None if an h11 connection has to handle the message.
+    """
     conn = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
     conn.send(h11.Request(method="GET", target="/", headers=MINIMAL_HEADERS))
     conn.send(h11.EndOfMessage())
@@ -113,12 +119,12 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def response_head(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> bytes:
-    """Return the head of a response to a request that `parse_request_head` could read.
+    """Encode the head of a response to a request whose head `parse_request_head` could parse.
 
     Args:
-        status: The response's status.
-        length: Bytes of its body.
-        extra: Headers beside the content's type and length.
+        status: The HTTP status.
+        length: The length of the body in bytes.
+        extra: Headers besides the content type and length.
     """
     conn = h11.Connection(h11.SERVER)
     conn.receive_data(b"GET / HTTP/1.1\r\nHost: clayport\r\n\r\n")
@@ -129,7 +135,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def response_event(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> h11.Response:
-    """Return h11's event for the same response, where h11 keeps the connection."""
+    """Build the h11 event of such a response, for a connection that h11 handles."""
     return h11.Response(
         status_code=status,
         headers=[("Content-Type", "application/json"), ("Content-Length", str(length)), *extra],
@@ -138,12 +144,12 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def request_head(method: str, path: str, host: str, length: int | None) -> bytes:
-    """Return a request's head; `length` is the bytes of its body, None if it has none."""
+    """Encode the head of a request; `length` is that of its body in bytes, None without a body."""
     return h11.Connection(h11.CLIENT).send(request_event(method, path, host, length)) or b""
 
 
 def request_event(method: str, path: str, host: str, length: int | None) -> h11.Request:
-    """Return h11's event for the same request, where h11 keeps the connection."""
+    """Build the h11 event of such a request, for a connection that h11 handles."""
     headers = [("Host", host)]
     if length is not None:
         headers += [("Content-Length", str(length)), ("Content-Type", "application/json")]
--- a/clayport/transport/listen.py
+++ b/clayport/transport/listen.py
@@ -1,4 +1,4 @@
-"""Listening on an address that the process before may still hold."""
+"""Opens listening sockets on addresses that a previous process may still hold."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 log = logging.getLogger(__name__)
 
-# The first and the longest pause, in seconds, before an address in use is tried again: as long
-# as it takes to end a process, up to what a user would notice.
+# The first and the longest pause, in seconds, between attempts to bind an address in use: the
+# first is about the time a process takes to exit, the longest is one that users hardly notice.
 MIN_PAUSE_S, MAX_PAUSE_S = 0.02, 0.5
 
 
-async def listener(host: str, port: int, backlog: int) -> Any:
-    """Return a listening socket, once the address is free.
+async def open_listener(host: str, port: int, backlog: int) -> Any:
+    """Return a listening socket, waiting while the address is in use.
 
-    A process that is started again within a fraction of a second may find its address still
-    held by the one before, which is just ending. Giving up would end this one too.
+    A process that is restarted within a fraction of a second may find its address still held by
+    its predecessor, which is about to exit. An error would end the new process as well.
 
     Args:
-        host: The address's host.
-        port: Its port.
-        backlog: How many connections may wait to be accepted.
+        host: The host of the address.
+        port: The port of the address.
+        backlog: The most connections that may wait to be accepted.
 
     Raises:
-        OSError: Listening failed for any other reason than an address in use.
+        OSError: Listening failed for a reason other than an address in use.
     """
     pause_s, logged = MIN_PAUSE_S, False
     while True:
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -1,4 +1,4 @@
-"""Requests between controllers over one multiplexed connection per direction."""
+"""Requests between controllers, multiplexed over one connection per direction."""
 
 from __future__ import annotations
 
@@ -13,50 +13,50 @@
 
 from clayport.limits import Circuit, RetryBudget, RetryPolicy
 from clayport.transport import TransportError, frames
-from clayport.transport.listen import listener
+from clayport.transport.listen import open_listener
 
 log = logging.getLogger(__name__)
 
-# Retries that each first request to a peer earns, and how many all who ask it again may make
-# in the time that a request may take.
+# The retry budget of each peer: the retries that each first attempt earns, and the most retries
+# of all routines together within the timeout of a request.
 RETRIES_PER_REQUEST, MAX_RETRIES = 0.1, 100.0
-# What is read from a connection at once, in bytes.
+# The most bytes that one read from a connection returns.
 MAX_READ_BYTES = 65536
 MAX_REQUEST_NUMBER = 0xFFFFFFFF
-# A time on the monotonic clock before any other.
-NEVER_S = -1e9
+# A time on the monotonic clock that is before any event.
+DISTANT_PAST_S = -1e9
 
 Fields = frames.Fields
-# Answers a request, given its kind and fields, by the kind and fields of the reply.
+# Takes the kind and fields of a request; returns the kind and fields of the reply.
 Handler = Callable[[int, Fields], Awaitable[tuple[int, Fields]]]
 
 
 class PeerError(TransportError):
-    """No answer from the peer: the request may have been handled or not."""
+    """The peer sent no answer, so the request may or may not have been handled."""
 
 
 async def _read_exactly(sock: Any, size: int) -> bytes:
     """Read `size` bytes.
 
     Raises:
-        EOFError: The connection was closed before.
+        EOFError: The connection was closed before `size` bytes arrived.
     """
     parts = []
     while size:
         data = await sock.recv(min(size, MAX_READ_BYTES))
         if not data:
-            raise EOFError("closed")
+            raise EOFError("connection closed")
         parts.append(data)
         size -= len(data)
     return b"".join(parts)
 
 
 async def _read_frame(sock: Any) -> tuple[int, int, Fields]:
-    """Read a frame and return its kind, its request's number and its fields.
+    """Read a frame and return its kind, request number and fields.
 
     Raises:
         EOFError: The connection was closed.
-        frames.FrameError: What came is no frame.
+        frames.FrameError: The received bytes are not a valid frame.
     """
     kind, number, size = frames.decode_header(await _read_exactly(sock, frames.HEADER.size))
     body = await _read_exactly(sock, size) if size else b""
@@ -64,32 +64,32 @@
 
 
 class _PendingRequest:
-    """A request that waits for its answer, or for the end of its connection."""
+    """A request that waits for its answer or for the loss of its connection."""
 
     __slots__ = ("answer", "done")
 
     def __init__(self) -> None:
         self.done = curio.Event()
-        self.answer: Fields | None = None  # None once done: the connection was lost
+        self.answer: Fields | None = None  # still None when done if the connection was lost
 
 
 class Peer:
-    """The client of one other controller: sends requests and matches the answers to them.
+    """A client for one other controller, which sends requests and matches answers to them.
 
-    The connection is opened by the first request, and again by the first one after it was lost.
+    The first request opens the connection, and so does the first request after a loss.
 
     Args:
-        label: The other controller's label.
-        host: Its host for peers.
-        port: Its port for peers.
-        timeout_s: How long a request waits for its answer unless it says otherwise.
+        label: The label of the other controller.
+        host: The host on which the other controller listens for peers.
+        port: The port on which the other controller listens for peers.
+        timeout_s: The default timeout of a request.
         uniform: Draws the jitter of pauses between retries.
 
     Attributes:
-        heard: When it last answered or sent a heartbeat, on the monotonic clock.
-        state_ok: Whether the state service answers it, as it last said.
-        epoch: The epoch it acts in, as it last said.
-        room_rev: The revision of its table of free room, as it last said.
+        heard: When the peer last answered or sent a heartbeat, on the monotonic clock.
+        state_ok: Whether the state service answers the peer, by its latest heartbeat.
+        epoch: The epoch in which the peer acts, by its latest heartbeat.
+        room_rev: The revision of the peer's table of free room, by its latest heartbeat.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
         self.label, self.host, self.port, self.timeout_s = label, host, port, timeout_s
-        self.heard = NEVER_S
+        self.heard = DISTANT_PAST_S
         self.state_ok = False
         self.epoch = 0
         self.room_rev = 0
@@ -126,7 +126,7 @@
         """Send a request and return the fields of its answer.
 
         Raises:
-            PeerError: There is no answer in time, or the fields don't fit the kind's schema.
+            PeerError: No answer arrived in time, or the fields don't match the kind's schema.
         """
         request = _PendingRequest()
         self._last_number = number = (self._last_number + 1) & MAX_REQUEST_NUMBER
@@ -140,8 +140,8 @@
                     await self._sock.sendall(frame)
                 await request.done.wait()
         except (OSError, curio.TaskTimeout) as exc:
-            # A connection that swallows requests (held packets) is given up, so
-            # that the next request tries a fresh one.
+            # The connection may silently drop packets, so it is closed and the next request
+            # opens a new one.
             await self._disconnect()
             await self.circuit.record(False)
             raise PeerError(f"{self.label}: {type(exc).__name__} {exc}") from None
@@ -157,9 +157,10 @@
         try:
             return frames.encode(kind, number, values)
         except frames.FrameError as exc:
-            # Our own mistake, not the peer's. Taken for silence, one once kept GPU
-            # machines of other owners from ever being cleared.
-            log.error("request kind=%d can't be packed: %s", kind, exc)
+            # This is a fault of this controller, not of the peer. If it were mistaken for an
+            # unreachable peer, it could go unnoticed and, for example, keep GPU machines of
+            # other owners from ever being cleared.
+            log.error("cannot encode request kind=%d: %s", kind, exc)
             raise PeerError(f"{self.label}: {exc}") from None
 
     async def _connect(self) -> None:
@@ -174,7 +175,7 @@
         self._reader = await curio.spawn(self._read_answers, sock, daemon=True)
 
     async def _read_answers(self, sock: Any) -> None:
-        """Hand answers to their requests until the connection ends."""
+        """Pass answers to the pending requests until the connection ends."""
         try:
             while True:
                 _, number, values = await _read_frame(sock)
@@ -192,7 +193,7 @@
             await sock.close()
 
     async def _disconnect(self) -> None:
-        """Give the connection up; requests that wait for an answer on it have failed."""
+        """Close the connection and fail the requests that wait for answers on it."""
         sock, reader = self._sock, self._reader
         self._sock = self._reader = None
         if reader is not None and sock is not None:
@@ -205,30 +206,30 @@
 
 
 class Server:
-    """Answers peers' requests, each in a routine of its own.
+    """Answers requests of peers, each in its own routine.
 
     Args:
         handler: Answers a request.
-        limit: The most connections: a peer that reconnects without end must not take the
-            sockets kept for workers.
-        idle_s: How long a connection may bring no whole frame before it is closed.
+        limit: The most open connections. The limit keeps a peer that reconnects in a loop from
+            exhausting the sockets that workers need.
+        idle_s: How long a connection may deliver no whole frame before it is closed.
     """
 
     def __init__(self, handler: Handler, limit: int, idle_s: float) -> None:
         self.handler, self.limit, self.idle_s = handler, limit, idle_s
-        # When each last brought a whole frame, or was accepted; the oldest first.
+        # When each connection last delivered a whole frame or was accepted, the oldest first.
         self.connections: dict[curio.Task, float] = {}
 
     async def serve(self, host: str, port: int) -> None:
-        """Listen on an address and serve whoever connects, without end."""
-        listening = await listener(host, port, self.limit)
+        """Listen on an address and serve connections until cancelled."""
+        server_sock = await open_listener(host, port, self.limit)
         await curio.spawn(self._close_idle, daemon=True)
-        async with listening:
+        async with server_sock:
             while True:
                 try:
-                    sock, _ = await listening.accept()
+                    sock, _ = await server_sock.accept()
                 except OSError as exc:
-                    log.info("accept from a peer failed: %s", exc)
+                    log.info("cannot accept a connection from a peer: %s", exc)
                     await curio.sleep(self.idle_s / 100)
                     continue
                 if len(self.connections) >= self.limit:
@@ -243,8 +244,11 @@
         await oldest.cancel(blocking=False)
 
     async def _close_idle(self) -> None:
-        """Close connections that bring nothing: one duty for all of them. (A timer for each
-        frame cost an eighth of an exchange.)"""
+        """Periodically close all connections that have delivered no frame for too long.
+
+        One routine checks all connections, because a timer per frame costs an eighth of the
+        time of an exchange.
+        """
         while True:
             await curio.sleep(self.idle_s / 4)
             now = time.monotonic()
@@ -253,21 +257,21 @@
                 await task.cancel(blocking=False)
 
     async def _serve_connection(self, sock: Any) -> None:
-        me = await curio.current_task()
+        task = await curio.current_task()
         lock = curio.Lock()  # held while an answer is sent
         try:
             async with sock:
                 while True:
                     kind, number, values = await _read_frame(sock)
-                    if me in self.connections:
-                        self.connections[me] = time.monotonic()
+                    if task in self.connections:
+                        self.connections[task] = time.monotonic()
                     await curio.spawn(self._answer, sock, lock, kind, number, values, daemon=True)
         except (EOFError, OSError):
             pass
         except frames.FrameError as exc:
-            log.error("malformed frame from a peer dropped: %s", exc)
+            log.error("closing a connection after a malformed frame from a peer: %s", exc)
         finally:
-            self.connections.pop(me, None)
+            self.connections.pop(task, None)
 
     async def _answer(
         self, sock: Any, lock: curio.Lock, kind: int, number: int, values: Fields
@@ -278,11 +282,11 @@
             async with lock:
                 await sock.sendall(frame)
         except (OSError, frames.FrameError) as exc:
-            log.debug("answer to a peer lost: %s", exc)
+            log.debug("cannot send an answer to a peer: %s", exc)
         except Exception:
-            log.exception("request kind=%d from a peer failed", kind)
+            log.exception("unexpected error while answering a peer's request kind=%d", kind)
 
 
 async def serve(host: str, port: int, handler: Handler, limit: int, idle_s: float) -> None:
-    """Answer peers' requests on an address; see `Server` for the arguments."""
+    """Answer requests of peers on an address until cancelled; see `Server` for the arguments."""
     await Server(handler, limit, idle_s).serve(host, port)
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -1,4 +1,4 @@
-"""What users ask: submissions, polls, cancellations and the health check."""
+"""The HTTP API for users: submissions, polls, cancellations and the health check."""
 
 from __future__ import annotations
 
@@ -44,22 +44,23 @@
 log = logging.getLogger(__name__)
 
 Headers = list[tuple[str, str]]
-# How long the protocol has users wait for the answer to a submission and to a poll, in seconds.
-SUBMIT_S = 5.0
-POLL_S = 2.0
-# The longest pause that a refusal asks for, in seconds.
-RETRY_MOST_S = 30.0
-# The share of a user's wait in which an answer is to be ready, the way there and back aside.
-IN_TIME = 0.7
-# Turns of the processor that an answer waits for: to be read, and to be written once the state
-# service has answered.
-TURNS = 2
-# What a final record takes besides the description that it carries on.
-END_BYTES = 64
+# How long users wait for the answer to a submission and to a poll by the protocol, in seconds.
+SUBMIT_TIMEOUT_S = 5.0
+POLL_TIMEOUT_S = 2.0
+# The largest Retry-After value of a refusal, in seconds.
+MAX_RETRY_AFTER_S = 30.0
+# The share of the user's timeout within which an answer must be ready. The rest is left for the
+# network.
+RESPONSE_TIME_SHARE = 0.7
+# How often a submission waits for this process to get CPU time: to be read, and to be answered
+# after the state service has responded.
+CPU_WAITS = 2
+# The size of a final record in bytes, not counting the job description in it.
+END_OVERHEAD_BYTES = 64
 
 
 class Response(NamedTuple):
-    """What a request is answered: an HTTP status, and the body to be encoded as JSON."""
+    """A response: the HTTP status and the body to be encoded as JSON."""
 
     status: int
     body: dict[str, Any]
@@ -71,7 +72,7 @@
 
 
 class UserApi:
-    """Requests on the address that users, workers and health checks share."""
+    """Handles HTTP requests of users, workers and health checks, which share one address."""
 
     def __init__(
         self,
@@ -108,11 +109,13 @@
         self.stalls = stalls
         self.store = store
         self.upgrade = upgrade
-        # What can't be written while its user waits is refused before anything is asked.
-        self.admission = AdmissionControl(IN_TIME * SUBMIT_S, RETRY_MOST_S)
-        # With less processor time than all ask for, submissions are refused while polls, reports
-        # and cancellations can still be answered in time.
-        self.processor_admission = AdmissionControl(IN_TIME * POLL_S, RETRY_MOST_S)
+        # Refuses submissions that the state service can't commit before their users time out.
+        self.admission = AdmissionControl(RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S, MAX_RETRY_AFTER_S)
+        # Refuses submissions when CPU time is short, so that polls, reports and cancellations are
+        # still answered in time.
+        self.processor_admission = AdmissionControl(
+            RESPONSE_TIME_SHARE * POLL_TIMEOUT_S, MAX_RETRY_AFTER_S
+        )
         self.status = JobStatus(
             dispatcher=dispatcher,
             jobs=jobs,
@@ -123,38 +126,38 @@
             disclosure=disclosure,
             lifecycle=lifecycle,
             store=store,
-            counts_timeout_s=POLL_S / 4,
+            counts_timeout_s=POLL_TIMEOUT_S / 4,
         )
         self.prerequisites = PrerequisiteCheck(jobs=jobs, store=store, upgrade=upgrade)
 
     async def handle(self, method: str, path: str, body: bytes) -> tuple[int, bytes, Headers]:
-        """Answer one request by a status, a JSON body and further headers.
+        """Handle one request; return the status, the JSON body and extra headers.
 
-        What the request has signalled or started is carried out before.
+        Signals and routines that the request recorded are flushed before the return.
         """
-        after_s = 1
+        retry_after_s = 1
         try:
             status, value = await self._route(method, path.partition("?")[0], body)
         except UnavailableError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": str(exc)}
-            after_s = max(1, math.ceil(min(exc.after_s, RETRY_MOST_S)))
+            retry_after_s = max(1, math.ceil(min(exc.after_s, MAX_RETRY_AFTER_S)))
         except OutcomeUnknownError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": "state service unavailable"}
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
-            # A malformed value or answer costs this request, not the process.
+            # A malformed record or answer must fail only this request, not the process.
             log.error("path=%s event=malformed cause=%r", path, exc)
             status, value = 503, {"error": "malformed data"}
         await self.routines.flush()
         headers: Headers = []
         if status == 503 and path.startswith("/api/"):
-            headers.append(("Retry-After", str(after_s)))
+            headers.append(("Retry-After", str(retry_after_s)))
         return status, msgspec.json.encode(value), headers
 
-    # A worker's report is answered by the plain pair that `Fleet.report` returns.
+    # Returns a tuple, because `Fleet.report` answers a worker's report with a plain pair.
     async def _route(self, method: str, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Have the request answered by what stands for its path and method."""
+        """Dispatch the request by path and method."""
         if path == "/v1/report":
             return await self.fleet.report(body) if method == "POST" else METHOD_NOT_ALLOWED
         if path == "/up":
@@ -178,27 +181,27 @@
         """Answer a poll of a job's state."""
         if not valid_id(job):
             return NO_SUCH_JOB
-        deadline = Deadline.within(time.monotonic(), IN_TIME * POLL_S)
+        deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * POLL_TIMEOUT_S)
         status = await self.status.find(job, deadline)
         if status is None:
             return NO_SUCH_JOB
         return Response(200, await self.status.describe(job, status, deadline))
 
     async def _submit(self, body: bytes) -> Response:
-        """Answer a submission; a repeated one gets the state of the job accepted before."""
+        """Answer a submission; a repeated one returns the state of the accepted job."""
         try:
             job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return Response(400, {"error": str(exc)})
         if not self.stalls.check(time.monotonic()):
-            # It may have waited since before we stood still, and its user have left.
+            # The process has stalled, so the request may be so old that its user has left.
             raise UnavailableError("just awake")
-        deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
+        deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
         if not all(valid_id(name) for name in (job.id, *(job.prereqs or ()))):
             return await self._refuse(job, 400, "not in the form of a job's id", deadline)
         submitted = time.time()
         value = live_value(job, submitted)
-        if self._exceeds_record(value):
+        if self._exceeds_value_limit(value):
             return await self._refuse(job, 400, "description too large", deadline)
         if not self.catalogue.types and job.id not in self.jobs.ended:
             return Response(503, {"error": "machine types not known yet"})
@@ -209,11 +212,11 @@
             return repeated
         self._admit(URGENT_PRIORITY_S)
         if job.prereqs:
-            fault = await self.prerequisites.find_fault(job.prereqs, deadline)
-            if fault:
-                return await self._refuse(job, 422, fault, deadline)
+            cause = await self.prerequisites.find_fault(job.prereqs, deadline)
+            if cause:
+                return await self._refuse(job, 422, cause, deadline)
             if not self.upgrade.complete:
-                # The version in production would start it at once.
+                # A controller of the previous version would start the job at once.
                 raise UnavailableError("not all controllers can take prereqs yet")
         rev = await self._commit_live(job.id, value, deadline)
         if rev is None:
@@ -223,13 +226,13 @@
             return Response(200, await self.status.describe(job.id, known, deadline))
         return await self._accept(job, rev, submitted, deadline)
 
-    def _exceeds_record(self, value: dict[str, Any]) -> bool:
-        """Whether the job's record, or the final one after it, would be too large."""
-        limit = self.settings.cluster.state.least().value_kb * 1024 - END_BYTES
+    def _exceeds_value_limit(self, value: dict[str, Any]) -> bool:
+        """Return whether the live or final record of the job would exceed the value size limit."""
+        limit = self.settings.cluster.state.least().value_kb * 1024 - END_OVERHEAD_BYTES
         return len(msgspec.json.encode(value)) > limit
 
     def _can_ever_run(self, job: Job) -> bool:
-        """Whether the job fits on a machine type and into its team's limit."""
+        """Return whether the job fits on some machine type and within the limit of its team."""
         limit = self.quotas.limits.get(job.team)
         return (
             limit is not None
@@ -238,7 +241,7 @@
         )
 
     async def _answer_repeated(self, job: str, deadline: Deadline) -> Response | None:
-        """Answer the submission of a job that is known here; None if it isn't."""
+        """Answer the submission of a job that this controller knows; None if unknown."""
         if job in self.jobs.ended:
             return Response(200, await self.status.describe(job, self.jobs.ended[job], deadline))
         if job in self.jobs.live:
@@ -251,11 +254,11 @@
         """Write the live record of a new job.
 
         Returns:
-            Its revision; None if the job has a record already.
+            The revision of the record; None if the job already has a record.
 
         Raises:
-            UnavailableError: The state service can't be asked in time.
-            OutcomeUnknownError: It may have been written.
+            UnavailableError: The state service can't be reached in time.
+            OutcomeUnknownError: The record may have been written.
         """
         txn = Txn().require(live_key(job), 0).require(end_key(job), 0)
         txn.put(live_key(job), value)
@@ -266,19 +269,19 @@
             except ConflictError:
                 return None
             except OutcomeUnknownError:
-                # It may have been applied: the same transaction again either
-                # succeeds or shows the job.
+                # The transaction may have been applied. Sending it again is safe: it either
+                # succeeds or conflicts with the record of the job.
                 if not await self.store.back_off(attempt):
                     raise
 
     async def _accept(self, job: Job, rev: int, submitted: float, deadline: Deadline) -> Response:
-        """Take in a job whose live record has been written, and answer its user.
+        """Register a job whose live record has been written, and answer its user.
 
         Args:
-            job: The job.
-            rev: The revision of its live record.
-            submitted: When it was submitted, in seconds of the wall clock.
-            deadline: When its user stops waiting.
+            job: The accepted job.
+            rev: The revision of the live record.
+            submitted: The time of submission, in seconds on the wall clock.
+            deadline: When the user stops waiting.
         """
         log.info(
             "job=%s event=accepted class=%s kind=%s tasks=%d",
@@ -293,9 +296,9 @@
         return Response(201, {"id": job.id, "status": "queued"})
 
     async def _refuse(self, job: Job, status: int, cause: str, deadline: Deadline) -> Response:
-        """Answer a submission that isn't accepted.
+        """Refuse a submission, unless the job was accepted earlier.
 
-        A job that was accepted before never is refused, whatever has changed since.
+        A job that was accepted is never refused later, whatever has changed since.
         """
         known = await self.status.find(job.id, deadline)
         if known is None:
@@ -306,25 +309,26 @@
         """Admit a submission.
 
         Raises:
-            UnavailableError: What waits for the state service, or for the processor, can't be
-                worked off in time; it says when to come back.
+            UnavailableError: The backlog for the state service or the CPU is too long to answer
+                in time; the error says when to retry.
         """
-        after_s = max(
+        retry_after_s = max(
             self.admission.retry_after_s(self.store.backlog(priority_s)),
-            self.processor_admission.retry_after_s(TURNS * self.stalls.timer_delay_s),
+            self.processor_admission.retry_after_s(CPU_WAITS * self.stalls.timer_delay_s),
         )
-        if after_s:
-            raise UnavailableError("too much is waiting", after_s)
+        if retry_after_s:
+            raise UnavailableError("too much is waiting", retry_after_s)
 
     async def _cancel(self, job: str) -> Response:
         """Answer a cancellation.
 
         Raises:
-            UnavailableError: It could not be settled, or told, in time.
+            UnavailableError: The cancellation was not committed in time, or the user may not be
+                told yet.
         """
         if not valid_id(job):
             return NO_SUCH_JOB
-        deadline = Deadline.within(time.monotonic(), IN_TIME * SUBMIT_S)
+        deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
         attempt = self.store.begin(deadline)
         while deadline.allows(time.monotonic()):
             if job in self.jobs.ended:
@@ -350,12 +354,12 @@
         raise UnavailableError("not settled in time")
 
     async def _commit_cancellation(self, job: str, live: Entry, deadline: Deadline) -> None:
-        """Replace the live record `live` by the final one of a cancelled job.
+        """Replace the live record `live` by the final record of a cancelled job.
 
         Raises:
-            ConflictError: The live record has changed or gone.
-            OutcomeUnknownError: It may have been replaced.
-            UnavailableError: The state service can't be asked in time.
+            ConflictError: The live record has changed or no longer exists.
+            OutcomeUnknownError: The record may have been replaced.
+            UnavailableError: The state service can't be reached in time.
         """
         txn = Txn().require(live_key(job), live.rev).delete(live_key(job))
         cancelled_at = time.time()
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start a controller with what the deploy file's build put under target/."""
+"""Starts a controller from the files that the build step of the deploy file puts in target/."""
 
 import gc
 import os
@@ -8,12 +8,14 @@
 PYCACHE = os.path.join(HERE, "target", "pycache")
 sys.path.insert(0, os.path.join(HERE, "target", "deps"))
 
-# A controller that comes back must answer its workers before their leases end. What is
-# imported stays, so nothing is collected meanwhile, nor looked through by collections later.
+# A restarted controller must answer its workers before their leases expire. Imported objects
+# live as long as the process, so garbage collection is off during the imports, and `gc.freeze`
+# below excludes these objects from later collections.
 gc.disable()
 
-# The build compiles our modules ahead into target/; libraries have their compiled files beside
-# them, so all that our modules import is imported without the prefix, and before them.
+# The build step compiles the modules of clayport ahead of time into target/pycache. The compiled
+# files of libraries lie beside their sources, so all libraries are imported first and without
+# the prefix: with the prefix they would be compiled again at each start.
 import __future__  # noqa: E402, F401
 
 import argparse  # noqa: E402, F401
@@ -27,10 +29,10 @@
 import urllib.parse  # noqa: E402, F401
 
 sys.pycache_prefix = PYCACHE
-from clayport.imports import reduced  # noqa: E402
+from clayport.imports import stub_unused_modules  # noqa: E402
 
 sys.pycache_prefix = None
-with reduced():
+with stub_unused_modules():
     import hashlib  # noqa: F401
 
     import curio  # noqa: F401
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -11,11 +11,11 @@
 ROOT = Path(__file__).parent.parent
 REDUCED = """
 import sys
-from clayport.imports import ABSENT, EMPTY, reduced
-with reduced():
+from clayport.imports import BLOCKED_MODULES, STUB_MODULES, stub_unused_modules
+with stub_unused_modules():
     import curio, hashlib, h11, msgspec
     import clayport.controller
-left_out = (*ABSENT, *EMPTY)
+left_out = (*BLOCKED_MODULES, *STUB_MODULES)
 """
 EXCHANGE = """
 from clayport.transport.http import Client, Server
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize(
     "code, printed",
     [
-        # Fails without `reduced`: curio imports them all.
+        # Fails without `stub_unused_modules`: curio imports them all.
         ("print([n for n in left_out if n in sys.modules])", "[]"),
         ("import ssl, asyncio, multiprocessing; print(ssl.SSLContext, asyncio.run)", "class"),
         ("import multiprocessing; print(multiprocessing.Process)", "class"),
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -156,13 +156,13 @@
 @LOOPBACK
 def test_an_address_that_is_still_held_is_waited_for() -> None:
     """It ended at once, and its users saw one end more."""
-    from clayport.transport.listen import listener
+    from clayport.transport.listen import open_listener
 
     async def main() -> tuple[bool, bool]:
         held = socket.socket()
         held.bind(("127.0.0.1", 0))
         held.listen()
-        task = await curio.spawn(listener, "127.0.0.1", held.getsockname()[1], 8)
+        task = await curio.spawn(open_listener, "127.0.0.1", held.getsockname()[1], 8)
         for _ in range(3):
             await curio.sleep(0)
         waited = not task.terminated
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -68,7 +68,7 @@
     idle_s, seen_s = 10.0, 49.0
     sock = Connection(comes)
 
-    async def listener(*_: Any) -> Listening:
+    async def open_listener(*_: Any) -> Listening:
         return Listening([sock])
 
     async def handler(kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
@@ -81,7 +81,7 @@
         await serving.cancel()
 
     found: list[tuple[int, float]] = []
-    monkeypatch.setattr(peers, "listener", listener)
+    monkeypatch.setattr(peers, "open_listener", open_listener)
     simulate(monkeypatch, main)
     (answered, closed_at) = found[0]
     assert answered == answers
@@ -139,7 +139,7 @@
     async def asking(peer: peers.Peer) -> Any:
         with pytest.raises(peers.PeerError, match="c1: TaskTimeout"):
             await peer.call(frames.COUNTS, COUNTS)
-        assert peer.heard == peers.NEVER_S
+        assert peer.heard == peers.DISTANT_PAST_S
         answer = await peer.call(frames.COUNTS, COUNTS)
         assert peer.heard > 0
         return answer
