--- a/tests/code_names.py
+++ b/tests/code_names.py
@@ -1,4 +1,4 @@
-"""Names of the code as the pages write them: dotted paths below `clayport`."""
+"""Resolves code names as the documentation writes them: dotted paths below `clayport`."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def resolve(name: str) -> Any:
-    """Return the module, or what stands in it; a field of a structure counts by its annotation.
+    """Return the module or object with the name; for a field of a class, return its annotation.
 
     Raises:
-        ModuleNotFoundError, AttributeError: There is no such name.
+        ModuleNotFoundError, AttributeError: The name does not exist.
     """
     parts = name.split(".")
     found: Any = importlib.import_module(f"clayport.{parts[0]}")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the failure of tests that are known to be red, and of nothing else."""
+"""Tolerates failures of the tests that are listed in KNOWN-RED.txt, and no other failures."""
 
 from __future__ import annotations
 
@@ -10,76 +10,79 @@
 
 from tests import known_red
 
-FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+LIST_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-class Ledger:
-    """What is listed and how it went."""
+class KnownFailures:
+    """The listed tests, their outcomes and the problems of the list."""
 
     def __init__(self) -> None:
-        self.listed, self.wrong = known_red.read(FILE.read_text()) if FILE.exists() else ({}, [])
+        self.listed, self.problems = (
+            known_red.parse(LIST_FILE.read_text()) if LIST_FILE.exists() else ({}, [])
+        )
         self.outcomes: dict[str, str] = {}
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    config.stash[KEY] = Ledger()
-    config.pluginmanager.register(Reports(config.stash[KEY]))
+    config.stash[STASH_KEY] = KnownFailures()
+    config.pluginmanager.register(OutcomeCollector(config.stash[STASH_KEY]))
 
 
-KEY = pytest.StashKey[Ledger]()
+STASH_KEY = pytest.StashKey[KnownFailures]()
 
 
 @pytest.hookimpl(hookwrapper=True)
 def pytest_runtest_makereport(item: pytest.Item, call: Any) -> Generator[None, Any, None]:
     outcome = yield
-    report, ledger = outcome.get_result(), item.config.stash[KEY]
-    if item.nodeid not in ledger.listed:
+    report, failures = outcome.get_result(), item.config.stash[STASH_KEY]
+    if item.nodeid not in failures.listed:
         return
-    # A set-up or a tear-down that fails isn't the fault that is known.
+    # A failure in setup or teardown is not the known failure.
     if report.when == "call":
         report.known_red_outcome = report.outcome
         if report.failed:
             report.outcome = "skipped"
-            report.wasxfail = ledger.listed[item.nodeid].cause
+            report.wasxfail = failures.listed[item.nodeid].cause
 
 
-class Reports:
-    """Collects the outcomes of listed tests where all reports arrive.
+class OutcomeCollector:
+    """Collects the outcomes of listed tests in the process that receives all reports.
 
-    With pytest-xdist that is the controlling process, not the worker that ran the test.
+    With pytest-xdist, that is the controller process, not the worker that runs the test.
     """
 
-    def __init__(self, ledger: Ledger) -> None:
-        self.ledger = ledger
+    def __init__(self, failures: KnownFailures) -> None:
+        self.failures = failures
 
     def pytest_runtest_logreport(self, report: Any) -> None:
-        """Note what a listed test came to."""
+        """Record the outcome of a listed test."""
         outcome = getattr(report, "known_red_outcome", None)
         if outcome is not None:
-            self.ledger.outcomes[report.nodeid] = outcome
+            self.failures.outcomes[report.nodeid] = outcome
 
 
 def pytest_sessionfinish(session: pytest.Session, exitstatus: int) -> None:
     if hasattr(session.config, "workerinput"):
-        return  # a worker of pytest-xdist has seen only its own part
-    ledger = session.config.stash[KEY]
-    whole = (
+        return  # a pytest-xdist worker sees only some of the tests
+    failures = session.config.stash[STASH_KEY]
+    complete = (
         not session.config.option.collectonly
         and session.config.args == session.config.getini("testpaths")
         and not session.config.option.keyword
         and not session.config.option.deselect
         and not session.shouldstop
     )
-    ledger.wrong += known_red.judge(ledger.listed, ledger.outcomes, whole)
-    if ledger.wrong and session.exitstatus == 0:
+    failures.problems += known_red.check_outcomes(failures.listed, failures.outcomes, complete)
+    if failures.problems and session.exitstatus == 0:
         session.exitstatus = 1
 
 
 def pytest_terminal_summary(terminalreporter: Any, config: pytest.Config) -> None:
-    ledger = config.stash[KEY]
-    for test, red in ledger.listed.items():
+    failures = config.stash[STASH_KEY]
+    for test, failure in failures.listed.items():
         terminalreporter.write_line(
-            f"known red: {test}: {ledger.outcomes.get(test, 'not run')}; {red.cause} ({red.issue})"
+            f"known red: {test}: {failures.outcomes.get(test, 'not run')}; "
+            f"{failure.cause} ({failure.issue})"
         )
-    for line in ledger.wrong:
+    for line in failures.problems:
         terminalreporter.write_line(f"KNOWN-RED.txt: {line}")
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary names each concept once, and code that is there."""
+"""The glossary defines each term once and names only existing code."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
     for line in PAGE.read_text().splitlines()
     if line.startswith("| ") and not line.startswith(("| term", "| ---"))
 ]
-NAMED = sorted({name for row in ROWS for name in re.findall(r"`([\w.]+)`", row[2])})
+CODE_NAMES = sorted({name for row in ROWS for name in re.findall(r"`([\w.]+)`", row[2])})
 
 
-def test_each_concept_stands_once() -> None:
+def test_each_term_is_defined_once() -> None:
     terms = [row[0] for row in ROWS]
     assert len(terms) > 50 and len(set(terms)) == len(terms)
     assert all(len(row) == 4 and row[1].endswith(".") and row[2] for row in ROWS)
 
 
-@pytest.mark.parametrize("name", NAMED)
-def test_the_code_named_is_there(name: str) -> None:
-    # Fails for the old name of whatever is renamed and not corrected in the page.
+@pytest.mark.parametrize("name", CODE_NAMES)
+def test_each_code_name_exists(name: str) -> None:
+    # Fails if code is renamed and the page still has the old name.
     assert resolve(name) is not None
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What a controller's imports leave out, and that all it uses of the libraries works without."""
+"""The imports block or stub some modules, and everything that a controller uses works without."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-REDUCED = """
+IMPORTS = """
 import sys
 from clayport.imports import BLOCKED_MODULES, STUB_MODULES, stub_unused_modules
 with stub_unused_modules():
     import curio, hashlib, h11, msgspec
     import clayport.controller
-left_out = (*BLOCKED_MODULES, *STUB_MODULES)
+replaced = (*BLOCKED_MODULES, *STUB_MODULES)
 """
-EXCHANGE = """
+HTTP_EXCHANGE = """
 from clayport.transport.http import Client, Server
 
 async def handler(method, path, body):
@@ -27,20 +27,20 @@
     probe = curio.tcp_server_socket("127.0.0.1", 0)
     port = probe.getsockname()[1]
     await probe.close()
-    serving = await curio.spawn(Server(handler, 4, 9.0, 9.0, "/v1/report").serve, "127.0.0.1", port)
+    server = await curio.spawn(Server(handler, 4, 9.0, 9.0, "/v1/report").serve, "127.0.0.1", port)
     await curio.sleep(0.05)
     print(await Client("127.0.0.1", port, 1).request("POST", "/", b"{}", 5.0))
-    await serving.cancel()
+    await server.cancel()
 
 curio.run(main)
 """
 
 
 @pytest.mark.parametrize(
-    "code, printed",
+    "code, expected",
     [
-        # Fails without `stub_unused_modules`: curio imports them all.
-        ("print([n for n in left_out if n in sys.modules])", "[]"),
+        # Without `stub_unused_modules`, curio imports all of them.
+        ("print([n for n in replaced if n in sys.modules])", "[]"),
         ("import ssl, asyncio, multiprocessing; print(ssl.SSLContext, asyncio.run)", "class"),
         ("import multiprocessing; print(multiprocessing.Process)", "class"),
         (
@@ -48,30 +48,31 @@
             "c0",
         ),
         ("print(curio.run(curio.run_in_thread, int, '7'))", "7"),
-        (EXCHANGE, "(200, b'{}')"),
+        (HTTP_EXCHANGE, "(200, b'{}')"),
     ],
 )
-def test_what_is_left_out_is_not_missed(code: str, printed: str) -> None:
-    found = subprocess.run(
-        [sys.executable, "-c", REDUCED + code],
+def test_replaced_modules_are_not_missed(code: str, expected: str) -> None:
+    result = subprocess.run(
+        [sys.executable, "-c", IMPORTS + code],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
         timeout=60,
     )
-    assert found.returncode == 0, found.stderr
-    assert printed in found.stdout
+    assert result.returncode == 0, result.stderr
+    assert expected in result.stdout
 
 
-def test_only_our_own_modules_are_looked_for_under_the_prefix() -> None:
-    """Those of the libraries aren't there: they would be compiled again at each start.
-    (Fails without the early imports of `run.py`.)"""
+def test_only_clayport_modules_use_the_pycache_prefix() -> None:
+    """The compiled files of libraries are not under the prefix, so a library that is imported with
+    the prefix is compiled again at each start. The early imports of `run.py` prevent that.
+    """
     code = (
         "import sys, run; print([m for m in sys.modules.values() if not m.__name__.startswith("
         "'clayport') and (getattr(m, '__cached__', None) or '').startswith(run.PYCACHE)])"
     )
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-B", "-c", code], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    assert found.stdout.strip() == "[]", found.stderr
+    assert result.stdout.strip() == "[]", result.stderr
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,5 +1,5 @@
-"""CI passes over what is listed in KNOWN-RED.txt, and over nothing else; and `bench.served`
-fails a day on which a class's largest jobs were not served."""
+"""Test runs tolerate failures that are listed in KNOWN-RED.txt and no others, and `bench.served`
+fails a day on which the largest jobs of a class were not served."""
 
 from __future__ import annotations
 
@@ -13,25 +13,29 @@
 from bench import served
 
 pytest_plugins = ["pytester"]
-TESTS = """
+TEST_FILE = """
 def test_red():
     assert 1 == 2
 def test_green():
     pass
 """
-RED = "tests/test_some.py::test_red | two is not one | 7\n"
-GREEN = "tests/test_some.py::test_green | none | 7\n"
+RED_LINE = "tests/test_some.py::test_red | two is not one | 7\n"
+GREEN_LINE = "tests/test_some.py::test_green | none | 7\n"
 
 
 ROWS = [
-    (RED, 0, "known red: tests/test_some.py::test_red: failed; two is not one (7)"),
+    (RED_LINE, 0, "known red: tests/test_some.py::test_red: failed; two is not one (7)"),
     ("", 1, "1 failed"),
-    (RED + GREEN, 1, "test_green: passed; its line is to be removed"),
-    (RED + "tests/test_some.py::test_none | gone | 7\n", 1, "test_none: there is no such test"),
-    (RED + "tests/test_some.py::test_other\n", 1, "line 2: not 'test | cause | issue'"),
-    (RED + RED, 1, "listed twice"),
+    (RED_LINE + GREEN_LINE, 1, "test_green: passed; its line is to be removed"),
     (
-        RED + "".join(f"tests/a.py::test_{n} | gone | 7\n" for n in range(3)),
+        RED_LINE + "tests/test_some.py::test_none | gone | 7\n",
+        1,
+        "test_none: there is no such test",
+    ),
+    (RED_LINE + "tests/test_some.py::test_other\n", 1, "line 2: not 'test | cause | issue'"),
+    (RED_LINE + RED_LINE, 1, "listed twice"),
+    (
+        RED_LINE + "".join(f"tests/a.py::test_{n} | gone | 7\n" for n in range(3)),
         1,
         "4 tests are listed, 3 at most",
     ),
@@ -39,27 +43,27 @@
 
 
 @pytest.mark.parametrize(
-    "processes, listed, code, said",
-    # With several processes a worker of pytest-xdist runs the test, and another process judges.
+    "processes, listed, exit_status, expected",
+    # With pytest-xdist, one process runs the test and another one checks the outcomes.
     [(0, *row) for row in ROWS] + [(2, *row) for row in ROWS[:4]],
 )
-def test_ci_passes_over_what_is_listed(
-    pytester: pytest.Pytester, processes: int, listed: str, code: int, said: str
+def test_only_listed_failures_are_tolerated(
+    pytester: pytest.Pytester, processes: int, listed: str, exit_status: int, expected: str
 ) -> None:
-    here = Path(__file__).parent
+    tests_dir = Path(__file__).parent
     tests = pytester.mkdir("tests")
     for name in ("conftest.py", "known_red.py"):
-        (tests / name).write_text((here / name).read_text())
+        (tests / name).write_text((tests_dir / name).read_text())
     (tests / "__init__.py").touch()
-    (tests / "test_some.py").write_text(TESTS)
+    (tests / "test_some.py").write_text(TEST_FILE)
     (pytester.path / "KNOWN-RED.txt").write_text(listed)
     pytester.makeini("[pytest]\ntestpaths = tests")
     result = pytester.runpytest_subprocess("-n", str(processes))
-    assert result.ret == code
-    assert said in result.stdout.str()
+    assert result.ret == exit_status
+    assert expected in result.stdout.str()
 
 
-def report(largest: int) -> dict[str, Any]:
+def bench_report(largest: int) -> dict[str, Any]:
     return {
         "scenario": "day",
         "classes": {"a": {"accepted": 8, "started": 8, "done": 8}},
@@ -76,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    "largest, log, code, said",
+    "largest, log, exit_status, expected",
     [
         (4, "", 0, "a largest started 1.000 of 4"),
         (2, "", 0, "a largest started 0.500 of 4"),
@@ -92,21 +96,21 @@
     ],
     ids=["all", "half", "a quarter", "late", "late as well", "in time"],
 )
-def test_a_day_fails_whose_largest_jobs_were_not_served(
+def test_a_day_whose_largest_jobs_were_not_served_fails(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     monkeypatch: pytest.MonkeyPatch,
     largest: int,
     log: str,
-    code: int,
-    said: str,
+    exit_status: int,
+    expected: str,
 ) -> None:
-    """The bench's figure says how many were started, the log when."""
-    (tmp_path / "r.json").write_text(json.dumps(report(largest)))
+    """The report says how many of the largest jobs started; the log says when."""
+    (tmp_path / "r.json").write_text(json.dumps(bench_report(largest)))
     args = ["served", str(tmp_path / "r.json"), "--all"]
     if log:
         (tmp_path / "log").write_text(log)
         args += ["--log", str(tmp_path / "log")]
     monkeypatch.setattr(sys, "argv", args)
-    assert served.main() == code
-    assert said in capsys.readouterr().out
+    assert served.main() == exit_status
+    assert expected in capsys.readouterr().out
--- a/tests/test_module_graph.py
+++ b/tests/test_module_graph.py
@@ -1,4 +1,4 @@
-"""No modules import each other in a circle, type-only imports counted."""
+"""There are no import cycles between modules, not even with type-only imports."""
 
 from __future__ import annotations
 
@@ -12,37 +12,39 @@
 }
 
 
-def imported(path: Path) -> set[str]:
-    """The modules of the package that a file imports, anywhere in it."""
-    found: set[str] = set()
+def imported_modules(path: Path) -> set[str]:
+    """Return the modules of clayport that a file imports at any level."""
+    result: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            found.update(name.name for name in node.names)
+            result.update(name.name for name in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found.update(f"{node.module}.{name.name}" for name in node.names)
-            found.add(node.module)
-    return found & set(MODULES)
+            result.update(f"{node.module}.{name.name}" for name in node.names)
+            result.add(node.module)
+    return result & set(MODULES)
 
 
-def without_circles(graph: dict[str, set[str]]) -> dict[str, set[str]]:
-    """What is left once modules that import nothing more are taken away, again and again."""
-    left = {name: set(needs) - {name} for name, needs in graph.items()}
+def remove_acyclic(graph: dict[str, set[str]]) -> dict[str, set[str]]:
+    """Remove modules without imports until only modules that depend on a cycle remain."""
+    remaining = {name: set(imports) - {name} for name, imports in graph.items()}
     while True:
-        done = {name for name, needs in left.items() if not needs}
-        if not done:
-            return left
-        left = {name: needs - done for name, needs in left.items() if name not in done}
+        leaves = {name for name, imports in remaining.items() if not imports}
+        if not leaves:
+            return remaining
+        remaining = {
+            name: imports - leaves for name, imports in remaining.items() if name not in leaves
+        }
 
 
-def test_a_circle_is_found() -> None:
+def test_cycles_are_detected() -> None:
     graph = {"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}, "e": set()}
-    assert set(without_circles(graph)) == {"a", "b", "c", "d"}
+    assert set(remove_acyclic(graph)) == {"a", "b", "c", "d"}
 
 
-def test_no_modules_import_each_other_in_a_circle() -> None:
-    graph = {name: imported(path) for name, path in MODULES.items()}
-    # A package's own module is imported with each module in it; only what it names counts.
-    for name, needs in graph.items():
-        needs -= {package for package in needs if name.startswith(package + ".")}
+def test_there_are_no_import_cycles() -> None:
+    graph = {name: imported_modules(path) for name, path in MODULES.items()}
+    # Importing a module also imports its package. That implicit import is not counted here.
+    for name, imports in graph.items():
+        imports -= {package for package in imports if name.startswith(package + ".")}
     assert sum(map(len, graph.values())) > 300
-    assert without_circles(graph) == {}
+    assert remove_acyclic(graph) == {}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The command line, the settings, and the answers on the users' address."""
+"""The command line, the settings and the HTTP API for users."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     "future": True,
 }
 
-# A first report, of a machine without tasks.
+# The first report of a machine without tasks.
 REPORT: dict[str, Any] = {
     "host": "m1",
     "address": "m1:1",
@@ -47,25 +47,25 @@
 }
 
 
-def changed(path: str, value: Any) -> bytes:
+def settings_with(path: str, value: Any) -> bytes:
     settings = json.loads(json.dumps(GOOD))
-    *way, last = path.split(".")
+    *parents, field = path.split(".")
     node = settings
-    for step in way:
+    for step in parents:
         node = node[int(step)] if step.isdigit() else node[step]
     if value is None:
-        del node[last]
+        del node[field]
     else:
-        node[last] = value
+        node[field] = value
     return json.dumps(settings).encode()
 
 
-def test_good_settings() -> None:
+def test_valid_settings_are_accepted() -> None:
     assert parse(json.dumps(GOOD).encode()).labels == ["c0", "c1"]
 
 
 @pytest.mark.parametrize(
-    "path, value, named",
+    "path, value, expected",
     [
         ("label", None, "label"),
         ("label", "", "label"),
@@ -84,12 +84,12 @@
         ("cluster.teams", [{"name": "t", "gpus": 5, "gpus_max": 4}], "teams"),
     ],
 )
-def test_bad_settings_name_the_field(path: str, value: Any, named: str) -> None:
-    with pytest.raises(ConfigError, match=named.replace("[", r"\[")):
-        parse(changed(path, value))
+def test_errors_in_settings_name_the_field(path: str, value: Any, expected: str) -> None:
+    with pytest.raises(ConfigError, match=expected.replace("[", r"\[")):
+        parse(settings_with(path, value))
 
 
-def run(*args: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_program(*args: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "clayport", *args],
         cwd=ROOT,
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize(
-    "content, args, level, code, text",
+    "content, args, log_level, exit_status, text",
     [
         (GOOD, ["--check"], "info", 0, "valid"),
         (GOOD, ["--check"], "loud", 2, "error, info, debug"),
@@ -113,19 +113,19 @@
     ],
 )
 def test_command_line(
-    tmp_path: Path, content: Any, args: list[str], level: str, code: int, text: str
+    tmp_path: Path, content: Any, args: list[str], log_level: str, exit_status: int, text: str
 ) -> None:
     path = tmp_path / "settings.json"
     if content is not None:
         path.write_text(content if isinstance(content, str) else json.dumps(content))
-    found = run("--config", str(path), *args, LOG_LEVEL=level)
-    assert found.returncode == code
+    found = run_program("--config", str(path), *args, LOG_LEVEL=log_level)
+    assert found.returncode == exit_status
     assert text in found.stdout + found.stderr
     assert len(found.stderr.splitlines()) <= 1
 
 
 @pytest.mark.parametrize(
-    "text, code, named",
+    "text, exit_status, expected",
     [
         ("refresh { start_s: 5 least_s: 1 most_s: 30 }", 0, "valid"),
         ("refresh { start_s: 50 most_s: 30 }", 2, "start_s"),
@@ -134,29 +134,29 @@
         ("refresh {", 2, "operator"),
     ],
 )
-def test_operator_file(tmp_path: Path, text: str, code: int, named: str) -> None:
+def test_operator_file(tmp_path: Path, text: str, exit_status: int, expected: str) -> None:
     settings, operator = tmp_path / "settings.json", tmp_path / "operator.txtpb"
     settings.write_text(json.dumps(GOOD))
     operator.write_text(text)
-    found = run("--config", str(settings), "--operator", str(operator), "--check")
-    assert (found.returncode, named in found.stdout + found.stderr) == (code, True), found
+    found = run_program("--config", str(settings), "--operator", str(operator), "--check")
+    assert (found.returncode, expected in found.stdout + found.stderr) == (exit_status, True), found
 
 
 # -- over a loopback connection -------------------------------------------
 
 
-async def echo(method: str, path: str, body: bytes) -> tuple[int, bytes, http.Headers]:
+async def echo_handler(method: str, path: str, body: bytes) -> tuple[int, bytes, http.Headers]:
     return (405 if method == "PUT" else 200), body or b"{}", []
 
 
-async def exchange(raw: bytes, answers: int) -> bytes:
-    server = http.Server(echo, 10, 5.0, 0.2, "/v1/report")
-    listener = curio.tcp_server_socket("127.0.0.1", 0)
-    port = listener.getsockname()[1]
+async def send_raw(raw: bytes, answers: int) -> bytes:
+    server = http.Server(echo_handler, 10, 5.0, 0.2, "/v1/report")
+    server_sock = curio.tcp_server_socket("127.0.0.1", 0)
+    port = server_sock.getsockname()[1]
 
     async def accept() -> None:
-        async with listener:
-            client, _ = await listener.accept()
+        async with server_sock:
+            client, _ = await server_sock.accept()
             task = await curio.spawn(server._serve_connection, client, daemon=True)
             server.connections[task] = False
             await curio.sleep(10)
@@ -185,20 +185,20 @@
         (b"nonsense\r\n\r\n", b"400"),
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70000, b"413"),
         (b"GET /" + b"a" * 20000, b"431"),
-        (b"GET /up HTTP/1.1\r\nHos", b""),  # half a request: dropped after its time
+        (b"GET /up HTTP/1.1\r\nHos", b""),  # incomplete request: closed after the timeout
     ],
     ids=["get", "put", "nonsense", "large body", "large head", "half"],
 )
 def test_server(raw: bytes, status: bytes) -> None:
-    answer = curio.run(exchange, raw, 1)
+    answer = curio.run(send_raw, raw, 1)
     assert answer.partition(b" ")[2][:3] == status
 
 
-def test_oldest_idle_user_goes_first() -> None:
-    """Workers' connections are kept when users take all sockets."""
+def test_the_oldest_idle_user_connection_is_closed_first() -> None:
+    """Connections of workers stay open when users take all sockets."""
 
     async def main() -> list[bool]:
-        server = http.Server(echo, 3, 5.0, 1.0, "/v1/report")
+        server = http.Server(echo_handler, 3, 5.0, 1.0, "/v1/report")
         tasks = [await curio.spawn(curio.sleep, 60, daemon=True) for _ in range(3)]
         for task, idle in zip(tasks, (False, True, True)):
             server.connections[task] = idle
@@ -208,7 +208,7 @@
     assert curio.run(main) == [True, False, True]
 
 
-# -- what users send -------------------------------------------------------
+# -- requests of users -----------------------------------------------------
 
 
 def api() -> tuple[UserApi, Controller]:
@@ -230,7 +230,7 @@
     return c.user_api, c
 
 
-def without(field: str) -> dict[str, Any]:
+def job_without(field: str) -> dict[str, Any]:
     return {k: v for k, v in job(1).items() if k != field}
 
 
@@ -239,10 +239,10 @@
     [
         (job(1), 201),
         ({**job(1), "extra": 1}, 201),
-        (without("flavors"), 201),
+        (job_without("flavors"), 201),
         ("not json", 400),
         ([1], 400),
-        (without("vcpus"), 400),
+        (job_without("vcpus"), 400),
         *(
             ({**job(1), **change}, 400)
             for change in (
@@ -293,65 +293,66 @@
         ("POST", "/v1/report", 400),
     ],
 )
-def test_paths(method: str, path: str, status: int) -> None:
+def test_paths_and_methods(method: str, path: str, status: int) -> None:
     handler, _ = api()
     assert curio.run(handler.handle, method, path, b"[]")[0] == status
 
 
-def test_life_of_a_job_as_its_user_sees_it() -> None:
+def test_job_states_as_a_user_sees_them() -> None:
     async def main() -> None:
         handler, c = api()
         raw = json.dumps(job(1)).encode()
-        heard = []
+        notified = []
         for peer in c.peers.values():
 
             async def call(kind: int, values: Any, _: Any = None, label: str = peer.label) -> Any:
-                heard.append((label, kind, values))
+                notified.append((label, kind, values))
                 return (True,)
 
             peer.call = call  # type: ignore[method-assign]
 
-        async def ask(method: str, path: str, body: bytes = b"") -> tuple[int, str]:
+        async def send(method: str, path: str, body: bytes = b"") -> tuple[int, str]:
             status, answer, _ = await handler.handle(method, path, body)
             return status, json.loads(answer).get("status", "")
 
-        assert await ask("POST", "/api/jobs", raw) == (201, "queued")
-        assert await ask("POST", "/api/jobs", raw) == (200, "queued")
-        assert await ask("GET", "/api/jobs/j-000001") == (200, "queued")
-        assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
-        # No user is told before all who may renew a lease have acknowledged it.
-        assert sorted(heard) == [
+        assert await send("POST", "/api/jobs", raw) == (201, "queued")
+        assert await send("POST", "/api/jobs", raw) == (200, "queued")
+        assert await send("GET", "/api/jobs/j-000001") == (200, "queued")
+        assert await send("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
+        # Users are told only once all controllers that may renew a lease have acknowledged.
+        assert sorted(notified) == [
             (label, frames.JOB_ENDED, ("j-000001", "cancelled")) for label in sorted(c.peers)
         ]
-        assert await ask("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
-        assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
-        assert len(heard) == len(c.peers)
+        assert await send("POST", "/api/jobs/j-000001/abort") == (200, "cancelled")
+        assert await send("GET", "/api/jobs/j-000001") == (200, "cancelled")
+        assert len(notified) == len(c.peers)
         c.jobs.ended.clear()  # as after a restart
-        assert await ask("GET", "/api/jobs/j-000001") == (200, "cancelled")
-        # Never 422 for what was accepted, whatever the catalogue says now.
+        assert await send("GET", "/api/jobs/j-000001") == (200, "cancelled")
+        # An accepted job is never answered by 422, whatever the catalogue contains later.
         c.catalogue.types = c.catalogue.types[:0]
-        assert (await ask("POST", "/api/jobs", raw))[0] in (200, 503)
+        assert (await send("POST", "/api/jobs", raw))[0] in (200, 503)
 
     curio.run(main)
 
 
-def test_state_outage_is_answered_at_once_with_when_to_come_back() -> None:
+def test_a_state_service_outage_is_answered_with_retry_after() -> None:
     async def main() -> None:
         handler, c = api()
 
-        async def down(*_: Any) -> Any:
+        async def unavailable(*_: Any) -> Any:
             return 503, b"{}"
 
-        c.store.client.request = down  # type: ignore[method-assign]
+        c.store.client.request = unavailable  # type: ignore[method-assign]
         status, _, headers = await handler.handle("POST", "/api/jobs", json.dumps(job(1)).encode())
         assert status == 503 and dict(headers)["Retry-After"] == "1"
 
     curio.run(main)
 
 
-def test_controller_without_the_state_service_lets_its_workers_go() -> None:
-    """Peers act under a newer epoch that it can't see: kept workers would be
-    silent to their new owners, who would have them returned."""
+def test_a_controller_without_the_state_service_releases_its_workers() -> None:
+    """Its peers may act in a newer epoch that this controller can't read. Workers that it kept
+    would be silent to their new owners, which would return the machines to the cloud.
+    """
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
@@ -359,28 +360,29 @@
     c.membership.serving, c.membership.records_loaded = True, True
     report = dict(REPORT)
 
-    def ask() -> int:
+    def send() -> int:
         report["counter"] += 1
-        return c.fleet_report_status(json.dumps(report).encode())
+        return c.report_status(json.dumps(report).encode())
 
-    c.fleet_report_status = lambda raw: curio.run(  # type: ignore[attr-defined]
+    c.report_status = lambda raw: curio.run(  # type: ignore[attr-defined]
         handler.handle, "POST", "/v1/report", raw
     )[0]
     now = time.monotonic()
-    assert ask() == 503  # the records have never been read here
+    assert send() == 503  # this controller has not read the records yet
     for peer in c.peers.values():
         c.watermark.note_promise(peer.label, "a", now - 50, now - 50)
     c.watermark.note_records_read(now)
-    assert ask() == 200
+    assert send() == 200
     peer = c.peers["c1"]
     peer.heard, peer.epoch, peer.state_ok = now, 4, True
-    assert ask() == 200  # we have the state service: our watch will tell
+    assert send() == 200  # the state service answers, so the watch will report the new epoch
     c.store.last_failed_at, c.store.last_served_at = now + 1, now - 100
-    assert ask() == 421
-    # That nobody is heard to have it says nothing: the leases are kept as long as it is known
-    # what users were told of cancellations, up to a moment that leaves them time to run out.
+    assert send() == 421
+    # If no peer is known to reach the state service, leases are renewed for as long as this
+    # controller knows which cancellations users were told of, less the time that the leases
+    # take to expire.
     peer.state_ok = False
-    for read, promised, status in (
+    for read_at, promised_at, status in (
         (now, -1e9, 200),
         (now - 23, -1e9, 200),
         (now - 26, -1e9, 503),
@@ -388,15 +390,15 @@
         (now - 26, now - 30, 200),
         (now - 60, now, 503),
     ):
-        c.watermark.records_read_at = read
+        c.watermark.records_read_at = read_at
         for label in c.peers:
             c.watermark.valid_until[label] = -1e9
-            c.watermark.note_promise(label, "a", promised, promised)
-        assert ask() == status, (now - read, now - promised)
+            c.watermark.note_promise(label, "a", promised_at, promised_at)
+        assert send() == status, (now - read_at, now - promised_at)
 
 
 def test_a_late_report_does_not_bring_a_returned_machine_back() -> None:
-    """It was open for work again until its silence was noticed."""
+    """Otherwise the machine would be open for tasks until its silence is noticed."""
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
@@ -411,22 +413,22 @@
     assert "m1" not in c.machines.machines
 
 
-def test_malformed_value_costs_the_request_only() -> None:
+def test_a_malformed_value_fails_only_its_request() -> None:
     async def main() -> None:
         handler, c = api()
 
-        async def odd(method: str, path: str, *_: Any) -> Any:
+        async def malformed(method: str, path: str, *_: Any) -> Any:
             if "/end/" in path:
                 return 200, b'{"key":"end/j-000001","data":[1],"key_rev":3}'
             return 404, b'{"store_rev":3}'
 
-        c.store.client.request = odd  # type: ignore[method-assign]
+        c.store.client.request = malformed  # type: ignore[method-assign]
         assert (await handler.handle("GET", "/api/jobs/j-000001", b""))[0] == 503
 
     curio.run(main)
 
 
-def test_largest_job_is_accepted_and_answered() -> None:
+def test_the_largest_job_is_accepted_and_polled() -> None:
     async def main() -> None:
         handler, _ = api()
         raw = json.dumps(job(1, pieces=100_000)).encode()
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -1,8 +1,8 @@
-"""A real process that is ended and started again on the same ports, as fast as the machine
-allows, with connections to it still open. The state service and the cloud are stand-ins on
-loopback; everything waits for what it needs, nothing for a time.
+"""A real controller process is killed and restarted on the same ports, as fast as the machine
+allows, while connections to it are open. The state service and the cloud are fakes on loopback.
+The test waits for conditions, not for fixed times.
 
-`python -m tests.test_real_restarts` prints how long starts took, and what of it is imports.
+`python -m tests.test_real_restarts` prints how long starts take, and the share of imports.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 import curio
 import pytest
 
-from clayport.transport import http as ours
+from clayport.transport import http as clayport_http
 from tests.test_program import GOOD
 from tests.world import State, World
 
-# Ports that were free a moment ago are used: by one process of the run at a time.
+# Only one pytest process at a time may pick free ports, because another could take them.
 LOOPBACK = pytest.mark.xdist_group("loopback")
 ROOT = Path(__file__).parent.parent
 STARTS = 10
-PATIENCE_S = 60.0  # until something that doesn't happen is an error
+TIMEOUT_S = 60.0  # for each condition that the test waits for
 
 
-class StandIns:
-    """State service and cloud as servers in a thread of their own."""
+class FakeServices:
+    """Fake state service and cloud that listen on loopback in a separate thread."""
 
     def __init__(self) -> None:
         self.world = World(time.monotonic, 1)  # type: ignore[arg-type]
@@ -46,7 +46,7 @@
 
     async def _serve(self) -> None:
         for name, handler in (("state", self._state), ("cloud", self._cloud)):
-            server = ours.Server(handler, 100, 60.0, 60.0, "")
+            server = clayport_http.Server(handler, 100, 60.0, 60.0, "")
             await curio.spawn(server.serve, "127.0.0.1", self.ports[name], daemon=True)
         while not self.stopped.is_set():
             await curio.sleep(0.05)
@@ -57,12 +57,12 @@
         now = time.monotonic()
         if path.startswith("/changes"):
             args = dict(p.split("=", 1) for p in path.partition("?")[2].split("&"))
-            end = now + int(args["block_ms"]) / 1000
+            deadline = now + int(args["block_ms"]) / 1000
             while True:
                 self.state.expire(time.monotonic())
-                found = self.state.changes(args["prefix"], int(args["since"]))
-                if found or time.monotonic() >= end:
-                    answer: Any = {"store_rev": self.state.rev, "log": found}
+                changes = self.state.changes(args["prefix"], int(args["since"]))
+                if changes or time.monotonic() >= deadline:
+                    answer: Any = {"store_rev": self.state.rev, "log": changes}
                     return 200, json.dumps(answer).encode(), []
                 await curio.sleep(0.01)
         status, answer = self.state.handle(method, path, json.loads(body) if body else None, now)
@@ -83,13 +83,13 @@
         return int(sock.getsockname()[1])
 
 
-def until_up(port: int, process: subprocess.Popen[bytes]) -> float:
-    """When `/up` first answered 200 (steady clock)."""
-    end = time.monotonic() + PATIENCE_S
-    while time.monotonic() < end:
-        assert process.poll() is None, "it has ended by itself"
+def wait_until_up(port: int, process: subprocess.Popen[bytes]) -> float:
+    """Return when `/up` first answered 200, on the monotonic clock."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
+        assert process.poll() is None, "the controller exited by itself"
         try:
-            connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE_S)
+            connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
             connection.request("GET", "/up")
             status = connection.getresponse().status
             connection.close()
@@ -97,76 +97,79 @@
                 return time.monotonic()
         except OSError:
             pass
-    raise AssertionError("never up")
+    raise AssertionError("the controller did not answer 200 in time")
 
 
-def restarts(folder: Path, starts: int = STARTS) -> list[float]:
-    """Seconds from each start to the first answer 200; each but the first follows the end
-    of the one before at once, with connections to both its ports open."""
+def measure_restarts(directory: Path, starts: int = STARTS) -> list[float]:
+    """Return the seconds from each start to the first answer 200.
+
+    Each start but the first directly follows the kill of the previous process, while
+    connections to both of its ports are open.
+    """
     ports = {"bind": free_port(), "peer_bind": free_port()}
-    there = StandIns()
-    there.thread.start()
+    services = FakeServices()
+    services.thread.start()
     cluster = {**GOOD["cluster"], "size": 1}
     settings = {
         **GOOD,
         "members": [],
         "cluster": cluster,
         **{name: f"127.0.0.1:{port}" for name, port in ports.items()},
-        "services": {n: f"127.0.0.1:{p}" for n, p in there.ports.items()},
+        "services": {n: f"127.0.0.1:{p}" for n, p in services.ports.items()},
     }
-    path = folder / "settings.json"
+    path = directory / "settings.json"
     path.write_text(json.dumps(settings), encoding="utf-8")
-    took, opened = [], []
+    durations, client_socks = [], []
     process = None
     try:
         for _ in range(starts):
-            begun = time.monotonic()
+            started = time.monotonic()
             process = subprocess.Popen(
                 [sys.executable, "-m", "clayport", "--config", str(path)],
                 cwd=ROOT,
                 stderr=subprocess.DEVNULL,
                 env={**os.environ, "LOG_LEVEL": "error"},
             )
-            took.append(until_up(ports["bind"], process) - begun)
+            durations.append(wait_until_up(ports["bind"], process) - started)
             for port in ports.values():
-                sock = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
-                sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n")  # an answer is being waited for
-                opened.append(sock)
+                sock = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
+                sock.sendall(b"GET /up HTTP/1.1\r\nHost: x\r\n")  # an incomplete request
+                client_socks.append(sock)
             process.kill()
             process.wait()
-        nodes = [k for k in there.state.keys if k.startswith("c/")]
-        assert len(nodes) <= 3, nodes  # its key, its version, the epoch
-        assert there.state.keys["c/generation"][0]["number"] >= starts
+        keys = [k for k in services.state.keys if k.startswith("c/")]
+        assert len(keys) <= 3, keys  # member, version, epoch
+        assert services.state.keys["c/generation"][0]["number"] >= starts
     finally:
         if process is not None and process.poll() is None:
             process.kill()
             process.wait()
-        for sock in opened:
+        for sock in client_socks:
             sock.close()
-        there.stopped.set()
-        there.thread.join()
-    return took
+        services.stopped.set()
+        services.thread.join()
+    return durations
 
 
 @LOOPBACK
-def test_it_listens_again_each_time(tmp_path: Path) -> None:
-    assert len(restarts(tmp_path)) == STARTS
+def test_a_restarted_controller_listens_on_the_same_ports(tmp_path: Path) -> None:
+    assert len(measure_restarts(tmp_path)) == STARTS
 
 
 @LOOPBACK
-def test_an_address_that_is_still_held_is_waited_for() -> None:
-    """It ended at once, and its users saw one end more."""
+def test_the_listener_waits_for_an_address_in_use() -> None:
+    """Otherwise the restarted process would exit at once, and users would see a longer outage."""
     from clayport.transport.listen import open_listener
 
     async def main() -> tuple[bool, bool]:
-        held = socket.socket()
-        held.bind(("127.0.0.1", 0))
-        held.listen()
-        task = await curio.spawn(open_listener, "127.0.0.1", held.getsockname()[1], 8)
+        held_sock = socket.socket()
+        held_sock.bind(("127.0.0.1", 0))
+        held_sock.listen()
+        task = await curio.spawn(open_listener, "127.0.0.1", held_sock.getsockname()[1], 8)
         for _ in range(3):
             await curio.sleep(0)
         waited = not task.terminated
-        held.close()
+        held_sock.close()
         sock = await task.join()
         await sock.close()
         return waited, True
@@ -174,23 +177,23 @@
     assert curio.run(main) == (True, True)
 
 
-def imports() -> float:
-    """Seconds of a start that go into imports alone."""
-    begun = time.monotonic()
+def measure_imports() -> float:
+    """Return the seconds that the imports of a start take."""
+    started = time.monotonic()
     subprocess.run(
         [sys.executable, "-c", "import clayport.cli, clayport.controller"], cwd=ROOT, check=True
     )
-    return time.monotonic() - begun
+    return time.monotonic() - started
 
 
 def main() -> int:
-    with tempfile.TemporaryDirectory() as folder:
-        took = restarts(Path(folder))
-    bare = [imports() for _ in range(5)]
+    with tempfile.TemporaryDirectory() as directory:
+        durations = measure_restarts(Path(directory))
+    import_times = [measure_imports() for _ in range(5)]
     print(
-        f"{len(took)} starts on the same ports: first 200 after {min(took):.2f} to "
-        f"{max(took):.2f} s, median {statistics.median(took):.2f} s; imports "
-        f"{statistics.median(bare):.2f} s of it"
+        f"{len(durations)} starts on the same ports: first 200 after {min(durations):.2f} to "
+        f"{max(durations):.2f} s, median {statistics.median(durations):.2f} s; imports "
+        f"{statistics.median(import_times):.2f} s of it"
     )
     return 0
 
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -1,4 +1,4 @@
-"""The hand-packed frames: every kind survives, nothing malformed does."""
+"""Frames: every kind survives a round trip, and malformed frames are rejected."""
 
 from __future__ import annotations
 
@@ -20,20 +20,22 @@
 }
 
 
-def sample(schema: tuple[Any, ...]) -> tuple[Any, ...]:
-    return tuple([sample(c), sample(c)] if isinstance(c, tuple) else SAMPLES[c] for c in schema)
+def sample_values(schema: tuple[Any, ...]) -> tuple[Any, ...]:
+    return tuple(
+        [sample_values(c), sample_values(c)] if isinstance(c, tuple) else SAMPLES[c] for c in schema
+    )
 
 
 @pytest.mark.parametrize("kind", sorted(frames.SCHEMAS))
-def test_round_trip_and_truncation(kind: int) -> None:
-    values = sample(frames.SCHEMAS[kind])
+def test_frames_round_trip_and_reject_truncation(kind: int) -> None:
+    values = sample_values(frames.SCHEMAS[kind])
     frame = frames.encode(kind, 9, values)
     head, body = frame[: frames.HEADER.size], frame[frames.HEADER.size :]
     assert frames.decode_header(head) == (kind, 9, len(body))
     assert frames.decode_body(kind, body) == values
-    for cut in {0, len(body) // 2, len(body) - 1}:
+    for length in {0, len(body) // 2, len(body) - 1}:
         with pytest.raises(frames.FrameError):
-            frames.decode_body(kind, body[:cut])
+            frames.decode_body(kind, body[:length])
     with pytest.raises(frames.FrameError):
         frames.decode_body(kind, body + b"\x00")
 
@@ -47,7 +49,7 @@
         (frames.MAGIC, frames.VERSION, frames.PING, 1, frames.MAX_BODY + 1),
     ],
 )
-def test_bad_headers(header: tuple[int, ...]) -> None:
+def test_invalid_headers_are_rejected(header: tuple[int, ...]) -> None:
     with pytest.raises(frames.FrameError):
         frames.decode_header(frames.HEADER.pack(*header))
 
@@ -56,17 +58,19 @@
     "kind, values",
     [
         (frames.ACK, ()),  # a field is missing
-        (frames.ACK, (True, True)),  # one too many
+        (frames.ACK, (True, True)),  # one field too many
         (frames.COUNTS, (-1, "j-1")),  # out of range
-        (frames.REPORT, (1, bytes(frames.MAX_BODY))),
+        (frames.REPORT, (1, bytes(frames.MAX_BODY))),  # body too long
     ],
 )
-def test_fields_that_do_not_fit_are_refused(kind: int, values: tuple[Any, ...]) -> None:
+def test_values_that_do_not_match_the_schema_are_rejected(
+    kind: int, values: tuple[Any, ...]
+) -> None:
     with pytest.raises(frames.FrameError):
         frames.encode(kind, 1, values)
 
 
-def test_list_longer_than_frame() -> None:
+def test_a_list_longer_than_its_frame_is_rejected() -> None:
     body = (1).to_bytes(8, "big") + (2**31).to_bytes(4, "big")
     with pytest.raises(frames.FrameError):
         frames.decode_body(frames.GONE, body)
--- a/tests/transport/test_peer_requests.py
+++ b/tests/transport/test_peer_requests.py
@@ -1,4 +1,4 @@
-"""The table of peers' requests: every kind has its method, and the epoch is checked."""
+"""The handlers of peer requests: every request kind has one, and the epoch is checked."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from clayport.transport import frames
 from tests.test_program import GOOD
 
-ANSWERS = {
+REPLY_KINDS = {
     frames.PONG,
     frames.HEARTBEAT_REPLY,
     frames.RESERVED,
@@ -28,49 +28,49 @@
     frames.HISTORY_REPLY,
     frames.EVIDENCE_REPLY,
 }
-# What acts in any epoch, and why that is safe.
-ANY_GENERATION = {
-    frames.PING,  # tells, and asks for nothing
+# The kinds that are handled in any epoch, and why that is safe.
+ANY_EPOCH = {
+    frames.PING,  # only informs
     frames.HEARTBEAT,
     frames.JOB_ENDED,  # final states never change
     frames.HISTORY,
     frames.EVIDENCE,
     frames.INSPECT,  # reads only
-    frames.GONE,  # names are not used again
-    frames.REPORT,  # checked by its method, after it has been read
+    frames.GONE,  # machine names are not reused
+    frames.REPORT,  # its method checks the epoch after decoding
 }
-EXAMPLES: dict[str, Any] = {"s": "m1", "b": b"{}", "?": False, "Q": 7, "I": 1, "d": 1.0}
+EXAMPLE_VALUES: dict[str, Any] = {"s": "m1", "b": b"{}", "?": False, "Q": 7, "I": 1, "d": 1.0}
 
 
-def example(schema: frames.Schema) -> tuple[Any, ...]:
-    """Values that a frame of the schema can carry; lists have one record."""
-    return tuple([example(c)] if isinstance(c, tuple) else EXAMPLES[c] for c in schema)
+def example_values(schema: frames.Schema) -> tuple[Any, ...]:
+    """Return valid field values for a schema; lists have one record."""
+    return tuple([example_values(c)] if isinstance(c, tuple) else EXAMPLE_VALUES[c] for c in schema)
 
 
-def test_every_kind_that_asks_has_a_method() -> None:
-    # Fails with any row taken out of HANDLERS.
-    assert set(HANDLERS) == set(frames.SCHEMAS) - ANSWERS
+def test_every_request_kind_has_a_handler() -> None:
+    # Fails if any entry of HANDLERS is removed.
+    assert set(HANDLERS) == set(frames.SCHEMAS) - REPLY_KINDS
 
 
 @pytest.mark.parametrize("kind", sorted(HANDLERS))
-def test_a_method_takes_the_fields_of_its_frame(kind: int) -> None:
-    inspect.signature(HANDLERS[kind].method).bind(None, *example(frames.SCHEMAS[kind]))
+def test_handlers_take_the_fields_of_their_frames(kind: int) -> None:
+    inspect.signature(HANDLERS[kind].method).bind(None, *example_values(frames.SCHEMAS[kind]))
 
 
-@pytest.mark.parametrize("kind", sorted(set(HANDLERS) - ANY_GENERATION))
-@pytest.mark.parametrize("number, serving", [(7, False), (6, True), (8, True)])
-def test_what_acts_is_refused_in_another_epoch(
-    monkeypatch: pytest.MonkeyPatch, kind: int, number: int, serving: bool
+@pytest.mark.parametrize("kind", sorted(set(HANDLERS) - ANY_EPOCH))
+@pytest.mark.parametrize("epoch, serving", [(7, False), (6, True), (8, True)])
+def test_requests_from_another_epoch_are_refused(
+    monkeypatch: pytest.MonkeyPatch, kind: int, epoch: int, serving: bool
 ) -> None:
-    # Fails for every row whose refusal is taken out, and with `serving` not asked for.
-    async def never(*_: Any) -> Any:
-        raise AssertionError("carried out")
+    # Fails for an entry without its refusal, and if `serving` is not checked.
+    async def must_not_run(*_: Any) -> Any:
+        raise AssertionError("the request was handled")
 
-    monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=never))
+    monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=must_not_run))
     c = Controller(parse(json.dumps(GOOD).encode()))
     c.membership.epoch, c.membership.serving = (
-        Epoch(number, {c.membership.label: c.membership.incarnation}, 1),
+        Epoch(epoch, {c.membership.label: c.membership.incarnation}, 1),
         serving,
     )
-    reply, answer = curio.run(c.peer_requests.answer, kind, example(frames.SCHEMAS[kind]))
-    assert not answer[0] and frames.encode(reply, 1, answer)
+    reply, fields = curio.run(c.peer_requests.answer, kind, example_values(frames.SCHEMAS[kind]))
+    assert not fields[0] and frames.encode(reply, 1, fields)
