--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -1,4 +1,4 @@
-"""Whose fault a failure is, work that nobody waits for, many who ask, and standing still."""
+"""Failures of jobs and machines, backfill, overload, stalls and provisioning in one controller."""
 
 from __future__ import annotations
 
@@ -37,14 +37,18 @@
 from tests.world import job as wire_job
 
 
-def made(number: int, **fields: Any) -> Job:
+def make_job(number: int, **fields: Any) -> Job:
     job = msgspec.convert(wire_job(number, **fields), Job)
     return msgspec.structs.replace(job, without_objective=job.job_class == "unnamed")
 
 
-def started(events: str, tasks: int = 12) -> tuple[ManagedJob, list[Verdict], float]:
-    """A home after events of tasks on machines of their own: e(rror), d(one), r(unning)."""
-    managed = ManagedJob(made(1, pieces=tasks), 1, 50, 0.0)
+def job_after_events(events: str, tasks: int = 12) -> tuple[ManagedJob, list[Verdict], float]:
+    """Return a job after one event for each task: e(rror), d(one), r(unning).
+
+    Each task runs on its own machine. The second value lists the verdicts on the events, the
+    third is the time until which the job is not placed.
+    """
+    managed = ManagedJob(make_job(1, pieces=tasks), 1, 50, 0.0)
     chunk = Chunk()
     chunk.assigned = {n: (1, f"m{n}") for n in range(tasks)}
     managed.load({0: chunk})
@@ -65,24 +69,25 @@
 @pytest.mark.parametrize(
     "events, at_fault, last",
     [
-        ("ee", False, Verdict.OK),  # two machines may both be sick
+        ("ee", False, Verdict.OK),  # two machines may both be faulty
         ("eee", True, Verdict.JOB_AT_FAULT),
-        ("deee", False, Verdict.MACHINE_AT_FAULT),  # it has run well elsewhere
+        ("deee", False, Verdict.MACHINE_AT_FAULT),  # a task has completed on another machine
         ("rrrreee", False, Verdict.MACHINE_AT_FAULT),
         ("rreee", True, Verdict.JOB_AT_FAULT),
-        ("eeed", False, Verdict.OK),  # what failed has passed
+        ("eeed", False, Verdict.OK),  # a task has completed after the failures
     ],
 )
 def test_a_job_that_fails_on_several_machines_is_at_fault(
     events: str, at_fault: bool, last: Verdict
 ) -> None:
-    managed, verdicts, _ = started(events)
+    managed, verdicts, _ = job_after_events(events)
     assert (managed.at_fault, verdicts[-1]) == (at_fault, last)
 
 
-def test_a_job_at_fault_is_tried_again_ever_more_rarely() -> None:
-    """A hundred failures at once are one trial: what failed may pass within seconds."""
-    managed, _, until = started("eeeeeeeeee")
+def test_a_job_at_fault_is_retried_with_exponential_backoff() -> None:
+    """Failures that arrive together count as one retry, so that a fault of a few seconds delays
+    the job only briefly."""
+    managed, _, until = job_after_events("eeeeeeeeee")
     assert until == 11.0 and managed.avoided() == {"m9"}
     for number, pause in ((10, 2.0), (11, 4.0)):
         managed.handle_event(f"m{number}", number, 1, "exited", "error", until)
@@ -90,33 +95,33 @@
         until = managed.not_before
 
 
-def test_a_job_at_fault_is_tried_on_one_machine_and_wanted_nowhere(
+def test_a_job_at_fault_is_retried_on_one_machine_and_adds_no_demand(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    home = Home(monkeypatch)
+    harness = Home(monkeypatch)
     for name in ("m1", "m2", "m3", "m4"):
-        home.report(name, "north", "plain")
-    managed = home.wait(made(1, pieces=16))
+        harness.report(name, "north", "plain")
+    managed = harness.wait(make_job(1, pieces=16))
     managed.errors = {"m1": 2, "m2": 1, "m3": 1}
-    assert home.c.placer.demand_report.own_rows() == []
-    home.look()
+    assert harness.c.placer.demand_report.own_rows() == []
+    harness.look()
     assert len(managed.starts) == 1 and managed.starts[0][1] != "m3"
 
 
 @pytest.mark.parametrize("state, starts", [("running", 1), ("pulling", 0)])
-def test_a_replica_is_tried_again_while_others_of_its_job_run(
+def test_a_replica_is_retried_while_others_run_but_not_while_one_is_pulling(
     monkeypatch: pytest.MonkeyPatch, state: str, starts: int
 ) -> None:
-    home = Home(monkeypatch)
-    home.report("m4", "north", "plain")
-    managed = home.wait(made(1, pieces=2, shape="daemon", loaners=False))
+    harness = Home(monkeypatch)
+    harness.report("m4", "north", "plain")
+    managed = harness.wait(make_job(1, pieces=2, shape="daemon", loaners=False))
     chunk = Chunk()
     chunk.assigned = {0: (1, "m9")}
     managed.load({0: chunk})
-    managed.handle_event("m9", 0, 1, state, "", home.now)
+    managed.handle_event("m9", 0, 1, state, "", harness.now)
     managed.errors = {"m1": 1, "m2": 1, "m3": 1}
     assert managed.at_fault
-    home.look()
+    harness.look()
     assert len(managed.starts) == starts
 
 
@@ -125,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    "steps, sick",
+    "steps, unhealthy",
     [
         ([("report", ERROR, OTHER)], True),
         ([("report", ERROR, OTHER), ("judge", "j-000002", True)], False),
@@ -142,71 +147,80 @@
         ([("report", ERROR, OTHER), ("end", "j-000002", "done")], True),
     ],
 )
-def test_no_sound_machine_is_closed_for_a_job_at_fault(
-    steps: list[tuple[Any, ...]], sick: bool
+def test_errors_of_a_job_at_fault_close_no_machine(
+    steps: list[tuple[Any, ...]], unhealthy: bool
 ) -> None:
-    b = Bench()
-    b.report()
+    bench = Bench()
+    bench.report()
     for what, *args in steps:
         if what == "report":
-            b.report(*args)
+            bench.report(*args)
         elif what == "judge":
-            b.owner.judge("m1", *args)
+            bench.owner.judge("m1", *args)
         else:
-            b.owner.ended(*args)
-    assert b.owner.is_unhealthy(b.machine) == sick
+            bench.owner.ended(*args)
+    assert bench.owner.is_unhealthy(bench.machine) == unhealthy
 
 
 @pytest.mark.parametrize(
-    "rank, owed, tasks",
+    "rank, fair_share, tasks",
     [
-        ("best_effort", 0.0, 8),  # a quarter of 64 CPUs
-        ("best_effort", 24.0, 12),  # what it is owed it may take beyond that
+        ("best_effort", 0.0, 8),  # 16 of 64 CPUs
+        ("best_effort", 24.0, 12),  # the fair share of its class may exceed the quarter
+        # All spot machines: backfill starts no task on an ordinary machine that holds nothing else.
         ("normal", 0.0, 16),
         ("production", 0.0, 16),
     ],
-)  # all but what it alone would keep rented
-def test_what_nobody_waits_for_comes_last_and_within_its_share(
-    monkeypatch: pytest.MonkeyPatch, rank: str, owed: float, tasks: int
+)
+def test_backfill_is_placed_last_and_within_its_share(
+    monkeypatch: pytest.MonkeyPatch, rank: str, fair_share: float, tasks: int
 ) -> None:
-    """A guest's arrays filled the fleet for minutes, and made all of their rank late. Kept to
-    a quarter beside what can have them stopped as well, they waited for most of a day while a
-    third of the fleet was free."""
-    home = Home(monkeypatch)
+    """Backfill arrays that fill the fleet for minutes make all other jobs of their rank late.
+
+    The bound of a quarter of the CPUs applies only beside jobs that cannot preempt backfill. When
+    it applied beside higher ranks as well, backfill waited for most of a day while a third of
+    the fleet was free.
+    """
+    harness = Home(monkeypatch)
     for number in range(8):
-        home.report(f"m{number}", "north", "plain")  # 64 CPUs
+        harness.report(f"m{number}", "north", "plain")  # 64 CPUs
     for number in range(4):
-        home.c.machines.machines[f"m{number}"].spot = True
-    home.c.machines.mark_all_changed()
-    guest = home.wait(made(1, jobclass="unnamed", rank="best_effort", pieces=32))
-    late = home.wait(made(2, rank=rank, pieces=4, loaners=False))
+        harness.c.machines.machines[f"m{number}"].spot = True
+    harness.c.machines.mark_all_changed()
+    backfill_job = harness.wait(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
+    late = harness.wait(make_job(2, rank=rank, pieces=4, loaners=False))
     late.waiting_since -= 500.0
-    assert home.order(late) < home.order(guest)
-    if owed:
-        home.c.placer.owed = {("class", False, "unnamed"): FairShare(owed, owed, 64.0, 0)}
-        home.c.placer.owed_until = math.inf
-    home.look()
-    assert len(late.starts) == 4 and len(guest.starts) == tasks
+    assert harness.order(late) < harness.order(backfill_job)
+    if fair_share:
+        harness.c.placer.owed = {
+            ("class", False, "unnamed"): FairShare(fair_share, fair_share, 64.0, 0)
+        }
+        harness.c.placer.owed_until = math.inf
+    harness.look()
+    assert len(late.starts) == 4 and len(backfill_job.starts) == tasks
     used = {m for _, m in late.starts}
-    assert {m for _, m in guest.starts} <= {"m0", "m1", "m2", "m3"} | used
+    assert {m for _, m in backfill_job.starts} <= {"m0", "m1", "m2", "m3"} | used
 
 
-def test_room_for_what_nobody_waits_for_follows_who_is_there(
+def test_hindered_jobs_are_looked_up_again_when_cached_ones_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever could be hindered is remembered, not looked for with each pass; with the last
-    of them gone the next is found at once, not a quarter of a second later."""
-    home = Home(monkeypatch)
-    placer, live = home.c.placer, home.c.jobs.live
+    """The jobs that backfill could hinder are cached instead of being looked up in each pass.
+
+    When the last cached job has ended, the next one is found at once and not only after the
+    lookup interval of a quarter of a second.
+    """
+    harness = Home(monkeypatch)
+    placer, live = harness.c.placer, harness.c.jobs.live
     jobs = [
-        made(1, rank="best_effort"),
-        made(2, rank="best_effort"),
-        made(3, rank="normal"),
-        made(4, jobclass="unnamed"),
-        made(5, shape="daemon", guess_s=0.0),
+        make_job(1, rank="best_effort"),
+        make_job(2, rank="best_effort"),
+        make_job(3, rank="normal"),
+        make_job(4, jobclass="unnamed"),
+        make_job(5, shape="daemon", guess_s=0.0),
     ]
     live.update({job.id: (job, 1) for job in jobs})
-    cpu, gpu = made(8, jobclass="unnamed"), made(9, jobclass="unnamed", cards=1.0)
+    cpu, gpu = make_job(8, jobclass="unnamed"), make_job(9, jobclass="unnamed", cards=1.0)
     found = [(placer.backfill.hinders_objectives(cpu, 0), placer.backfill.hinders_objectives(cpu))]
     for job in jobs[1::-1] + jobs[2:]:
         del live[job.id]
@@ -215,7 +229,7 @@
         )
     assert found == [(True, True)] * 2 + [(False, True), (False, False)] + [(False, False)] * 2
     live[jobs[0].id] = (jobs[0], 1)
-    home.now += home.c.settings.cluster.workers.report_s
+    harness.now += harness.c.settings.cluster.workers.report_s
     assert placer.backfill.hinders_objectives(cpu, 0) and not placer.backfill.hinders_objectives(
         gpu
     )
@@ -224,108 +238,116 @@
 @pytest.mark.parametrize(
     "fields, kills", [({"snapshot_every_s": 15.0, "snapshot_s": 3.0}, 2), ({}, 0)]
 )
-def test_it_keeps_no_machine_rented(
+def test_backfill_keeps_no_machine_rented(
     monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], kills: int
 ) -> None:
-    """What saves goes on elsewhere; for the rest the machine closes and empties by itself."""
-    home = Home(monkeypatch)
-    guest = made(1, jobclass="unnamed", rank="best_effort", **fields)
-    home.c.jobs.live[guest.id] = (guest, 1)
-    home.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
-    owner = home.c.machines
+    """Draining kills only backfill tasks that save their progress, because these can continue on
+    another machine. Other backfill tasks run to their end on the closed machine."""
+    harness = Home(monkeypatch)
+    backfill_job = make_job(1, jobclass="unnamed", rank="best_effort", **fields)
+    harness.c.jobs.live[backfill_job.id] = (backfill_job, 1)
+    harness.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
+    owner = harness.c.machines
     idle_since = owner.room(owner.machines["m1"]).idle_since
-    home.now += 50.0
-    home.report("m1", "north", "plain", "j-000001/0")
-    home.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
+    harness.now += 50.0
+    harness.report("m1", "north", "plain", "j-000001/0")
+    harness.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
     assert owner.room(owner.machines["m1"]).idle_since == idle_since
-    assert not owner.drain("m1")  # it still holds them
+    assert not owner.drain("m1")  # the machine still holds both tasks
     assert not owner.open(owner.machines["m1"]) and len(owner.machines["m1"].pending_kills) == kills
-    home.report("m1", "north", "plain")
+    harness.report("m1", "north", "plain")
     assert owner.drain("m1")
 
 
-def test_alone_it_takes_what_there_is(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = Home(monkeypatch)
-    home.report("m1", "north", "plain")
-    guest = home.wait(made(1, jobclass="unnamed", rank="best_effort", pieces=32))
-    home.look()
-    assert len(guest.starts) == 4
+def test_backfill_alone_takes_all_free_room(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = Home(monkeypatch)
+    harness.report("m1", "north", "plain")
+    backfill_job = harness.wait(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
+    harness.look()
+    assert len(backfill_job.starts) == 4
 
 
-def test_what_nobody_waits_for_makes_way_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = Home(monkeypatch)
-    aimed, guest = made(1, rank="best_effort"), made(2, rank="best_effort", jobclass="unnamed")
-    for job in (aimed, guest):
-        home.c.jobs.live[job.id] = (job, 1)
-    home.report("m1", "north", "plain", "j-000001/0", "j-000001/1", "j-000002/0", "j-000002/1")
-    assert home.c.machines.preempt(made(3), "m1", 0.0, home.now, (), 2)
-    assert {k[0] for k in home.c.machines.machines["m1"].pending_kills} == {
+def test_backfill_is_preempted_first(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = Home(monkeypatch)
+    objective_job, backfill_job = (
+        make_job(1, rank="best_effort"),
+        make_job(2, rank="best_effort", jobclass="unnamed"),
+    )
+    for job in (objective_job, backfill_job):
+        harness.c.jobs.live[job.id] = (job, 1)
+    harness.report("m1", "north", "plain", "j-000001/0", "j-000001/1", "j-000002/0", "j-000002/1")
+    assert harness.c.machines.preempt(make_job(3), "m1", 0.0, harness.now, (), 2)
+    assert {k[0] for k in harness.c.machines.machines["m1"].pending_kills} == {
         "j-000002/0",
         "j-000002/1",
     }
 
 
-@pytest.mark.parametrize("still_s", [0.0, 2.0, 5.0, 10.0, 20.0, 60.0])
-def test_nobody_was_silent_while_we_stood_still(
-    monkeypatch: pytest.MonkeyPatch, still_s: float
+@pytest.mark.parametrize("stall_s", [0.0, 2.0, 5.0, 10.0, 20.0, 60.0])
+def test_a_stall_makes_no_peer_or_machine_silent(
+    monkeypatch: pytest.MonkeyPatch, stall_s: float
 ) -> None:
-    """After standing still for seconds a controller found all others silent: it stepped
-    aside, and asked after every machine."""
-    home = Home(monkeypatch)
-    c = home.c
-    home.report("m1", "north", "plain")
+    """After a stall of a few seconds a controller must not take its peers and machines for silent,
+    because it would leave the epoch and inspect every machine."""
+    harness = Home(monkeypatch)
+    c = harness.c
+    harness.report("m1", "north", "plain")
     for label in ("c1", "c2"):
         c.membership.present[label] = label
         if label in c.peers:
-            c.peers[label].heard = home.now
-    assert c.stalls.check(home.now)
-    home.now += still_s + 0.2
-    known = c.stalls.check(home.now)
-    assert known == (still_s == 0.0)
-    assert c.membership.rescan and (still_s == 0.0 or not c.store.ok)
-    assert home.now - c.machines.machines["m1"].heard < c.fleet.silent_s
+            c.peers[label].heard = harness.now
+    assert c.stalls.check(harness.now)
+    harness.now += stall_s + 0.2
+    known = c.stalls.check(harness.now)
+    assert known == (stall_s == 0.0)
+    assert c.membership.rescan and (stall_s == 0.0 or not c.store.ok)
+    assert harness.now - c.machines.machines["m1"].heard < c.fleet.silent_s
     heard = {label: c.peers[label].heard for label in c.peers}
     assert not should_leave(
-        home.now, c.membership.label, heard, heard, 1.5 * c.membership.lease_ttl_s
+        harness.now, c.membership.label, heard, heard, 1.5 * c.membership.lease_ttl_s
     )
     if not known:
-        # What it last saw counts again once it has learnt whether it is still a member.
+        # The times of the last heartbeats count again once the records confirm the membership.
         c.stalls.confirmed_count = c.stalls.count
-        assert c.stalls.check(home.now)
+        assert c.stalls.check(harness.now)
 
 
-def test_what_waited_while_we_stood_still_is_not_taken(monkeypatch: pytest.MonkeyPatch) -> None:
-    home = Home(monkeypatch)
-    home.c.jobs.ended["j-000001"] = "done"  # so that nothing has to be asked
+def test_a_submission_after_a_stall_is_refused_until_membership_is_confirmed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    harness = Home(monkeypatch)
+    harness.c.jobs.ended["j-000001"] = "done"  # so that no request to the state service is needed
     body = msgspec.json.encode(wire_job(1))
     found = []
-    for still_s in (0.0, 8.0, 0.0):
-        home.now += still_s
-        found.append(curio.run(home.c.user_api.handle, "POST", "/api/jobs", body)[0])
-        home.c.stalls.confirmed_count = home.c.stalls.count
+    for stall_s in (0.0, 8.0, 0.0):
+        harness.now += stall_s
+        found.append(curio.run(harness.c.user_api.handle, "POST", "/api/jobs", body)[0])
+        harness.c.stalls.confirmed_count = harness.c.stalls.count
     assert found == [200, 503, 200]
 
 
 @pytest.mark.parametrize(
-    "late_s, codes, retry_after",
+    "delay_s, codes, retry_after",
     [
         (0.0, [201, 200, 200, 200, 200], ""),
         (0.6, [201, 200, 200, 200, 200], ""),
-        (0.8, [503, 200, 200, 200, 200], "1"),  # polls wait for 2 s at most
+        (0.8, [503, 200, 200, 200, 200], "1"),  # the poll limit is 2 s
         (3.0, [503, 200, 200, 200, 200], "6"),
         (60.0, [503, 200, 200, 200, 200], "30"),
     ],
 )
-def test_with_too_little_processor_time_submissions_are_refused_first(
-    monkeypatch: pytest.MonkeyPatch, late_s: float, codes: list[int], retry_after: str
+def test_submissions_are_refused_first_when_processor_time_is_short(
+    monkeypatch: pytest.MonkeyPatch, delay_s: float, codes: list[int], retry_after: str
 ) -> None:
-    """What is due soonest goes on: repeated submissions, polls, cancellations and reports.
-    (Without `processor_admission` the last three rows are accepted.)"""
-    home = Home(monkeypatch)
-    c = home.c
+    """Repeated submissions, polls, cancellations and reports are still answered.
+
+    Without `processor_admission` the submissions of the last three rows are accepted.
+    """
+    harness = Home(monkeypatch)
+    c = harness.c
     c.jobs.ended["j-000002"] = "done"
     c.membership.serving = True
-    c.stalls.timer_delay_s = late_s
+    c.stalls.timer_delay_s = delay_s
 
     async def commit(*_: Any) -> int:
         return 5
@@ -348,50 +370,53 @@
     assert dict(answers[0][2]).get("Retry-After", "") == retry_after
 
 
-@pytest.mark.parametrize("held_s", [0.0, 0.7, 2.0, 20.0])
-def test_how_late_a_process_is_shows_at_its_next_timer(
-    monkeypatch: pytest.MonkeyPatch, held_s: float
+@pytest.mark.parametrize("busy_s", [0.0, 0.7, 2.0, 20.0])
+def test_timer_delay_is_measured_at_the_next_timer(
+    monkeypatch: pytest.MonkeyPatch, busy_s: float
 ) -> None:
-    home = Home(monkeypatch)
+    harness = Home(monkeypatch)
 
     async def main(clock: Clock) -> None:
-        watching = await curio.spawn(home.c.stalls.detect_stalls)
+        watching = await curio.spawn(harness.c.stalls.detect_stalls)
         await curio.sleep(0)
-        clock.now += held_s  # the work of others, before timers are looked at again
+        clock.now += busy_s  # other routines use the processor until the next timer runs
         await curio.sleep(0.1)
-        seen.append(home.c.stalls.timer_delay_s)
+        seen.append(harness.c.stalls.timer_delay_s)
         await curio.sleep(1.0)
-        seen.append(home.c.stalls.timer_delay_s)
+        seen.append(harness.c.stalls.timer_delay_s)
         await watching.cancel()
 
     seen: list[float] = []
     simulate(monkeypatch, main)
-    pause_s = home.c.settings.cluster.workers.report_s / 4
-    # A stall of 20 s asked users to stay away for 30 s from a process that was idle again.
-    assert seen[0] == pytest.approx(min(max(0.0, held_s - pause_s), 6 * pause_s))
-    assert seen[1] == pytest.approx(0.0)  # and is over with the next that is in time
+    pause_s = harness.c.settings.cluster.workers.report_s / 4
+    # Without the bound, a stall of 20 s would put a Retry-After of 30 s into the answers of a
+    # process that is idle again.
+    assert seen[0] == pytest.approx(min(max(0.0, busy_s - pause_s), 6 * pause_s))
+    assert seen[1] == pytest.approx(0.0)  # the next timer was on time
 
 
 @pytest.mark.parametrize(
     "age, waiting, wanted",
     [
-        (5.0, 25000, None),  # hardly begun: nothing to judge it by
-        (100.0, 10000, None),  # 150 a second: done in time
-        (100.0, 20000, 546),  # 50 a second: late, unless so many run at a time
-        (300.0, 20000, 3000),  # nothing rented now would be there sooner than in 40 s
+        (5.0, 25000, None),  # too early to estimate a rate
+        (100.0, 10000, None),  # 150 tasks/s: ends in time
+        (100.0, 20000, 546),  # 50 tasks/s: late unless 546 tasks run at a time
+        (300.0, 20000, 3000),  # a machine rented now takes 40 s to boot
     ],
 )
-def test_many_short_tasks_are_rented_for_by_their_pace(
+def test_demand_for_many_short_tasks_follows_their_completion_rate(
     age: float, waiting: int, wanted: int | None
 ) -> None:
-    """A job of 25,000 tasks counted as early until it was nearly due, then as all too late."""
-    job = made(1, pieces=25000, guess_s=4.0, vcpus=0.25, due_s=400.0, rank="best_effort")
+    """Without the rate at which its tasks complete, a job of 25,000 tasks counts as early until it
+    is nearly due, and all of its tasks count as late after that."""
+    job = make_job(1, pieces=25000, guess_s=4.0, vcpus=0.25, due_s=400.0, rank="best_effort")
     found = urgent_demand([Demand(job, waiting, age)], {}, 1e9, boot_s=40.0)
     assert [n.tasks for n in found] == ([] if wanted is None else [wanted])
 
 
-def test_polls_share_requests_that_are_sent_after_them() -> None:
-    """Users who asked eight times as often took the requests that the work needed."""
+def test_polls_share_comparisons_that_are_sent_after_them() -> None:
+    """Polls share one comparison of revisions, because users who poll eight times as often would
+    otherwise use up the requests that scheduling needs."""
     sent: list[set[str]] = []
 
     class Store:
@@ -421,7 +446,7 @@
         return answers
 
     assert curio.run(main) == [True, True, False, True, True]
-    assert sent == [{"a"}, {"a", "b"}, {"c"}, {"x"}]  # two conditions a request at most
+    assert sent == [{"a"}, {"a", "b"}, {"c"}, {"x"}]  # at most two conditions per request
 
 
 @pytest.mark.parametrize(
@@ -434,7 +459,7 @@
         (-40.0, LEASE_PRIORITY_S, 0.0),
     ],
 )
-def test_users_go_ahead_of_what_waits_for_the_state_service(
+def test_requests_with_priority_wait_less_in_the_backlog(
     level: float, priority_s: float, wait: float
 ) -> None:
     bucket = TokenBucket(10.0, 0.0)
@@ -442,7 +467,7 @@
     assert bucket.delay(1.0, 0.0, priority_s) == pytest.approx(wait)
 
 
-def test_what_comes_too_late_to_be_read_is_refused_at_once() -> None:
+def test_a_read_that_would_miss_its_deadline_is_refused_at_once() -> None:
     store = StateStore("127.0.0.1", 1, 30.0, 10.0, 1.0, 3)
     store.requests.level = -100.0
 
@@ -452,21 +477,21 @@
 
     before = store.requests.level
     curio.run(main)
-    assert before <= store.requests.level < 0  # it has taken nothing from the others
+    assert before <= store.requests.level < 0  # the refused read has used no token
 
 
 @pytest.mark.parametrize(
     "took, booting, factor",
     [
-        ([1.0, 0.7, 1.4, 6.0], [], 1.0),  # a single late one is usual
+        ([1.0, 0.7, 1.4, 6.0], [], 1.0),  # a single late boot is normal
         ([3.0, 5.0, 1.0, 4.0], [], 4.0),
-        ([1.0], [2.0, 3.0, 3.5], 3.0),  # overdue, and not up yet
-        ([1.0, 1.0, 1.0], [0.5, 0.6], 1.0),  # not due yet: says nothing
+        ([1.0], [2.0, 3.0, 3.5], 3.0),  # overdue and still booting
+        ([1.0, 1.0, 1.0], [0.5, 0.6], 1.0),  # not due yet, so not counted
         ([0.05, 0.04, 0.1], [], 0.05),
-        ([9.0, 9.0], [], 1.0),  # too few
+        ([9.0, 9.0], [], 1.0),  # fewer than three boots
     ],
 )
-def test_boots_are_expected_as_they_were_seen(
+def test_expected_boot_times_follow_observed_boots(
     took: list[float], booting: list[float], factor: float
 ) -> None:
     kind = msgspec.convert(TYPES[0], MachineType)
@@ -479,41 +504,46 @@
     ]
     [seen] = boots.observed([kind], waiting, 100.0)
     assert seen.boot_s == pytest.approx(factor * kind.boot_s)
-    assert boots.observed([kind], [], 400.0) == [kind]  # it is tried again
+    assert boots.observed([kind], [], 400.0) == [
+        kind
+    ]  # old boots no longer count, so the type is tried again
 
 
-def test_a_type_that_comes_up_late_is_as_much_dearer() -> None:
+def test_a_type_that_boots_late_loses_to_a_more_expensive_one() -> None:
     types = msgspec.convert(
         [TYPES[0], {**TYPES[0], "label": "other", "rate": 0.6, "spot_price": 0.2}],
         list[MachineType],
     )
-    job, boots = made(1, loaners=False), {t.name: t.boot_s for t in types}
+    job, boots = make_job(1, loaners=False), {t.name: t.boot_s for t in types}
     for factor, chosen in ((1.0, "plain"), (3.0, "other")):
         late = [msgspec.structs.replace(types[0], boot_s=types[0].boot_s * factor), types[1]]
         bought = plan_rentals(late, [Demand(job, 3)], set(), 0.0, NO_POLICY, {}, boots)
         assert {k[0] for k in bought} == {chosen}
 
 
-def test_a_routine_does_not_go_on_under_the_next_epoch(
+def test_a_jobs_routine_stops_when_the_next_epoch_begins(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Delayed by a peer that had crashed, one did, beside its successor: both used the same
-    attempt number, the second reservation replaced the first one's launch, and its release
-    said that tasks were gone that ran (eleven ran twice)."""
-    home = Home(monkeypatch)
-    c = home.c
-    home.report("m1", "north", "plain")
-    job = made(1)
+    """A job's routine that was delayed by a crashed peer must not continue beside the routine of
+    the next epoch.
+
+    Both would use the same attempt number, the second reservation would replace the launch of the
+    first, and its release would report running tasks as gone. Eleven tasks ran twice that way.
+    """
+    harness = Home(monkeypatch)
+    c = harness.c
+    harness.report("m1", "north", "plain")
+    job = make_job(1)
     c.jobs.live[job.id] = (job, 1)
     c.membership.serving = True
-    old = ManagedJob(job, 1, 50, home.now, epoch=0)
+    old = ManagedJob(job, 1, 50, harness.now, epoch=0)
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
         if prepare == "starts":
             old.starts = [(n, "m1") for n in old.take_pending(2)]
         elif prepare == "outcomes":
             old.chunks[0].assigned[2] = (1, "m1")
-            old.handle_event("m1", 2, 1, "exited", "stopped", home.now)
+            old.handle_event("m1", 2, 1, "exited", "stopped", harness.now)
         step = c.owner_requests.adopt if prepare == "adopt" else c.dispatcher._step
         with pytest.raises(EpochEndedError):
             curio.run(step, old)
@@ -522,25 +552,26 @@
     assert not c.machines.machines["m1"].pending_kills
 
 
-def test_a_reservation_never_replaces_what_is_there() -> None:
-    b = Bench()
-    b.report()
-    b.launch()
-    b.owner.orders(b.machine)
-    for _ in range(2):  # sent, then listed
-        assert b.owner.reserve(JOB, [("m1", 0)], 1, 1.0) == [False]
-        b.owner.stop([("m1", *KEY, 0.0, False)])
-        assert not b.gone()
-        b.report((KEY, "running", ""))
+def test_a_reservation_never_replaces_an_existing_assignment() -> None:
+    bench = Bench()
+    bench.report()
+    bench.launch()
+    bench.owner.orders(bench.machine)
+    for _ in range(2):  # first with the launch sent, then with the task reported
+        assert bench.owner.reserve(JOB, [("m1", 0)], 1, 1.0) == [False]
+        bench.owner.stop([("m1", *KEY, 0.0, False)])
+        assert not bench.gone()
+        bench.report((KEY, "running", ""))
 
 
 @pytest.mark.parametrize("value_kb, limit", [(8.0, 12), (32.0, 28)])
 def test_scattered_tasks_are_committed_in_transactions_that_fit(
     value_kb: float, limit: int
 ) -> None:
-    """What waits again, or ended, all over a huge job was one transaction, refused whole."""
+    """Requeued or ended tasks that are spread over the chunks of a large job must not go into a
+    single transaction, because the state service refuses a transaction that is too large."""
     size = chunk_size(value_kb)
-    managed = ManagedJob(made(1, pieces=25000), 1, size, 0.0)
+    managed = ManagedJob(make_job(1, pieces=25000), 1, size, 0.0)
     managed.load({i: Chunk() for i in range(25000 // size + 1)})
     for index, chunk in managed.chunks.items():
         numbers = range(index * size, min(25000, (index + 1) * size))
@@ -555,28 +586,37 @@
     txn, _ = start_txn(managed, 1, [(n, f"i-{n:010d}") for n in taken], 4_000_000_000)
     assert len(json.dumps(txn.writes)) < 60 * 1024
     for chunk in managed.chunks.values():
-        managed.outcomes[next(iter(chunk.assigned))] = (4_000_000_000, True)  # the others run on
+        managed.outcomes[next(iter(chunk.assigned))] = (
+            4_000_000_000,
+            True,
+        )  # the other tasks keep running
     txn, chunks, covered, _ = outcome_txn(managed, 1, limit)
     assert 0 < len(chunks) <= limit and covered and len(json.dumps(txn.writes)) < 60 * 1024
     found: set[int] = set()
     managed.being_placed.clear()
     while more := managed.take_pending(500, limit):
         found.update(more)
-    assert found == set(everything)  # nothing is lost on the way
+    assert found == set(everything)  # no requeued task is lost
 
 
-def test_machines_that_are_not_closed_keep_no_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Only four idle ones are asked about in a round; the same four were, for minutes."""
-    home = Home(monkeypatch)
-    c, returned = home.c, []
-    job = made(1)
+def test_machines_that_cannot_be_drained_keep_no_others_rented(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A round tries to drain at most four idle machines.
+
+    If it tried the same four each time, although their owner can't drain them yet, all other idle
+    machines would stay rented for minutes.
+    """
+    harness = Home(monkeypatch)
+    c, returned = harness.c, []
+    job = make_job(1)
     c.jobs.live[job.id] = (job, 1)
     for number in range(6):
-        home.report(f"m{number}", "north", "plain")
+        harness.report(f"m{number}", "north", "plain")
         if number < 4:
-            c.machines.reserve(job, [(f"m{number}", number)], 1, home.now)
+            c.machines.reserve(job, [(f"m{number}", number)], 1, harness.now)
             c.machines.launch([(f"m{number}", f"j-000001/{number}", 1)])
-            home.report(f"m{number}", "north", "plain")
+            harness.report(f"m{number}", "north", "plain")
             c.machines.machines[f"m{number}"].reported_tasks[(f"j-000001/{number}", 1)] = (
                 TaskStatus("exited", "done", False)
             )
@@ -585,127 +625,138 @@
         returned.extend(names)
 
     monkeypatch.setattr(c.cloud, "give_back", give_back)
-    home.now += 1000.0
+    harness.now += 1000.0
     types = {t.name: t for t in c.catalogue.types}
 
     async def rounds() -> None:
         for _ in range(3):
-            home.now += 1.0
+            harness.now += 1.0
             c.machines.mark_all_changed()
-            await c.provisioner._return_idle(types, [], [], NO_POLICY, home.now)
+            await c.provisioner._return_idle(types, [], [], NO_POLICY, harness.now)
 
     curio.run(rounds)
     assert sorted(returned) == ["m4", "m5"]
 
 
-@pytest.mark.parametrize("spare, returned, looks", [(0, 4, 1), (8, 4, 1), (16, 2, 7), (24, 0, 9)])
-def test_idle_machines_are_looked_at_together(
-    monkeypatch: pytest.MonkeyPatch, spare: int, returned: int, looks: int
+@pytest.mark.parametrize(
+    "spare_tasks, returned, max_evaluations", [(0, 4, 1), (8, 4, 1), (16, 2, 7), (24, 0, 9)]
+)
+def test_idle_machines_are_evaluated_together(
+    monkeypatch: pytest.MonkeyPatch, spare_tasks: int, returned: int, max_evaluations: int
 ) -> None:
-    """Of six, four are asked about in a round; what is to be expected keeps its room. One
-    look for each was half of all processor time on a large fleet with little to do."""
-    home = Home(monkeypatch)
-    c, gone, asked = home.c, [], []
+    """A round considers four of six idle machines and keeps the room for expected tasks.
+
+    The round first evaluates all four together, because an evaluation for each machine took half
+    of all processor time on a large fleet with little work.
+    """
+    harness = Home(monkeypatch)
+    c, returned_names, evaluated = harness.c, [], []
     for number in range(6):  # of 8 CPUs each
-        home.report(f"m{number}", "north", "plain")
+        harness.report(f"m{number}", "north", "plain")
 
     async def give_back(names: list[str]) -> None:
-        gone.extend(names)
+        returned_names.extend(names)
 
     lost = c.provisioner._lost
 
     def count(*args: Any) -> int:
-        asked.append(args[1])
+        evaluated.append(args[1])
         return lost(*args)
 
     monkeypatch.setattr(c.cloud, "give_back", give_back)
     monkeypatch.setattr(type(c.provisioner), "_lost", staticmethod(count))
-    home.now += 1000.0
+    harness.now += 1000.0
     c.machines.mark_all_changed()
-    needs = [Demand(made(1, vcpus=2.0), spare)] if spare else []
+    needs = [Demand(make_job(1, vcpus=2.0), spare_tasks)] if spare_tasks else []
     curio.run(
         c.provisioner._return_idle,
         {t.name: t for t in c.catalogue.types},
         [],
         needs,
         NO_POLICY,
-        home.now,
+        harness.now,
     )
-    assert len(gone) == returned and len(asked) <= looks
-    assert asked[0] == ["m0", "m1", "m2", "m3"]
+    assert len(returned_names) == returned and len(evaluated) <= max_evaluations
+    assert evaluated[0] == ["m0", "m1", "m2", "m3"]
 
 
-def test_gangs_without_an_aim_get_their_machines_beside_arrays_with_one(
+def test_gangs_without_an_objective_get_machines_beside_arrays_with_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On a recorded day only arrays had an aim. Gangs on whole GPU machines, which may not
-    use spot ones, waited from its second minute to its ninth: the arrays of the lowest rank
-    held the quarter of the fleet that all work without an aim shared, and nothing was rented
-    for them."""
-    home = Home(monkeypatch)
+    """Backfill arrays of the lowest rank must not delay gangs without an objective that need whole
+    GPU machines and no spot machines.
+
+    On a recorded day on which only arrays had an objective, such gangs waited from the second to
+    the ninth minute: the arrays held the quarter of the fleet that all jobs without an objective
+    share, and no machine was rented for the gangs.
+    """
+    harness = Home(monkeypatch)
     for number in range(8):
-        home.report(f"m{number}", "north", "plain", *(f"j-000007/{number}{n}" for n in range(4)))
-    archive = made(7, jobclass="unnamed", rank="best_effort", pieces=100)
-    home.c.jobs.live[archive.id] = (archive, 1)
-    home.c.machines.mark_all_changed()
-    gang = home.wait(
-        made(
+        harness.report(f"m{number}", "north", "plain", *(f"j-000007/{number}{n}" for n in range(4)))
+    backfill_job = make_job(7, jobclass="unnamed", rank="best_effort", pieces=100)
+    harness.c.jobs.live[backfill_job.id] = (backfill_job, 1)
+    harness.c.machines.mark_all_changed()
+    gang = harness.wait(
+        make_job(
             1, jobclass="unnamed", shape="ensemble", pieces=1, vcpus=16.0, cards=2.0, loaners=False
         )
     )
-    home.wait(made(2, pieces=4))  # an array with an aim
-    home.look()
-    assert gang.starts == []  # there is no machine for it yet
-    waiting = home.c.placer.demand_report.whole_epoch()
-    bought = home.c.provisioner.planner.plan_backfill(
-        waiting, 64.0, home.c.cached_state.index(), home.c.placer.policy()
+    harness.wait(make_job(2, pieces=4))  # an array with an objective
+    harness.look()
+    assert gang.starts == []  # no machine fits yet
+    waiting = harness.c.placer.demand_report.whole_epoch()
+    bought = harness.c.provisioner.planner.plan_backfill(
+        waiting, 64.0, harness.c.cached_state.index(), harness.c.placer.policy()
     )
     assert [kind[0] for kind in bought] == ["accel"] and not bought[0][2]
-    # On one that the lowest rank fills it makes room, but not where others are.
-    home.report("m9", "north", "accel", *(f"j-000007/9{n}" for n in range(4)))
-    home.report("m10", "north", "accel", *(f"j-000005/{n}" for n in range(4)))
-    other = made(5, jobclass="unnamed", pieces=100)
-    home.c.jobs.live[other.id] = (other, 1)
-    home.c.machines.mark_all_changed()
-    home.now += home.c.membership.lease_ttl_s
-    home.look()
-    assert gang.starts == [] and home.c.machines.machines["m10"].pending_kills == {}
-    assert {k[0] for k in home.c.machines.machines["m9"].pending_kills} == {
+    # The gang preempts tasks of the lowest rank, but not those of other jobs.
+    harness.report("m9", "north", "accel", *(f"j-000007/9{n}" for n in range(4)))
+    harness.report("m10", "north", "accel", *(f"j-000005/{n}" for n in range(4)))
+    other = make_job(5, jobclass="unnamed", pieces=100)
+    harness.c.jobs.live[other.id] = (other, 1)
+    harness.c.machines.mark_all_changed()
+    harness.now += harness.c.membership.lease_ttl_s
+    harness.look()
+    assert gang.starts == [] and harness.c.machines.machines["m10"].pending_kills == {}
+    assert {k[0] for k in harness.c.machines.machines["m9"].pending_kills} == {
         f"j-000007/9{n}" for n in range(4)
     }
-    home.report("m9", "north", "accel")
-    home.look()
+    harness.report("m9", "north", "accel")
+    harness.look()
     assert gang.starts == [(0, "m9")]
 
 
 @pytest.mark.parametrize(
-    "epoch, heard, heard_s, voids",
+    "epoch, answering, answered_s, voids",
     [
         (4, "second", 1.0, True),
-        # The worker has seen no token of its owner, whose answer was lost; a launch is on its way.
+        # The worker has seen no token of its owner, whose answer was lost; a launch is in flight.
         (3, "second", 1.0, True),
         (0, "second", 1.0, True),
-        # An epoch that we don't know yet has entitled another process.
+        # A later epoch, which this controller has not read yet, names another owner.
         (5, "second", 1.0, False),
         (4, "first", 1.0, False),
         (3, "first", 1.0, False),
-        # It was the named one's predecessor that answered, before we read of the epoch.
+        # The predecessor of the named process answered, before this controller read the epoch.
         (4, "before", -1.0, False),
         (3, "before", -1.0, False),
     ],
 )
-def test_all_that_an_ended_owner_sent_is_void_and_nothing_later(
-    monkeypatch: pytest.MonkeyPatch, epoch: int, heard: str, heard_s: float, voids: bool
+def test_commands_of_an_ended_owner_are_void_and_later_ones_are_not(
+    monkeypatch: pytest.MonkeyPatch, epoch: int, answering: str, answered_s: float, voids: bool
 ) -> None:
-    """What is given out to a machine whose owner's process has ended, by the epoch of the
-    highest token that it has seen, when ours is the fourth."""
-    home = Home(monkeypatch)
-    c = home.c
+    """A worker whose owner's process has ended gets a token above all tokens of that process.
+
+    `epoch` is the epoch of the highest token that the worker has seen; this controller is in
+    epoch 4.
+    """
+    harness = Home(monkeypatch)
+    c = harness.c
     c.transition.begin(Epoch(4, {"c1": "first"}, 7))
     c.membership.records_loaded = True
     monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
-    c.watermark.note_promise("c1", heard, home.now + heard_s, home.now + heard_s)
-    c.fleet.report_answers.forwarded["m1"] = home.now
+    c.watermark.note_promise("c1", answering, harness.now + answered_s, harness.now + answered_s)
+    c.fleet.report_answers.forwarded["m1"] = harness.now
     sent = epoch << TOKEN_COUNTER_BITS | 5
     report = {"host": "m1", "address": "m:1", "flavor": "plain", "site": "north"}
     report |= {"loaners": False, "tenure": 1, "counter": 1, "epoch": sent, "pieces": []}
