--- a/tests/system/test_meetings.py
+++ b/tests/system/test_meetings.py
@@ -1,4 +1,4 @@
-"""Two troubles at once: meetings in which schedulers like this one have broken rules."""
+"""Combinations of two faults under which schedulers of this kind have broken rules."""
 
 from __future__ import annotations
 
@@ -31,60 +31,72 @@
 
 
 class Gap(NamedTuple):
-    """The state service refuses one, another confirms a cancellation, then nobody has it."""
+    """One case of the cancellation gap.
+
+    The state service refuses one controller, another controller confirms a cancellation to the
+    user, and then an outage begins in which no controller can read the record.
+    """
 
     controllers: int = 3
-    refused_s: float = 2.0  # from the refusal until the user asks to cancel
+    refused_s: float = 2.0  # from the refusal until the user cancels
     outage_s: float = 3 * CANCEL_S
-    word: str = "ends"  # why the one that is refused may not hear of it
-    way: str = "abort"  # what the user is told by
-    kind: str = "sweep"  # or "launch": its start command is still held on its way
-    home: str = "third"  # of the job: the refused one, the confirmer, or another
+    message_loss: str = "crash"  # how the refused controller is kept from learning of it
+    request: str = "abort"  # the request whose answer confirms the cancellation
+    kind: str = "sweep"  # or "launch": its launch command is still in flight
+    leader: str = "third"  # the job's leader: the refused controller, the confirmer or a third one
     times: int = 1
 
 
-async def settled(world: World, wanted: int) -> None:
-    """Until so many tasks are on machines."""
+async def wait_for_tasks(world: World, wanted: int) -> None:
+    """Wait until so many tasks are on machines."""
     end = world.clock() + 120.0
     while sum(len(w.on()) for w in world.workers.values()) < wanted:
         await curio.sleep(0.5)
-        assert world.clock() < end, "the day never began"
+        assert world.clock() < end, "the tasks were not placed in time"
+
 
+def choose_roles(world: World, row: Gap) -> tuple[str, str, str]:
+    """Return a job of the row's kind, the owner of one of its machines and another controller.
 
-def cast(world: World, row: Gap) -> tuple[str, str, str]:
-    """A job of the row's kind, the owner of a machine that it is on, and another controller;
-    its home is as the row has it."""
+    The job's leader has the role that the row asks for.
+    """
     epoch = next(iter(world.controllers.values())).membership.epoch
     for name in sorted(world.accepted - set(world.cancelled)):
         if world.kinds[name] != row.kind:
             continue
-        home = epoch.member_for(name)
+        leader = epoch.member_for(name)
         for worker in world.workers.values():
             if not any(k[0].startswith(name + "/") for k in worker.on()):
                 continue
             owner = epoch.member_for(worker.name)
             others = [x for x in world.labels if x != owner]
-            for asked in others:
-                role = "refused" if home == owner else "confirmer" if home == asked else "third"
-                if row.home in (role, "any"):
-                    return name, owner, asked
-    raise AssertionError("no such job today")
-
-
-async def ask(world: World, row: Gap, name: str, label: str) -> None:
-    """Until the user is told, and no later than that."""
-    if row.way == "abort":
+            for confirmer in others:
+                role = (
+                    "refused"
+                    if leader == owner
+                    else "confirmer"
+                    if leader == confirmer
+                    else "third"
+                )
+                if row.leader in (role, "any"):
+                    return name, owner, confirmer
+    raise AssertionError("no running job has this kind and leader")
+
+
+async def confirm_cancellation(world: World, row: Gap, name: str, label: str) -> None:
+    """Send the row's requests until an answer confirms the cancellation."""
+    if row.request == "abort":
         await world.abort(name, label)
         return
     while (await world.user(label, "POST", f"/api/jobs/{name}/abort"))[0] != 200:
-        await curio.sleep(0.2)  # these answers get lost on their way to the user
+        await curio.sleep(0.2)  # these answers do not reach the user
     while name not in world.cancelled:
-        if row.way == "retry":
+        if row.request == "retry":
             await world.abort(name, label)
         else:
             status, answer = await (
                 world.user(label, "POST", "/api/jobs", world.jobs[name])
-                if row.way == "submit"
+                if row.request == "submit"
                 else world.user(label, "GET", f"/api/jobs/{name}")
             )
             if status == 200:
@@ -92,22 +104,24 @@
         await curio.sleep(0.05)
 
 
-async def lose_word(world: World, word: str, refused: str, asked: str) -> None:
-    """What the confirmer may have said to the one that is refused is lost; or was not."""
-    if word == "ends":
-        await world.crash(asked)
-    elif word == "ends, heard by nobody":
-        await world.crash(asked)
-        world.cut.discard(f"{asked}>{refused}")
-    elif word == "refused":
-        world.cut.add(f"{refused}>{asked}")
-    elif word == "freezes":
-        world.cut.add(asked)
+async def lose_message(world: World, message_loss: str, refused: str, confirmer: str) -> None:
+    """Lose what the confirmer could tell the refused controller, in the way that
+    `message_loss` names."""
+    if message_loss == "crash":
+        await world.crash(confirmer)
+    elif message_loss == "cut, then crash":
+        await world.crash(confirmer)
+        world.cut.discard(f"{confirmer}>{refused}")
+    elif message_loss == "cut in two steps":
+        world.cut.add(f"{refused}>{confirmer}")
+    elif message_loss == "confirmer cut off":
+        world.cut.add(confirmer)
 
 
 async def launching(world: World) -> tuple[str, str, str]:
-    """A job whose start is committed, while the command is held on its way for long."""
-    refused, asked = "c0", "c1"
+    """Return a job whose start is committed while its launch command is delayed for long, the
+    sender of the command and another controller."""
+    refused, confirmer = "c0", "c1"
     world.held.add(refused)
     world.hold_s = (20.0, 60.0)
     for number in range(100, 112):
@@ -119,29 +133,31 @@
         for m in world.controllers[refused].machines.machines.values():
             for (task, _), desired in m.desired.items():
                 if world.kinds[task.partition("/")[0]] == "launch" and desired.phase == SENT:
-                    return task.partition("/")[0], refused, asked
-    raise AssertionError("nothing was launched there")
+                    return task.partition("/")[0], refused, confirmer
+    raise AssertionError("the refused controller sent no launch")
 
 
 async def fill(world: World) -> None:
-    """Jobs of each kind, with all their tasks on machines for as long as they are let."""
+    """Open the world and start long jobs of each kind, with all tasks on machines."""
     await world.open()
     for number in range(24):
         kind = sorted(KINDS)[number % len(KINDS)]
         value = job(number, **{"vcpus": 0.5, "guess_s": LONG_S, **KINDS[kind]})
         world.kinds[value["id"]] = kind
         await curio.spawn(world.submit, value, LONG_S, daemon=True)
-    await settled(world, 48)
+    await wait_for_tasks(world, 48)
     await curio.sleep(10.0)
 
 
-async def gap(clock: Clock, row: Gap, seed: int = 41) -> World:
+async def simulate_gap(clock: Clock, row: Gap, seed: int = 41) -> World:
     world = World(clock, seed, row.controllers)
     await fill(world)
     for _ in range(row.times):
-        name, refused, asked = cast(world, row) if row.kind != "launch" else await launching(world)
+        name, refused, confirmer = (
+            choose_roles(world, row) if row.kind != "launch" else await launching(world)
+        )
         world.state.refused.add(refused)
-        if row.word == "alone":
+        if row.message_loss == "isolated":
             world.cut |= {
                 f"{a}>{b}"
                 for a in world.labels
@@ -149,17 +165,17 @@
                 if a != b and refused in (a, b)
             }
         await curio.sleep(row.refused_s)
-        if row.word in ("refused", "ends, heard by nobody"):
-            world.cut.add(f"{asked}>{refused}")
-        if row.word == "cut":
-            world.cut.update({f"{asked}>{refused}", f"{refused}>{asked}"})
-        await curio.ignore_after(30.0, ask, world, row, name, asked)
-        assert name in world.cancelled, "nobody was told: the meeting didn't come about"
+        if row.message_loss in ("cut in two steps", "cut, then crash"):
+            world.cut.add(f"{confirmer}>{refused}")
+        if row.message_loss == "cut":
+            world.cut.update({f"{confirmer}>{refused}", f"{refused}>{confirmer}"})
+        await curio.ignore_after(30.0, confirm_cancellation, world, row, name, confirmer)
+        assert name in world.cancelled, "no answer confirmed the cancellation"
         world.state.outage(clock(), row.outage_s)
-        await lose_word(world, row.word, refused, asked)
+        await lose_message(world, row.message_loss, refused, confirmer)
         await curio.sleep(0.3)
-        if asked not in world.controllers:
-            await world.start(asked)
+        if confirmer not in world.controllers:
+            await world.start(confirmer)
         await curio.sleep(row.outage_s)
         world.state.refused.clear()
         world.cut.clear()
@@ -167,74 +183,86 @@
     return world
 
 
-ROWS = [
-    # The refusal just before, as long as a controller's lease, with a new epoch begun.
+GAPS = [
+    # The refusal is short, lasts about a controller's lease, or is so long that a new epoch begins.
     *(
-        Gap(refused_s=s, word=w, home=h)
-        for s, w, h in (
-            (0.5, "ends, heard by nobody", "refused"),
-            (0.5, "refused", "confirmer"),
-            (3.2, "ends", "confirmer"),
-            (4.0, "ends, heard by nobody", "refused"),
-            (6.0, "refused", "third"),
+        Gap(refused_s=s, message_loss=loss, leader=leader)
+        for s, loss, leader in (
+            (0.5, "cut, then crash", "refused"),
+            (0.5, "cut in two steps", "confirmer"),
+            (3.2, "crash", "confirmer"),
+            (4.0, "cut, then crash", "refused"),
+            (6.0, "cut in two steps", "third"),
             (12.0, "cut", "confirmer"),
             (20.0, "none", "third"),
         )
     ),
     *(
-        Gap(5, s, word=w, home=h)
-        for s, w, h in (
+        Gap(5, s, message_loss=loss, leader=leader)
+        for s, loss, leader in (
             (0.5, "cut", "confirmer"),
-            (0.5, "ends, heard by nobody", "confirmer"),
-            (6.0, "ends", "confirmer"),
+            (0.5, "cut, then crash", "confirmer"),
+            (6.0, "crash", "confirmer"),
         )
     ),
-    *(Gap(refused_s=3.2, home="confirmer", way=way) for way in ("retry", "poll", "submit")),
-    *(Gap(refused_s=3.2, home="confirmer", kind=kind) for kind in ("ensemble", "daemon", "saves")),
-    Gap(refused_s=0.5, kind="launch", word="none"),
-    Gap(refused_s=0.5, kind="launch", word="cut"),
-    Gap(refused_s=3.2, home="confirmer", word="freezes"),
-    # Of no use to it that the others have told each other.
     *(
-        Gap(c, s, word="alone", home=h, outage_s=o * CANCEL_S)
-        for c, s, h, o in ((3, 0.5, "refused", 3), (5, 4.0, "third", 3), (3, 4.0, "confirmer", 0.0))
+        Gap(refused_s=3.2, leader="confirmer", request=request)
+        for request in ("retry", "poll", "submit")
+    ),
+    *(
+        Gap(refused_s=3.2, leader="confirmer", kind=kind)
+        for kind in ("ensemble", "daemon", "saves")
     ),
-    *(Gap(refused_s=3.2, home="confirmer", outage_s=s * CANCEL_S) for s in (0.5, 1.0)),
-    Gap(refused_s=3.2, home="any", times=2),
+    Gap(refused_s=0.5, kind="launch", message_loss="none"),
+    Gap(refused_s=0.5, kind="launch", message_loss="cut"),
+    Gap(refused_s=3.2, leader="confirmer", message_loss="confirmer cut off"),
+    # The refused controller is isolated, so that the other controllers cannot tell it.
+    *(
+        Gap(c, s, message_loss="isolated", leader=leader, outage_s=outage * CANCEL_S)
+        for c, s, leader, outage in (
+            (3, 0.5, "refused", 3),
+            (5, 4.0, "third", 3),
+            (3, 4.0, "confirmer", 0.0),
+        )
+    ),
+    *(Gap(refused_s=3.2, leader="confirmer", outage_s=s * CANCEL_S) for s in (0.5, 1.0)),
+    Gap(refused_s=3.2, leader="any", times=2),
 ]
 
 
 @pytest.mark.parametrize(
     "row",
-    ROWS,
+    GAPS,
     ids=lambda r: "-".join(
         str(x) for x, d in zip(r, Gap._field_defaults.values()) if x != d
     ).replace(" ", "_"),
 )
-def test_what_is_cancelled_is_gone_although_nobody_reaches_the_state_service(
+def test_a_cancelled_job_stops_during_an_outage_of_the_state_service(
     monkeypatch: pytest.MonkeyPatch, row: Gap
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: gap(clock, row))
+    world = simulate(monkeypatch, lambda clock: simulate_gap(clock, row))
     assert world.broken == []
 
 
-async def out(clock: Clock, controllers: int, ends: tuple[int, ...], back_s: float) -> World:
-    """Nobody reaches the state service for long, nothing is cancelled, and some end."""
+async def outage_without_cancellation(
+    clock: Clock, controllers: int, restarted: tuple[int, ...], restart_after_s: float
+) -> World:
+    """Simulate a long outage without a cancellation, in which some controllers restart."""
     world = World(clock, 43, controllers)
     await fill(world)
     world.state.outage(clock(), 3 * CANCEL_S)
     await curio.sleep(5.0)
-    for number in ends:
+    for number in restarted:
         await world.crash(f"c{number}")
-    await curio.sleep(back_s)
-    for number in ends:
+    await curio.sleep(restart_after_s)
+    for number in restarted:
         await world.start(f"c{number}")
     await curio.sleep(3 * CANCEL_S)
     return world
 
 
 @pytest.mark.parametrize(
-    "controllers, ends, back_s, kept",
+    "controllers, restarted, restart_after_s, leases_kept",
     [
         (3, (), 0.0, True),
         (5, (), 0.0, True),
@@ -242,29 +270,33 @@
         (3, (1,), 0.8 * LEASE_S, True),
         (5, (1, 3), 0.8 * LEASE_S, True),
         (3, (0, 1), 0.3, True),
-        # What these may have told after their promises were over, nobody knows.
+        # The promises of the old process expired before the new one answered, so no peer knows
+        # whether the old process confirmed a cancellation after that.
         (3, (1,), 2 * LEASE_S, False),
-        # Nobody is left who knows what users were told.
+        # No controller is left that knows which cancellations were confirmed.
         (3, (0, 1, 2), 0.3, False),
     ],
 )
 def test_an_outage_in_which_nothing_is_cancelled_ends_no_lease(
     monkeypatch: pytest.MonkeyPatch,
     controllers: int,
-    ends: tuple[int, ...],
-    back_s: float,
-    kept: bool,
+    restarted: tuple[int, ...],
+    restart_after_s: float,
+    leases_kept: bool,
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: out(clock, controllers, ends, back_s))
+    world = simulate(
+        monkeypatch,
+        lambda clock: outage_without_cancellation(clock, controllers, restarted, restart_after_s),
+    )
     assert world.broken == []
-    assert all(w.session == 1 for w in world.workers.values() if not w.gone) == kept
+    assert all(w.session == 1 for w in world.workers.values() if not w.gone) == leases_kept
 
 
 Scene = Callable[[World], Coroutine[Any, Any, None]]
 
 
 async def cut_leader(world: World) -> None:
-    """1: one loses the state service and the other controllers, not its workers and users."""
+    """1: a controller loses the state service and its peers, but not its workers and users."""
     for _ in range(2):
         label = world.rng.choice(world.labels)
         lost = {
@@ -279,7 +311,8 @@
 
 
 async def there_and_back(world: World) -> None:
-    """2: one is left out and comes back, all end, and one is back before the others."""
+    """2: a controller is left out of the epoch and returns, then all controllers restart, one
+    before the others."""
     for _ in range(3):
         label = world.rng.choice(world.labels)
         world.state.refused.add(label)
@@ -295,16 +328,16 @@
         await curio.sleep(world.rng.uniform(0.5, 8.0))
 
 
-async def ends_far_apart(world: World) -> None:
-    """3: the tasks of a job end long after each other, and its home changes between them."""
+async def spread_task_ends(world: World) -> None:
+    """3: the tasks of a job end far apart, and its leader changes between them."""
     world.apart = 1.5
     for _ in range(6):
         await curio.sleep(world.rng.uniform(3.0, 9.0))
         await again(world, world.rng.choice(world.labels))
 
 
-async def old_reports(world: World) -> None:
-    """4: reports arrive again, late, at whoever has just begun as well."""
+async def repeat_reports(world: World) -> None:
+    """4: copies of reports arrive late, also at controllers that have just started."""
     world.late_reports = 0.4
     for _ in range(5):
         await curio.sleep(world.rng.uniform(3.0, 12.0))
@@ -314,8 +347,8 @@
                 worker.hung_until = world.clock() + world.rng.uniform(5.0, 14.0)
 
 
-async def commands_held(world: World) -> None:
-    """5: commands and their answers are held up, and machines stand still and go on."""
+async def delay_commands(world: World) -> None:
+    """5: commands and their answers are delayed, and machines hang and continue."""
     world.hold_s = (2.0, 15.0)
     for _ in range(6):
         label = world.rng.choice(world.labels)
@@ -329,15 +362,16 @@
 
 
 async def late_writes(world: World) -> None:
-    """6: transactions without an answer are carried out after newer ones."""
+    """6: transactions without an answer are applied after newer ones."""
     world.late_writes = 0.25
     for _ in range(5):
         await curio.sleep(world.rng.uniform(2.0, 10.0))
         await again(world, world.rng.choice(world.labels))
 
 
-async def slow_then_out(world: World) -> None:
-    """7: the state service is slow, refuses one, and then all for longer than `cancel_s`."""
+async def slow_then_outage(world: World) -> None:
+    """7: the state service is slow, refuses one controller, and then all of them for longer than
+    `cancel_s`."""
     world.slow_s = 1.5
     await curio.sleep(20.0)
     world.state.refused.add(world.rng.choice(world.labels))
@@ -347,8 +381,8 @@
     world.state.refused.clear()
 
 
-async def deaf_machines(world: World) -> None:
-    """8: machines hear no answer, or can't be reached, and a leader ends meanwhile."""
+async def block_answers(world: World) -> None:
+    """8: machines receive no answers or are unreachable, and a controller restarts meanwhile."""
     for _ in range(3):
         names = sorted(n for n, w in world.workers.items() if w.alive())
         chosen = set(world.rng.sample(names, len(names) // 4))
@@ -363,22 +397,24 @@
 SCENES: list[Scene] = [
     cut_leader,
     there_and_back,
-    ends_far_apart,
-    old_reports,
-    commands_held,
+    spread_task_ends,
+    repeat_reports,
+    delay_commands,
     late_writes,
-    slow_then_out,
-    deaf_machines,
+    slow_then_outage,
+    block_answers,
 ]
 
 
-async def meet(clock: Clock, scenes: tuple[Scene, ...], seed: int, controllers: int) -> World:
+async def simulate_faults(
+    clock: Clock, scenes: tuple[Scene, ...], seed: int, controllers: int
+) -> World:
     world = World(clock, seed, controllers)
     await world.open()
-    troubles = [await curio.spawn(scene, world, daemon=True) for scene in scenes]
+    faults = [await curio.spawn(scene, world, daemon=True) for scene in scenes]
     await work(world)
-    for trouble in troubles:
-        await trouble.join()
+    for fault in faults:
+        await fault.join()
     world.late_reports = world.late_writes = world.slow_s = 0.0
     for holder in (world.cut, world.held, world.deaf, world.state.refused):
         holder.clear()
@@ -393,7 +429,7 @@
 
 
 def held_up(world: World) -> list[str]:
-    """Rules broken, and what was not served once it was calm."""
+    """Return the broken rules and the jobs that were not served after the faults."""
     return [
         *world.broken,
         *(
@@ -411,43 +447,46 @@
     [
         *((s,) for s in SCENES),
         (cut_leader, late_writes),
-        (slow_then_out, old_reports),
-        (deaf_machines, there_and_back),
+        (slow_then_outage, repeat_reports),
+        (block_answers, there_and_back),
     ],
     ids=lambda scenes: "+".join(s.__name__ for s in scenes),
 )
-def test_rules_hold_when_two_troubles_meet(
+def test_rules_hold_under_combined_faults(
     monkeypatch: pytest.MonkeyPatch, scenes: tuple[Scene, ...], controllers: int
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: meet(clock, scenes, 50, controllers))
+    world = simulate(monkeypatch, lambda clock: simulate_faults(clock, scenes, 50, controllers))
     assert held_up(world) == []
 
 
-async def copied(clock: Clock, seed: int, controllers: int) -> tuple[World, list[Any]]:
-    """A day on which every transaction is sent once more, 2 to 12 s after it was carried out:
-    those of which the copy changed something."""
+async def repeat_transactions(clock: Clock, seed: int, controllers: int) -> tuple[World, list[Any]]:
+    """Simulate a day on which each transaction is applied again 2 to 12 s later.
+
+    Returns:
+        The world, and the transactions whose copies changed something.
+    """
     world = World(clock, seed, controllers)
-    carried: list[tuple[float, Any]] = []
+    copies: list[tuple[float, Any]] = []
     found = []
     commit = world.state.commit
 
     def remember(body: Any) -> tuple[int, Any]:
         answer = commit(body)
         if answer[0] == 200 and body.get("writes"):
-            carried.append((clock() + world.rng.uniform(2.0, 12.0), json.loads(json.dumps(body))))
+            copies.append((clock() + world.rng.uniform(2.0, 12.0), json.loads(json.dumps(body))))
         return answer
 
-    async def again_and_again() -> None:
+    async def apply_copies() -> None:
         while True:
             await curio.sleep(0.1)
-            for entry in [e for e in carried if e[0] <= clock()]:
-                carried.remove(entry)
+            for entry in [e for e in copies if e[0] <= clock()]:
+                copies.remove(entry)
                 if commit(entry[1])[0] == 200:
                     found.append(entry[1])
 
     world.state.commit = remember  # type: ignore[method-assign]
     await world.open()
-    await curio.spawn(again_and_again, daemon=True)
+    await curio.spawn(apply_copies, daemon=True)
     await curio.spawn(there_and_back, world, daemon=True)
     await curio.spawn(cut_leader, world, daemon=True)
     await work(world)
@@ -455,49 +494,55 @@
 
 
 @pytest.mark.parametrize("seed, controllers", [(71, 3), (72, 3), (73, 5)])
-def test_no_transaction_does_anything_when_it_is_carried_out_once_more(
+def test_no_transaction_has_an_effect_when_it_is_applied_twice(
     monkeypatch: pytest.MonkeyPatch, seed: int, controllers: int
 ) -> None:
-    """A controller's key, put without naming what it replaces, was put in its successor's
-    place; and removed late, it took a later one away."""
-    world, found = simulate(monkeypatch, lambda clock: copied(clock, seed, controllers))
+    """A late copy of a controller's registration without a condition on the replaced revision
+    would overwrite its successor's key, and a late copy of the removal would delete it."""
+    world, found = simulate(
+        monkeypatch, lambda clock: repeat_transactions(clock, seed, controllers)
+    )
     assert found == [] and held_up(world) == []
 
 
-async def deaf(
-    clock: Clock, share: float, for_s: float, leader_ends: bool
+async def simulate_blocked_answers(
+    clock: Clock, share: float, for_s: float, owner_restarts: bool
 ) -> tuple[World, int, float]:
-    """Machines with long tasks hear nothing for a while: how many were given back, and when
-    all of these tasks ran again for good."""
+    """Simulate machines with long tasks that receive no answers for a while.
+
+    Returns:
+        The world, the number of these machines that were returned to the cloud, and the seconds
+        until all of their tasks ran again for good.
+    """
     world = World(clock, 44)
     await fill(world)
     chosen = busiest(world, share)
-    missed_s = await last_missed_s(world, world.deaf, chosen, for_s, leader_ends, 3 * CANCEL_S)
+    missed_s = await last_missed_s(world, world.deaf, chosen, for_s, owner_restarts, 3 * CANCEL_S)
     return world, sum(w.gone for w in chosen), missed_s
 
 
-@pytest.mark.parametrize("leader_ends", [False, True])
+@pytest.mark.parametrize("owner_restarts", [False, True])
 @pytest.mark.parametrize(
-    "share, for_s, gone, most_s",
+    "share, for_s, expect_returned, most_s",
     [
-        # Tasks go on where they hear again in time.
+        # The tasks keep running if answers arrive again within the lease.
         (0.0, 0.4 * LEASE_S, False, 0.0),
         (0.8, 0.4 * LEASE_S, False, 0.0),
-        # Beyond that they begin elsewhere, although the machines go on reporting.
+        # After the lease the tasks start on other machines, although these machines still report.
         (0.0, 10 * LEASE_S, True, CANCEL_S),
         (0.8, 10 * LEASE_S, True, 2 * CANCEL_S),
     ],
 )
-def test_machines_that_hear_nothing_keep_no_task_for_ever(
+def test_machines_that_receive_no_answers_lose_their_tasks_after_the_lease(
     monkeypatch: pytest.MonkeyPatch,
     share: float,
     for_s: float,
-    gone: bool,
+    expect_returned: bool,
     most_s: float,
-    leader_ends: bool,
+    owner_restarts: bool,
 ) -> None:
     world, returned, missed_s = simulate(
-        monkeypatch, lambda clock: deaf(clock, share, for_s, leader_ends)
+        monkeypatch, lambda clock: simulate_blocked_answers(clock, share, for_s, owner_restarts)
     )
     assert world.broken == []
-    assert bool(returned) == gone and missed_s <= most_s
+    assert bool(returned) == expect_returned and missed_s <= most_s
--- a/tests/system/test_meetings_page.py
+++ b/tests/system/test_meetings_page.py
@@ -1,5 +1,7 @@
-"""Meetings of two troubles, each as a scene beside a day's work: rules hold while they last,
-and all is served once they are over."""
+"""Combinations of faults during a simulated day of jobs.
+
+The rules hold while the faults last, and every job is served after them.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +36,8 @@
 Scene = Callable[[World], Coroutine[Any, Any, None]]
 
 
-async def zone_cut_off(world: World) -> None:
-    """A zone's workers and a controller reach only each other, for longer than a lease."""
+async def isolated_zone(world: World) -> None:
+    """The workers of a zone and a controller reach only each other for longer than a lease."""
     names = await long_jobs(world, 8)
     for half in (names[:4], names[4:]):
         world.enclosed = {world.rng.choice(world.labels)}
@@ -47,8 +49,8 @@
         await curio.sleep(world.rng.uniform(2.0, 8.0))
 
 
-async def bound_to_a_zone(world: World) -> None:
-    """Arrays, gangs and services that keep to one zone lose machines, and a leader ends."""
+async def zone_constraints(world: World) -> None:
+    """Arrays and gangs with zone constraints lose machines, and controllers change meanwhile."""
     for number in range(FIRST_EXTRA, FIRST_EXTRA + 8):
         kind: dict[str, Any] = [
             {"pieces": 5, "together": True},
@@ -62,10 +64,10 @@
         zone = world.rng.choice(ZONES)
         there = [w for w in world.workers.values() if w.alive() and w.zone == zone and w.on()]
         for worker in there[: 1 + len(there) // 2]:
-            what = world.rng.random()
-            if what < 0.4:
+            draw = world.rng.random()
+            if draw < 0.4:
                 world.kill(worker)
-            elif what < 0.8:
+            elif draw < 0.8:
                 world.cut.add(worker.name)
             else:
                 worker.hung_until = world.clock() + world.rng.uniform(3.0, 12.0)
@@ -76,7 +78,7 @@
 
 
 async def ten_changes(world: World, outage: bool = False) -> None:
-    """Leaders change ten times in two minutes, also inside an outage."""
+    """Ten controllers in a row restart or are excluded within two minutes, also in an outage."""
     names = await long_jobs(world, 8)
     if outage:
         world.state.outage(world.clock() + 6.0, 1.6 * CANCEL_S)
@@ -87,7 +89,7 @@
 
 
 async def answers_lost(world: World) -> None:
-    """Transactions are carried out at once and only their answers are lost, while all read."""
+    """Transactions are applied at once and only their answers are lost, while reads work."""
     world.lost_answers = 0.3
     names = await long_jobs(world, 6)
     await cancel(world, names, 25.0)
@@ -96,9 +98,9 @@
         await changed(world)
 
 
-async def cancelled_as_one_is_refused(world: World) -> None:
-    """Jobs are cancelled before, in and after the same tenth of a second in which the state
-    service refuses one alone; a second later it is out for longer than `cancel_s`."""
+async def cancelled_as_one_controller_is_refused(world: World) -> None:
+    """Jobs are cancelled around the moment at which the state service starts to refuse one
+    controller; a second later an outage longer than `cancel_s` begins."""
     names = await long_jobs(world, 10)
     owners = [
         world.controllers["c0"].membership.epoch.member_for(w.name)
@@ -113,8 +115,8 @@
     world.state.refused.clear()
 
 
-async def commands_of_the_deposed(world: World) -> None:
-    """Commands of one that has ended or is left out arrive after those of the next."""
+async def late_commands_of_former_owners(world: World) -> None:
+    """Commands of a former owner that crashed or was excluded arrive after its successor's."""
     world.late_commands = 0.5
     names = await long_jobs(world, 8)
     for name in names:
@@ -123,14 +125,14 @@
         await curio.sleep(world.rng.uniform(0.5, 5.0))
 
 
-async def full_team(world: World, leader_first: bool = False) -> None:
-    """A team is at its limit while its jobs are cancelled, machines are cut off or hang, and
-    the leader changes, before the cancellation or after it."""
+async def team_at_limit(world: World, change_first: bool = False) -> None:
+    """A team is at its limit while its jobs are cancelled, machines are cut off or hang, and a
+    controller restarts or is excluded, before or after the cancellation."""
     fields = {"owner": "tight", "cards": 1.0, "shape": "sweep", "pieces": 2, "loaners": False}
     names = await long_jobs(world, 4, **fields)
     for half in (names[:2], names[2:]):
         machines = [w for name in half for w in running(world, name)]
-        if leader_first:
+        if change_first:
             await curio.spawn(changed, world, daemon=True)
             await curio.sleep(world.rng.uniform(0.0, 1.0))
         for worker in machines:
@@ -140,7 +142,7 @@
                 worker.hung_until = world.clock() + world.rng.uniform(3.0, 14.0)
         await curio.sleep(world.rng.uniform(0.0, 1.0))
         await cancel(world, half, 1.0)
-        if not leader_first:
+        if not change_first:
             await curio.sleep(world.rng.uniform(0.0, 1.5))
             await changed(world)
         await curio.sleep(world.rng.uniform(5.0, 20.0))
@@ -148,8 +150,8 @@
         await curio.sleep(world.rng.uniform(2.0, 12.0))
 
 
-async def all_away(world: World) -> None:
-    """Nobody is there for longer than a lease."""
+async def no_controllers(world: World) -> None:
+    """No controller runs for longer than a lease."""
     names = await long_jobs(world, 6)
     await cancel(world, names[:3], 2.0)
     await curio.sleep(1.0)
@@ -162,8 +164,8 @@
     await cancel(world, names[3:], 5.0)
 
 
-async def cancelled_as_work_changes_hands(world: World) -> None:
-    """Jobs are cancelled in the seconds in which one controller's work goes to the others."""
+async def cancelled_during_takeover(world: World) -> None:
+    """Jobs are cancelled while other controllers take over the jobs of one."""
     names = await long_jobs(world, 12)
     for n in range(0, len(names), 4):
         await cancel(world, names[n : n + 4], 8.0)
@@ -177,8 +179,8 @@
         await curio.sleep(world.rng.uniform(2.0, 6.0))
 
 
-async def mute_machines(world: World) -> None:
-    """Workers open no connection to any controller, while commands reach them."""
+async def blocked_reports(world: World) -> None:
+    """Workers can't connect to any controller, while commands still reach them."""
     names = await long_jobs(world, 8)
     for n in range(0, len(names), 2):
         world.mute = set(some_machines(world, 0.4))
@@ -191,8 +193,12 @@
         await curio.sleep(world.rng.uniform(1.0, 5.0))
 
 
-async def reports_for_the_next(world: World, late_s: tuple[float, float]) -> None:
-    """Old reports reach every controller with a new epoch, or once it has acted."""
+async def old_reports_in_new_epochs(world: World, late_s: tuple[float, float]) -> None:
+    """Copies of old reports reach every controller after each new epoch.
+
+    `late_s` is the range of the delay after the start of the epoch: the controllers have either
+    just begun the epoch or already acted in it.
+    """
     world.kept_reports = 0.5
     copies = await curio.spawn(world.hand_over_copies, late_s, daemon=True)
     names = await long_jobs(world, 6)
@@ -206,31 +212,32 @@
 
 
 async def new_machines_at_once(world: World) -> None:
-    """Machines are up within two seconds and get work at once, writes lag, leaders end."""
+    """Machines boot within two seconds and get tasks at once, writes are late, controllers
+    restart."""
     world.boot_s = (0.2, 2.0)
     world.late_writes, world.slow_s = 0.15, 0.4
     for number in range(FIRST_EXTRA, FIRST_EXTRA + 6):
-        wide = job(number, pieces=4, vcpus=7.0, rank="high")
-        await curio.spawn(world.submit, wide, 5.0, daemon=True)
+        large = job(number, pieces=4, vcpus=7.0, rank="high")
+        await curio.spawn(world.submit, large, 5.0, daemon=True)
         await curio.sleep(world.rng.uniform(0.3, 4.0))
         await again(world, world.rng.choice(world.labels))
         await curio.sleep(world.rng.uniform(1.0, 5.0))
 
 
-async def short_of_room(world: World) -> None:
-    """There is more work than room, urgent and not, over slow links."""
+async def lack_of_room(world: World) -> None:
+    """Urgent and other jobs need more room than there is, and messages are slow."""
     world.link_s = 0.3
     for number in range(FIRST_EXTRA, FIRST_EXTRA + 9):
         rank = ("best_effort", "normal", "high")[number % 3]
-        many = job(number, pieces=20, vcpus=2.0, rank=rank, due_s=60.0 if rank == "high" else None)
-        await curio.spawn(world.submit, many, 6.0, daemon=True)
+        large = job(number, pieces=20, vcpus=2.0, rank=rank, due_s=60.0 if rank == "high" else None)
+        await curio.spawn(world.submit, large, 6.0, daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 2.0))
     await changed(world)
     await curio.sleep(30.0)
 
 
 async def one_task_jobs(world: World, for_s: float = 60.0) -> None:
-    """One-task jobs come four a second, and a quarter of them is cancelled."""
+    """Four one-task jobs arrive each second, and a quarter of them is cancelled."""
     for number in range(FIRST_EXTRA, FIRST_EXTRA + int(4 * for_s)):
         value = job(number, pieces=1, vcpus=0.5, guess_s=2.0)
         cancelled = number % 4 == 0
@@ -241,7 +248,7 @@
 
 
 async def cancelled_at_the_end(world: World) -> None:
-    """Jobs are cancelled at the moment in which their last task ends."""
+    """Jobs are cancelled at the moment at which their last task ends."""
     world.cancelled_at_end = 0.6
     for number in range(FIRST_EXTRA, FIRST_EXTRA + 20):
         await curio.spawn(world.submit, job(number, pieces=1 + number % 2), 3.0, daemon=True)
@@ -249,7 +256,7 @@
 
 
 async def cancelled_while_machines_hang(world: World) -> None:
-    """Running jobs are cancelled within a fifth of a second, machines hang and go on."""
+    """Running jobs are cancelled within a fifth of a second, machines hang and continue."""
     names = await long_jobs(world, 12)
     for n in range(0, len(names), 4):
         await cancel_now(world, names[n : n + 4], world.rng.uniform(0.5, 1.4) * LEASE_S)
@@ -258,46 +265,46 @@
         await curio.sleep(world.rng.uniform(5.0, 15.0))
 
 
-# Every row was seen to fail with a mechanism taken out: the conditions of transactions on
-# chunks and epoch (zone_cut_off), on quotas (full_team_leader_first) and on live and final
-# records (cancelled_at_the_end); the numbers of reports (reports_once_the_next_has_acted);
-# that only a fenced report says "gone" of an adopted task (ten_changes, new_machines_at_once,
-# reports_as_the_next_begins, short_of_room); the zones of spread jobs (bound_to_a_zone); kills
-# of what is cancelled (the others).
+# Each scene fails when one mechanism is removed: the transaction conditions on chunks and epoch
+# (isolated_zone), on quotas (team_at_limit_after_change) and on live and final records
+# (cancelled_at_the_end); the sequence numbers of reports (old_reports_after_first_actions); the
+# rule that only a report under the current token reports an adopted task as gone (ten_changes,
+# new_machines_at_once, old_reports_in_new_epoch, lack_of_room); the zones of spread jobs
+# (zone_constraints); the kills of cancelled tasks (all others).
 SCENES: dict[str, Scene] = {
-    "zone_cut_off": zone_cut_off,
-    "bound_to_a_zone": bound_to_a_zone,
+    "isolated_zone": isolated_zone,
+    "zone_constraints": zone_constraints,
     "ten_changes": ten_changes,
-    "ten_changes_in_an_outage": partial(ten_changes, outage=True),
+    "ten_changes_during_an_outage": partial(ten_changes, outage=True),
     "answers_lost": answers_lost,
-    "cancelled_as_one_is_refused": cancelled_as_one_is_refused,
-    "commands_of_the_deposed": commands_of_the_deposed,
-    "full_team": full_team,
-    "full_team_leader_first": partial(full_team, leader_first=True),
-    "all_away": all_away,
-    "cancelled_as_work_changes_hands": cancelled_as_work_changes_hands,
-    "mute_machines": mute_machines,
-    "reports_as_the_next_begins": partial(reports_for_the_next, late_s=(0.0, 0.3)),
-    "reports_once_the_next_has_acted": partial(reports_for_the_next, late_s=(2.0, 8.0)),
+    "cancelled_as_one_controller_is_refused": cancelled_as_one_controller_is_refused,
+    "late_commands_of_former_owners": late_commands_of_former_owners,
+    "team_at_limit": team_at_limit,
+    "team_at_limit_after_change": partial(team_at_limit, change_first=True),
+    "no_controllers": no_controllers,
+    "cancelled_during_takeover": cancelled_during_takeover,
+    "blocked_reports": blocked_reports,
+    "old_reports_in_new_epoch": partial(old_reports_in_new_epochs, late_s=(0.0, 0.3)),
+    "old_reports_after_first_actions": partial(old_reports_in_new_epochs, late_s=(2.0, 8.0)),
     "new_machines_at_once": new_machines_at_once,
-    "short_of_room": short_of_room,
+    "lack_of_room": lack_of_room,
     "one_task_jobs": one_task_jobs,
     "cancelled_at_the_end": cancelled_at_the_end,
     "cancelled_while_machines_hang": cancelled_while_machines_hang,
 }
 
 
-SEEDS = {"cancelled_at_the_end": 61}  # 60 doesn't fail with the conditions taken out
+SEEDS = {"cancelled_at_the_end": 61}  # seed 60 passes even without the conditions
 
 
-async def scene_day(clock: Clock, name: str, seed: int, controllers: int) -> World:
-    """A day's work, the scene beside it, and what is judged once it is over."""
+async def run_day_with_scene(clock: Clock, name: str, seed: int, controllers: int) -> World:
+    """Simulate a day of jobs beside a scene, and check afterwards that every job is served."""
     world = World(clock, seed, controllers)
     await world.open()
     await curio.spawn(watch_waiting, world, daemon=True)
-    trouble = await curio.spawn(SCENES[name], world, daemon=True)
+    fault = await curio.spawn(SCENES[name], world, daemon=True)
     await work(world)
-    await trouble.join()
+    await fault.join()
     calm(world)
     await cancel(world, [name for name, run_s in world.run_s.items() if run_s == LONG_S])
     left = await until_finished(world)
@@ -308,6 +315,10 @@
 
 
 @pytest.mark.parametrize("name", SCENES)
-def test_rules_hold_and_all_is_served_after(monkeypatch: pytest.MonkeyPatch, name: str) -> None:
-    world = simulate(monkeypatch, lambda clock: scene_day(clock, name, SEEDS.get(name, 60), 3))
+def test_rules_hold_and_every_job_is_served_after_the_faults(
+    monkeypatch: pytest.MonkeyPatch, name: str
+) -> None:
+    world = simulate(
+        monkeypatch, lambda clock: run_day_with_scene(clock, name, SEEDS.get(name, 60), 3)
+    )
     assert world.broken == []
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests by their fields, types and names: what is taken, and what is refused with what."""
+"""Validation of requests: which fields, types and names are accepted, and the status otherwise."""
 
 from __future__ import annotations
 
@@ -25,8 +25,11 @@
 
 @pytest.mark.parametrize("field", sorted(job(1)))
 def test_a_field_may_be_left_out_only_where_it_may_be_null(field: str) -> None:
-    """The protocol's first list says so for every message. (Fails with a default for any other
-    field, or with none for one of these three.)"""
+    """Only the three fields that may be null may be absent, as the protocol defines for every
+    message.
+
+    The test fails if another field has a default, or one of these three has none.
+    """
     handler, _ = api()
     null = {**job(1), field: None}
     missing = {k: v for k, v in job(1).items() if k != field}
@@ -37,11 +40,11 @@
 @pytest.mark.parametrize(
     "field, values, status",
     [
-        # The form of an id, whole: `$` in a pattern lets a line feed through.
+        # The whole id must match: `$` in a pattern accepts a trailing line feed.
         ("id", ["j-77\n", "j-77 ", " j-77", "j-77\r", "J-77", "j-", "j-٣", "j-7/1", ""], 400),
         ("prereqs", [["j-77\n"], ["j-1", "77"], "j-1", [7], [None], {}], 400),
         ("prereqs", [None, []], 201),
-        # Counts are integers, amounts decimal numbers, and neither is true, text or a list.
+        # Counts are integers and amounts are numbers; booleans, strings and lists are refused.
         ("pieces", [0, -1, 100_001, 3.0, 1e2, "3", True, 2**70, [3]], 400),
         *((f, [True, "2", -0.5, [2]], 400) for f in ("vcpus", "cards", "ram_gb", "image_gb")),
         *((f, [True, "2", -0.5, [2]], 400) for f in ("guess_s", "snapshot_every_s", "snapshot_s")),
@@ -57,12 +60,12 @@
         ("site", ["", 7, ["north"]], 400),
         ("site", ["North", "west"], 422),
         ("owner", ["nobody", "free "], 422),
-        # Not among the fields: ignored, whatever it holds.
+        # Unknown fields are ignored, whatever their value.
         ("aimless", ["yes", True, None, 7], 201),
         ("status", ["done", {"a": [1]}], 201),
     ],
 )
-def test_values(field: str, values: list[Any], status: int) -> None:
+def test_field_values(field: str, values: list[Any], status: int) -> None:
     for value in values:
         handler, _ = api()
         raw = json.dumps({**job(1), field: value}).encode()
@@ -93,7 +96,7 @@
         (RAW.encode().replace(b"img-1", b"img-\xff"), 400),
     ],
 )
-def test_bodies(raw: str | bytes, status: int) -> None:
+def test_request_bodies(raw: str | bytes, status: int) -> None:
     handler, _ = api()
     assert submit(handler, raw if isinstance(raw, bytes) else raw.encode()) == status
 
@@ -101,19 +104,24 @@
 @pytest.mark.parametrize(
     "record, status",
     [
-        # Records leave defaults out; the first versions let a line feed through.
+        # Records omit defaults, and the first versions accepted a trailing line feed.
         ({}, 200),
         ({"id": "j-77\n"}, 200),
         ({"prereqs": ["j-77\n"]}, 200),
-        # What no machine is there for, or no team, any more.
+        # The machine type or the team does not exist any more.
         ({"flavors": ["none"]}, 200),
         ({"owner": "nobody"}, 200),
         ({"shape": "ensemble", "scatter": True, "site": "north"}, 200),
     ],
 )
-def test_what_was_accepted_before_is_never_refused(record: dict[str, Any], status: int) -> None:
-    """(Fails where `Job` reads records as strictly as requests are held to, and without the
-    look at the records in `_refuse`.)"""
+def test_a_job_that_was_accepted_before_is_never_refused(
+    record: dict[str, Any], status: int
+) -> None:
+    """A repeated submission of an accepted job is answered, whatever has changed since.
+
+    The test fails if `Job` validates records as strictly as requests, or if `_refuse` does not
+    look up the record.
+    """
     handler, c = api()
     value = {**job(1), **record}
     stored = {k: v for k, v in value.items() if v is not None}
@@ -134,7 +142,7 @@
     [
         ("j-000001", 200),
         ("j-000001?x=j-2", 200),
-        ("%6a%2D00000%31", 200),  # the same name
+        ("%6a%2D00000%31", 200),  # the same id, percent-encoded
         ("j-000002", 404),
         ("J-000001", 404),
         ("j-000001%0A", 404),
@@ -150,62 +158,64 @@
         ("j-" + "1" * 31, 404),
     ],
 )
-def test_names_in_paths(path: str, status: int) -> None:
+def test_job_ids_in_paths(path: str, status: int) -> None:
     handler, _ = api()
     assert submit(handler, RAW.encode()) == 201
     assert curio.run(handler.handle, "GET", "/api/jobs/" + path, b"")[0] == status
 
 
-NORTH = [{**t, "sites": ["north"]} for t in TYPES]
-APART = [
+NORTH_ONLY = [{**t, "sites": ["north"]} for t in TYPES]
+SPLIT = [
     {**t, "sites": [zone]} for t, zone in zip(TYPES, ("north", "south"))
-]  # accel in the south only
-NOWHERE = [{**t, "sites": []} for t in TYPES]
+]  # accel exists only in the south
+NO_ZONES = [{**t, "sites": []} for t in TYPES]
 
 
 @pytest.mark.parametrize(
-    "fields, types, ok",
+    "fields, types, placeable",
     [
         ({}, TYPES, True),
-        ({}, NOWHERE, False),
-        ({"cards": 1.0, "site": "south"}, APART, True),
-        ({"cards": 1.0, "site": "north"}, APART, False),  # not in that zone
-        ({"cards": 1.0, "site": "south", "flavors": ["plain"]}, APART, False),
+        ({}, NO_ZONES, False),
+        ({"cards": 1.0, "site": "south"}, SPLIT, True),
+        ({"cards": 1.0, "site": "north"}, SPLIT, False),  # no accel in that zone
+        ({"cards": 1.0, "site": "south", "flavors": ["plain"]}, SPLIT, False),
         ({"cards": 3.0}, TYPES, False),
         ({"vcpus": 9.0, "flavors": ["plain"]}, TYPES, False),
         ({"vcpus": 9.0}, TYPES, True),
         ({"vcpus": 0.0, "ram_gb": 0.0}, TYPES, True),
-        # A gang in one zone needs one, one that is spread two at least.
-        ({"shape": "ensemble", "together": True}, APART, True),
+        # A gang in one zone needs one zone with machines, a spread gang needs at least two.
+        ({"shape": "ensemble", "together": True}, SPLIT, True),
         ({"shape": "ensemble", "scatter": True}, TYPES, True),
-        ({"shape": "ensemble", "scatter": True}, NORTH, False),
-        ({"shape": "ensemble", "scatter": True, "cards": 1.0}, APART, False),
+        ({"shape": "ensemble", "scatter": True}, NORTH_ONLY, False),
+        ({"shape": "ensemble", "scatter": True, "cards": 1.0}, SPLIT, False),
         ({"shape": "ensemble", "scatter": True, "site": "north"}, TYPES, False),
         ({"shape": "ensemble", "scatter": True, "together": True}, TYPES, False),
         ({"shape": "ensemble", "scatter": True, "together": True, "pieces": 1}, TYPES, True),
-        # Of others, as many run as may.
+        # Jobs of other kinds run as many of their tasks as the zones allow.
         ({"shape": "daemon", "scatter": True, "site": "north"}, TYPES, True),
         ({"scatter": True, "together": True}, TYPES, True),
     ],
 )
-def test_what_there_can_be_machines_for(
-    fields: dict[str, Any], types: list[dict[str, Any]], ok: bool
+def test_jobs_that_no_machine_type_fits_are_refused(
+    fields: dict[str, Any], types: list[dict[str, Any]], placeable: bool
 ) -> None:
     handler, c = api()
     c.catalogue.types = msgspec.convert(types, list[type(c.catalogue.types[0])])  # type: ignore[misc]
     assert (
-        eligibility.can_be_placed(msgspec.convert(job(1, **fields), Job), c.catalogue.types) == ok
+        eligibility.can_be_placed(msgspec.convert(job(1, **fields), Job), c.catalogue.types)
+        == placeable
     )
-    assert submit(handler, json.dumps(job(1, **fields)).encode()) == (201 if ok else 422)
+    assert submit(handler, json.dumps(job(1, **fields)).encode()) == (201 if placeable else 422)
 
 
 @pytest.mark.parametrize(
     "fields, status",
     [
-        # A limit of 0 is none, as in the settings: this team has 4 GPUs and no limit of CPUs.
+        # A limit of 0 means no limit, as in the settings: team `tight` has 4 GPUs and no CPU limit.
         ({"owner": "free", "cards": 2.0, "shape": "ensemble", "pieces": 40}, 201),
         ({"owner": "tight", "shape": "daemon", "pieces": 1000}, 201),
-        ({"owner": "tight", "cards": 2.0, "shape": "sweep", "pieces": 1000}, 201),  # one task
+        # An array has to fit its team's limit with one task only.
+        ({"owner": "tight", "cards": 2.0, "shape": "sweep", "pieces": 1000}, 201),
         ({"owner": "tight", "cards": 2.0, "shape": "ensemble", "pieces": 2}, 201),
         ({"owner": "tight", "cards": 2.0, "shape": "ensemble", "pieces": 3}, 422),
         ({"owner": "tight", "cards": 1.0, "shape": "daemon", "pieces": 4}, 201),
@@ -213,6 +223,8 @@
         ({"owner": "tight", "cards": 0.1, "shape": "daemon", "pieces": 40}, 201),
     ],
 )
-def test_a_job_within_its_teams_limit(fields: dict[str, Any], status: int) -> None:
+def test_jobs_that_exceed_their_teams_limit_are_refused(
+    fields: dict[str, Any], status: int
+) -> None:
     handler, _ = api()
     assert submit(handler, json.dumps(job(1, **fields)).encode()) == status
--- a/tests/system/test_restarts.py
+++ b/tests/system/test_restarts.py
@@ -1,5 +1,7 @@
-"""Controllers that end and are started again within a fraction of a second, one and all,
-again and again: no rule is broken, and all is served once it is calm."""
+"""Controllers that crash and restart within half a second, singly or all together, repeatedly.
+
+No rule is broken, and every job is served after the restarts.
+"""
 
 from __future__ import annotations
 
@@ -14,20 +16,20 @@
 from tests.system.test_model import JOBS, JOBS_A_DAY, held, until_over
 from tests.world import Clock, World, job, simulate
 
-QUICK_S = (0.05, 0.5)
+RESTART_S = (0.05, 0.5)
 Scene = Callable[[World], Coroutine[Any, Any, None]]
 
 
 async def again(world: World, label: str) -> None:
-    """It ends and is started again at once."""
+    """Crash a controller and start it again within half a second."""
     if label in world.controllers:
         await world.crash(label)
-        await curio.sleep(world.rng.uniform(*QUICK_S))
+        await curio.sleep(world.rng.uniform(*RESTART_S))
         if label not in world.controllers:
             await world.start(label)
 
 
-async def all_again(world: World, times: int = 1, every_s: float = 1.3) -> None:
+async def restart_all(world: World, times: int = 1, every_s: float = 1.3) -> None:
     for _ in range(times):
         tasks = [await curio.spawn(again, world, label) for label in world.labels]
         await curio.sleep(every_s)
@@ -35,19 +37,19 @@
             await task.join()
 
 
-async def one_twenty_times(world: World) -> None:
+async def restart_one_twenty_times(world: World) -> None:
     for _ in range(20):
         await again(world, "c1")
         await curio.sleep(world.rng.uniform(1.0, 4.0))
 
 
-async def all_three_times_in_four_seconds(world: World) -> None:
+async def restart_all_three_times_in_four_seconds(world: World) -> None:
     for _ in range(3):
-        await all_again(world, times=3)
+        await restart_all(world, times=3)
         await curio.sleep(world.rng.uniform(5.0, 15.0))
 
 
-async def as_soon_as_it_serves(world: World) -> None:
+async def restart_as_soon_as_it_serves(world: World) -> None:
     end = world.clock() + 60.0
     while world.clock() < end:
         c = world.controllers.get("c2")
@@ -56,18 +58,18 @@
         await curio.sleep(0.05)
 
 
-async def in_an_outage(world: World) -> None:
+async def restarts_during_outages(world: World) -> None:
     for _ in range(4):
         world.state.outage(world.clock(), world.rng.uniform(3.0, 9.0))
         for _ in range(4):
             await again(world, world.rng.choice(world.labels))
             await curio.sleep(world.rng.uniform(0.2, 2.0))
-        await all_again(world)
+        await restart_all(world)
         await curio.sleep(world.rng.uniform(5.0, 12.0))
 
 
-async def with_all_that_is_on_its_way(world: World) -> None:
-    """Commands, commits and frames are held, and arrive when the next one has begun."""
+async def restarts_with_messages_in_flight(world: World) -> None:
+    """Commands, commits and frames are delayed and arrive after the next process has started."""
     world.hold_s = (0.1, 20.0)
     for _ in range(10):
         label = world.rng.choice(world.labels)
@@ -81,38 +83,38 @@
 
 
 SCENES: list[Scene] = [
-    one_twenty_times,
-    all_three_times_in_four_seconds,
-    as_soon_as_it_serves,
-    in_an_outage,
-    with_all_that_is_on_its_way,
+    restart_one_twenty_times,
+    restart_all_three_times_in_four_seconds,
+    restart_as_soon_as_it_serves,
+    restarts_during_outages,
+    restarts_with_messages_in_flight,
 ]
 
 
-async def day(clock: Clock, scene: Scene, seed: int, controllers: int) -> World:
+async def run_day(clock: Clock, scene: Scene, seed: int, controllers: int) -> World:
     world = World(clock, seed, controllers)
     await world.open()
-    trouble = await curio.spawn(scene, world, daemon=True)
+    fault = await curio.spawn(scene, world, daemon=True)
     for number in range(JOBS_A_DAY):
         fields, run_s = JOBS[number % len(JOBS)]
         await curio.spawn(world.submit, job(number, **fields), run_s, daemon=True)
         if number % 5 == 1:
             await curio.spawn(world.abort, job(number - 1)["id"], daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 3.0))
-    await trouble.join()
+    await fault.join()
     return await until_over(world)
 
 
 @pytest.mark.parametrize("scene", SCENES)
 @pytest.mark.parametrize("seed, controllers", [(31, 3), (32, 5)])
-def test_rules_hold_when_controllers_are_back_at_once(
+def test_rules_hold_when_controllers_restart_at_once(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
     scene: Scene,
     seed: int,
     controllers: int,
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: day(clock, scene, seed, controllers))
+    world = simulate(monkeypatch, lambda clock: run_day(clock, scene, seed, controllers))
     assert world.broken == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY and world.launches > 0
@@ -121,14 +123,14 @@
         for i in world.accepted
         if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
     } == {}
-    # Nothing is kept of a start beyond the controller's own two records.
+    # A start leaves no records but the controller's own two.
     assert len([k for k in world.state.keys if k.startswith("c/node/")]) <= controllers
     assert len([k for k in world.state.keys if k.startswith("c/version/")]) == controllers
     assert all(c.membership.serving for c in world.controllers.values())
 
 
-async def epochs(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
-    """How many epochs a scene costs, and who is a member in the end."""
+async def count_epochs(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
+    """Return the number of epochs that a scene causes, and the members of the last one."""
     world = World(clock, 33)
     for label in world.labels:
         await world.start(label)
@@ -137,27 +139,32 @@
     await curio.sleep(15.0)
     before = world.controllers["c0"].membership.epoch.number
     await scene(world)
-    cost = world.controllers["c0"].membership.epoch.number - before
+    count = world.controllers["c0"].membership.epoch.number - before
     await curio.sleep(90.0)
     assert world.broken == []
-    return cost, sorted(world.controllers["c0"].membership.epoch.members)
+    return count, sorted(world.controllers["c0"].membership.epoch.members)
 
 
 @pytest.mark.parametrize(
-    "scene, most",
-    [(one_twenty_times, 8), (as_soon_as_it_serves, 16), (all_three_times_in_four_seconds, 12)],
+    "scene, max_epochs",
+    [
+        (restart_one_twenty_times, 8),
+        (restart_as_soon_as_it_serves, 16),
+        (restart_all_three_times_in_four_seconds, 12),
+    ],
 )
-def test_one_that_ends_over_and_over_costs_a_bounded_number_of_epochs(
-    monkeypatch: pytest.MonkeyPatch, scene: Scene, most: int
+def test_repeated_restarts_cause_a_bounded_number_of_epochs(
+    monkeypatch: pytest.MonkeyPatch, scene: Scene, max_epochs: int
 ) -> None:
-    """All the others announced an epoch and loaded their jobs for each of its ends."""
-    cost, members = simulate(monkeypatch, lambda clock: epochs(clock, scene))
-    assert 1 <= cost <= most
-    assert members == ["c0", "c1", "c2"]  # it is back, once it stays
+    """Without flap damping, each restart makes all other controllers announce an epoch and load
+    their jobs again."""
+    count, members = simulate(monkeypatch, lambda clock: count_epochs(clock, scene))
+    assert 1 <= count <= max_epochs
+    assert members == ["c0", "c1", "c2"]  # readmitted after it has stopped crashing
 
 
 @pytest.mark.parametrize(
-    "ends, now, left_out",
+    "restarts, now, pause_s",
     [
         ([0.0], 0.0, 0.0),
         ([0.0, 1.0], 1.0, 0.0),
@@ -169,18 +176,20 @@
         ([0.0, 50.0, 100.0, 150.0], 150.0, 0.0),
     ],
 )
-def test_pauses_grow_with_the_ends_of_late(ends: list[float], now: float, left_out: float) -> None:
+def test_pauses_grow_with_recent_restarts(
+    restarts: list[float], now: float, pause_s: float
+) -> None:
     damping = FlapDamping(40.0, 2.0, 40.0)
     members = {"a": "a0", "b": "b0"}
     damping.observe(members, -1.0)
-    for number, at in enumerate(ends):
+    for number, at in enumerate(restarts):
         damping.observe({"a": "a0", "b": f"b{number + 1}"}, at)
-    present = {"a": "a0", "b": f"b{len(ends)}"}
-    assert ("b" in damping.admitted(members, present, now)) == (left_out == 0.0)
-    assert "b" in damping.admitted(members, present, now + left_out)
-    assert "b" not in damping.admitted(members, present, now + left_out - 0.1) or not left_out
-    # One that is a member is never put out for it, and nobody is left alone for it.
-    assert "b" in damping.admitted({"b": f"b{len(ends)}"}, present, now)
+    present = {"a": "a0", "b": f"b{len(restarts)}"}
+    assert ("b" in damping.admitted(members, present, now)) == (pause_s == 0.0)
+    assert "b" in damping.admitted(members, present, now + pause_s)
+    assert "b" not in damping.admitted(members, present, now + pause_s - 0.1) or not pause_s
+    # Damping excludes no current member, and it never leaves an epoch without members.
+    assert "b" in damping.admitted({"b": f"b{len(restarts)}"}, present, now)
     assert damping.admitted({}, {"b": "b9"}, now) == {"b": "b9"}
 
 
@@ -193,11 +202,13 @@
         ({"c": "c1"}, {"c": True}),
     ],
 )
-def test_who_has_just_begun_leaves_the_proposal_to_the_members(
+def test_a_restarted_controller_leaves_the_proposal_to_the_members(
     present: dict[str, str], proposes: dict[str, bool]
 ) -> None:
-    """It doesn't know who has ended how often; and all that begin together are taken in by
-    one epoch instead of one for each."""
+    """A controller that has just started does not know how often its peers have restarted.
+
+    Controllers that start together also enter one epoch, instead of one epoch each.
+    """
     members = {"a": "a0", "b": "b0", "c": "c0"}
     assert {me: may_propose(me, members, present) for me in present} == proposes
     assert successor(Epoch(4, members, 1), present) is not None
--- a/tests/system/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -1,4 +1,4 @@
-"""What is bounded holds at three times the machines and jobs of the largest deployment."""
+"""Size limits hold with three times the machines and jobs of the largest deployment."""
 
 from __future__ import annotations
 
@@ -17,53 +17,55 @@
 MACHINES = 3 * 639
 
 
-def test_sizes_hold_at_three_times_the_files(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner alone with all of them, its table pulled whole and in parts, and a line of as
-    many jobs: nothing is lost, and each frame is within its bound."""
-    home = Home(monkeypatch)
+def test_frames_and_tables_hold_three_times_the_largest_deployment(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """One owner has all machines, its table is read whole and incrementally, and as many jobs are
+    queued: no row is lost, and each frame is within its size limit."""
+    harness = Home(monkeypatch)
     rng = random.Random(1)
     busy = msgspec.convert(wire_job(1, pieces=4 * MACHINES, rank="production"), Job)
-    home.c.jobs.live[busy.id] = (busy, 1)
-    owner = home.c.machines
+    harness.c.jobs.live[busy.id] = (busy, 1)
+    owner = harness.c.machines
     for n in range(MACHINES):
-        home.report(
+        harness.report(
             f"m{n}",
             rng.choice(("north", "south")),
             "plain",
             *(f"{busy.id}/{4 * n + k}" for k in range(4)),
         )
-    home.c.membership.serving = True
-    whole = home.c.cached_state.table(0, [])
+    harness.c.membership.serving = True
+    whole = harness.c.cached_state.table(0, [])
     assert whole[2] and len(whole[4]) == MACHINES
     assert len(frames.encode(frames.TABLE, 1, whole)) < frames.MAX_BODY
     before = owner.room_rev
     for n in range(0, MACHINES, 2):
-        home.report(f"m{n}", "north", "plain", f"{busy.id}/{4 * n}")
+        harness.report(f"m{n}", "north", "plain", f"{busy.id}/{4 * n}")
     changed = owner.changed(before)
     assert changed is not None and len(changed) == (MACHINES + 1) // 2
-    assert len(home.c.cached_state.table(before, [])[4]) == (MACHINES + 1) // 2
+    assert len(harness.c.cached_state.table(before, [])[4]) == (MACHINES + 1) // 2
     for n in range(MACHINES):
-        home.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
-    home.look()
-    assert len(home.c.queue.entries) == MACHINES
-    rows = home.c.placer.demand_report.own_rows()
+        harness.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
+    harness.look()
+    assert len(harness.c.queue.entries) == MACHINES
+    rows = harness.c.placer.demand_report.own_rows()
     assert {row[0] for row in rows} == {f"j-{10 + n:06d}" for n in range(len(rows))}
-    frame = (home.c.membership.label, 1, True, owner.room_rev, rows)
+    frame = (harness.c.membership.label, 1, True, owner.room_rev, rows)
     assert len(frames.encode(frames.PING, 1, frame)) < frames.MAX_BODY
 
 
-def test_places_of_more_than_are_remembered_are_the_same() -> None:
+def test_rendezvous_is_the_same_beyond_the_size_of_the_cache() -> None:
     members = {f"c{n}": "x" for n in range(5)}
-    one, other = Epoch(1, members, 1), Epoch(1, members, 1)
+    first, second = Epoch(1, members, 1), Epoch(1, members, 1)
     names = [f"i-{n:06d}" for n in range(30_000)]
-    assert [one.member_for(n) for n in names][:100] == [other.member_for(n) for n in names[:100]]
-    assert len(one._member_by_key) <= 20_000
+    assert [first.member_for(n) for n in names][:100] == [second.member_for(n) for n in names[:100]]
+    assert len(first._member_by_key) <= 20_000
 
 
 @pytest.mark.parametrize("jobs", [150, 1500])
-def test_a_flood_is_counted_whole(jobs: int) -> None:
-    """Of more than two hundred jobs only the last were: what was to be expected was less the
-    more there were."""
+def test_every_arrival_of_a_flood_is_counted(jobs: int) -> None:
+    """Every arrival counts, because a limit of 200 counted jobs would lower the expected number
+    of tasks as more jobs arrive."""
     arrivals = Arrivals(300.0, 0.0)
     job = msgspec.convert(wire_job(1, pieces=4), Job)
     for n in range(jobs):
