--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -287,7 +287,7 @@
 def test_a_stall_makes_no_peer_or_machine_silent(
     monkeypatch: pytest.MonkeyPatch, stall_s: float
 ) -> None:
-    """After a stall of a few seconds a controller must not take its peers and machines for silent,
+    """After a stall of a few seconds a controller must not treat its peers and machines as silent,
     because it would leave the epoch and inspect every machine."""
     harness = Home(monkeypatch)
     c = harness.c
@@ -331,7 +331,7 @@
     [
         (0.0, [201, 200, 200, 200, 200], ""),
         (0.6, [201, 200, 200, 200, 200], ""),
-        (0.8, [503, 200, 200, 200, 200], "1"),  # the poll limit is 2 s
+        (0.8, [503, 200, 200, 200, 200], "1"),  # polls have to be answered within 2 s
         (3.0, [503, 200, 200, 200, 200], "6"),
         (60.0, [503, 200, 200, 200, 200], "30"),
     ],
