--- a/clayport/rebuild/__init__.py
+++ b/clayport/rebuild/__init__.py
@@ -1,13 +1,15 @@
-"""Rebuilding the records after the state service has lost some of them.
+"""Rebuilds the records after the state service has lost some of them.
 
-`history` detects a loss, and keeps commits from resting on records that are gone; `evidence`
-is what each controller still knows; `merge` and `chunk_merge` compute what the records have
-to be, and `plan` divides the writes into transactions; `recovery` watches the history and
-joins a new one, `rebuilder` carries a rebuild out, `inventory` asks the machines, and
-`late_evidence` adds what a controller that was cut off knew.
+`history` detects a loss and prevents commits that rely on lost records. `evidence` defines what
+a controller sends to the peer that rebuilds, and `gather` collects it. `merge` and `chunk_merge`
+compute the records, and `plan` divides the writes into transactions. `recovery` watches the
+history and joins a new one, `rebuilder` carries out a rebuild, `inventory` asks the machines
+which tasks they hold, and `late_evidence` adds the records that only a controller which was
+disconnected during the rebuild knows.
 
-`recorder` keeps snapshots of the records; `files` finds them in their directory, with their
-format in `snapshot_format` and the two kinds of files in `snapshot_base` and `snapshot_log`;
-`commands` is the command line, and `restore` puts a snapshot back. `docs/rebuild.md` has the
-alternatives considered and what is provable.
+`recorder` keeps snapshots of the records. `files` finds the snapshots in a directory;
+`snapshot_format` defines the file format, and `snapshot_base` and `snapshot_log` read and write
+the two kinds of files. `commands` is the command line, and `restore` writes a snapshot back to
+the state service. `ports` and `support` are the interfaces between this package and the rest of
+the controller. `docs/rebuild.md` discusses the alternatives and what can be proved.
 """
--- a/clayport/rebuild/chunk_merge.py
+++ b/clayport/rebuild/chunk_merge.py
@@ -1,6 +1,6 @@
-"""Merge the chunks of jobs' tasks: who says what of a task, and who is believed.
+"""Merges the task chunks of jobs from all sources.
 
-Part of the merge (see `merge` for the rules). Pure: no I/O, no clock.
+`merge` lists the rules. The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from clayport.jobs.committed_tasks import CommittedTasks
 from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
-from clayport.rebuild.evidence import Evidence, Task, split
+from clayport.rebuild.evidence import Evidence, Task, last_epoch_evidence
 from clayport.rebuild.history import is_anchor
 from clayport.records.chunk import Chunk
 from clayport.records.keys import chunk_key, parse_chunk_key
@@ -21,13 +21,13 @@
 Records = Mapping[str, tuple[Any, int]]  # key: value, revision
 
 
-class Chunks(NamedTuple):
+class JobChunks(NamedTuple):
     """The task chunks of one job.
 
     Attributes:
-        layout: Tasks in a chunk as its keys say; 0 where they say none.
-        chunks: The chunks by their index.
-        keys: The keys under which they are stored.
+        layout: The chunk size that the keys name; 0 if the keys name no size.
+        chunks: The chunks by index.
+        keys: The keys under which the chunks are stored.
     """
 
     layout: int
@@ -36,40 +36,42 @@
 
 
 class ChunkSources(NamedTuple):
-    """Where the chunks of jobs are known from.
+    """The chunks of all jobs, separated by their source.
 
     Attributes:
-        stored: What the state service still has, by job.
+        stored: The chunks that the state service still has, by job.
         members: The members of the last epoch: label to incarnation.
-        at_home: By controller of the last epoch, the chunks of all jobs that it manages.
-        older: What the other controllers, and the snapshots, knew in earlier epochs.
-        listed: The tasks that machines have listed, by job.
+        from_leaders: By label of a member whose evidence is complete, the chunks of the jobs that
+            it leads.
+        older: The chunks of each other evidence: of earlier epochs, of controllers that had not
+            loaded their jobs, and of snapshots.
+        listed: The tasks that machines report, by job.
     """
 
-    stored: dict[str, Chunks]
+    stored: dict[str, JobChunks]
     members: dict[str, str]
-    at_home: dict[str, dict[str, Chunks]]
-    older: list[dict[str, Chunks]]
+    from_leaders: dict[str, dict[str, JobChunks]]
+    older: list[dict[str, JobChunks]]
     listed: dict[str, list[Task]]
 
 
 def chunk_sources(
     records: Records,
-    parts: Mapping[str, Evidence],
+    evidence_by_label: Mapping[str, Evidence],
     evidence: Iterable[Evidence],
     listed: Iterable[Task],
-    first_size: int,
+    default_size: int,
 ) -> ChunkSources:
-    """Read the chunks that are known from anywhere, by how much their source decides.
+    """Parse the chunks of all sources.
 
     Args:
-        records: What the state service still has.
-        parts: The evidence of each controller, and of snapshots, by label.
-        evidence: The same, the newest epoch first.
-        listed: The tasks that machines have listed.
-        first_size: Tasks in a chunk whose key says no size.
+        records: The records that the state service still has.
+        evidence_by_label: The evidence of each controller and each snapshot, by label.
+        evidence: The same evidence, ordered by epoch, newest first.
+        listed: The tasks that machines report.
+        default_size: Tasks in a chunk whose key names no size.
     """
-    members, homes = split(parts)
+    members, complete = last_epoch_evidence(evidence_by_label)
     by_job: dict[str, list[Task]] = {}
     for task in listed:
         by_job.setdefault(task.job, []).append(task)
@@ -80,101 +82,106 @@
                 for key, (value, _) in records.items()
                 if key.startswith("run/") and not is_anchor(key)
             ),
-            first_size,
+            default_size,
         ),
         members=members,
-        at_home={
-            label: _chunks_by_job(part.chunks.items(), first_size) for label, part in homes.items()
+        from_leaders={
+            label: _chunks_by_job(item.chunks.items(), default_size)
+            for label, item in complete.items()
         },
         older=[
-            _chunks_by_job(part.chunks.items(), first_size)
-            for part in evidence
-            if homes.get(part.label) is not part
+            _chunks_by_job(item.chunks.items(), default_size)
+            for item in evidence
+            if complete.get(item.label) is not item
         ],
         listed=by_job,
     )
 
 
-def _chunks_by_job(rows: Iterable[tuple[str, Any]], first_size: int) -> dict[str, Chunks]:
-    """Read chunks as the leader of their job would read them."""
+def _chunks_by_job(rows: Iterable[tuple[str, Any]], default_size: int) -> dict[str, JobChunks]:
+    """Parse chunk records by job, in the same way as the leader of a job loads them."""
     raw: dict[str, dict[tuple[int, int], Chunk]] = {}
     keys: dict[str, set[str]] = {}
     for key, value in rows:
         job, size, index = parse_chunk_key(key)
         raw.setdefault(job, {})[size, index] = Chunk.parse(value, 1)
         keys.setdefault(job, set()).add(key)
-    found = {}
+    chunks_by_job = {}
     for job, chunks in raw.items():
-        committed = CommittedTasks(_ANY_JOB, first_size)
+        committed = CommittedTasks(_PLACEHOLDER_JOB, default_size)
         committed.load_all(chunks)
-        found[job] = Chunks(committed.layout, committed.chunks, keys[job])
-    return found
+        chunks_by_job[job] = JobChunks(committed.layout, committed.chunks, keys[job])
+    return chunks_by_job
 
 
-def merge_chunks(name: str, sources: ChunkSources, first_size: int, has_ended: bool) -> Chunks:
+def merge_chunks(name: str, sources: ChunkSources, default_size: int, has_ended: bool) -> JobChunks:
     """Merge a job's chunks from all sources.
 
-    What machines list counts only where the job's leader has given no evidence.
+    The tasks that machines report count only if the job's leader has given no evidence.
 
     Args:
         name: The job.
-        sources: The chunks known of all jobs.
-        first_size: Tasks in a chunk whose key says no size.
-        has_ended: Whether the job has a final record; its tasks are only to be cleared.
+        sources: The chunks of all jobs.
+        default_size: Tasks in a chunk whose key names no size.
+        has_ended: Whether the job has a final record, so that its remaining tasks only have to
+            be removed from their machines.
     """
     stored = sources.stored.get(name)
     for older in sources.older:
         if name in older:
-            stored = _add_older(stored, older[name], first_size)
-    home = sources.at_home.get(rendezvous(name, sources.members))
-    at_home = home.get(name) if home is not None else None
-    listed = sources.listed.get(name, ()) if home is None else ()
+            stored = _add_older(stored, older[name], default_size)
+    leader_jobs = sources.from_leaders.get(rendezvous(name, sources.members))
+    leader_chunks = leader_jobs.get(name) if leader_jobs is not None else None
+    listed = sources.listed.get(name, ()) if leader_jobs is None else ()
 
-    base = at_home or stored or Chunks(0, {}, set())
-    size = base.layout or first_size
+    base = leader_chunks or stored or JobChunks(0, {}, set())
+    size = base.layout or default_size
     chunks = {index: chunk.copy() for index, chunk in base.chunks.items()}
-    if at_home is not None and stored is not None:
+    if leader_chunks is not None and stored is not None:
         _add_stored(chunks, size, stored, base.layout, has_ended)
     _add_listed(chunks, size, listed, has_ended)
-    return Chunks(base.layout, chunks, set(stored.keys) if stored else set())
+    return JobChunks(base.layout, chunks, set(stored.keys) if stored else set())
 
 
-def _chunk_with(chunks: dict[int, Chunk], size: int, number: int) -> Chunk:
-    """The chunk of a task, by its number in the job."""
+def _chunk_of_task(chunks: dict[int, Chunk], size: int, number: int) -> Chunk:
+    """Return the chunk that covers a task number; an empty chunk is added if there is none."""
     return chunks.setdefault(number // size, Chunk())
 
 
-def _add_older(stored: Chunks | None, older: Chunks, first_size: int) -> Chunks:
-    """Add what an older copy says was done, and the attempts that it has seen."""
-    base = stored or Chunks(older.layout, {}, set())
-    size = base.layout or first_size
+def _add_older(stored: JobChunks | None, older: JobChunks, default_size: int) -> JobChunks:
+    """Add the done tasks and the last attempt numbers from older chunks.
+
+    Assignments in older chunks are ignored, because they may be out of date.
+    """
+    base = stored or JobChunks(older.layout, {}, set())
+    size = base.layout or default_size
     chunks = {index: chunk.copy() for index, chunk in base.chunks.items()}
     last_attempt = max((chunk.last_attempt for chunk in older.chunks.values()), default=0)
     for chunk in older.chunks.values():
         for number in (*chunk.done, *chunk.assigned):
-            mine = _chunk_with(chunks, size, number)
-            mine.last_attempt = max(mine.last_attempt, last_attempt)
+            merged = _chunk_of_task(chunks, size, number)
+            merged.last_attempt = max(merged.last_attempt, last_attempt)
             if number in chunk.done:
-                mine.done.add(number)
-                mine.assigned.pop(number, None)
-    return Chunks(base.layout, chunks, base.keys)
+                merged.done.add(number)
+                merged.assigned.pop(number, None)
+    return JobChunks(base.layout, chunks, base.keys)
 
 
 def _add_stored(
-    chunks: dict[int, Chunk], size: int, stored: Chunks, layout: int, has_ended: bool
+    chunks: dict[int, Chunk], size: int, stored: JobChunks, layout: int, has_ended: bool
 ) -> None:
-    """Add to the leader's chunks what the state service has of them."""
+    """Add the tasks in the state service's chunks to the chunks of the job's leader."""
     for chunk in stored.chunks.values():
         for number in chunk.done:
-            mine = _chunk_with(chunks, size, number)
-            mine.done.add(number)
+            merged = _chunk_of_task(chunks, size, number)
+            merged.done.add(number)
             if not has_ended:
-                mine.assigned.pop(number, None)
+                merged.assigned.pop(number, None)
         for number, (attempt, machine) in chunk.assigned.items():
-            mine = _chunk_with(chunks, size, number)
-            if number not in mine.assigned and (has_ended or number not in mine.done):
-                mine.assigned[number] = (attempt, machine)
-            mine.last_attempt = max(mine.last_attempt, attempt)
+            merged = _chunk_of_task(chunks, size, number)
+            if number not in merged.assigned and (has_ended or number not in merged.done):
+                merged.assigned[number] = (attempt, machine)
+            merged.last_attempt = max(merged.last_attempt, attempt)
     for index, chunk in stored.chunks.items():
         if stored.layout == layout and index in chunks:
             chunks[index].last_attempt = max(chunks[index].last_attempt, chunk.last_attempt)
@@ -183,26 +190,32 @@
 def _add_listed(
     chunks: dict[int, Chunk], size: int, listed: Iterable[Task], has_ended: bool
 ) -> None:
-    """Assign what machines list to them, where the record names no other that lists it.
+    """Assign each reported task to its machine.
 
-    Of a job that has ended all that is listed is still to be cleared, done or not.
+    An existing assignment stays if its machine reports that attempt. If the job has ended, a
+    done task that is reported is assigned too, because its machine still has to clear it.
     """
     tasks = list(listed)
     running = {(task.number, task.attempt, task.machine) for task in tasks}
     for task in sorted(tasks, key=lambda task: (task.number, -task.attempt, task.machine)):
-        mine = _chunk_with(chunks, size, task.number)
+        merged = _chunk_of_task(chunks, size, task.number)
         if has_ended:
-            mine.done.discard(task.number)
-        known = mine.assigned.get(task.number)
-        if task.number not in mine.done and (known is None or (task.number, *known) not in running):
-            mine.assigned[task.number] = (task.attempt, task.machine)
-        mine.last_attempt = max(mine.last_attempt, task.attempt)
+            merged.done.discard(task.number)
+        known = merged.assigned.get(task.number)
+        if task.number not in merged.done and (
+            known is None or (task.number, *known) not in running
+        ):
+            merged.assigned[task.number] = (task.attempt, task.machine)
+        merged.last_attempt = max(merged.last_attempt, task.attempt)
 
 
 def change_chunks(
-    changes: dict[str, Any], records: Records, name: str, merged: Chunks, has_ended: bool
+    changes: dict[str, Any], records: Records, name: str, merged: JobChunks, has_ended: bool
 ) -> None:
-    """Write the chunks that differ; of a job that has ended only those with assigned tasks."""
+    """Add the chunk records that differ from the merged chunks to `changes`.
+
+    A job that has ended keeps only the chunks with assigned tasks.
+    """
     wanted = {
         chunk_key(name, index, merged.layout): chunk
         for index, chunk in merged.chunks.items()
@@ -216,7 +229,7 @@
 
 
 def _is_stored(stored: tuple[Any, int] | None, chunk: Chunk) -> bool:
-    """Whether a record says the same as a chunk; an empty chunk needs none."""
+    """Return whether a record equals a chunk; an empty chunk needs no record."""
     if stored is None:
         return not chunk.assigned and not chunk.done and chunk.last_attempt == 0
     known = Chunk.parse(stored[0], 1)
@@ -227,8 +240,8 @@
     )
 
 
-# Chunks are read without regard to what the job is.
-_ANY_JOB = msgspec.convert(
+# `CommittedTasks` needs a job description, but parsing chunks doesn't depend on its fields.
+_PLACEHOLDER_JOB = msgspec.convert(
     {
         "id": "j-0",
         "jobclass": "-",
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -1,6 +1,7 @@
-"""The command line of snapshots: `clayport snapshot take|verify|show`, `clayport restore`.
+"""The commands `clayport snapshot take|verify|show` and `clayport restore`.
 
-Parsing, printing and exit statuses are here; what a restore reads and writes is in `restore`.
+This module parses arguments, prints results and returns exit statuses. `restore` reads and
+writes the records.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 def parser() -> argparse.ArgumentParser:
     """Build the parser of the `snapshot` and `restore` commands."""
-    root = argparse.ArgumentParser(
+    root_parser = argparse.ArgumentParser(
         prog="clayport", description="Snapshots of the records, and putting them back."
     )
-    commands = root.add_subparsers(dest="command", required=True)
+    commands = root_parser.add_subparsers(dest="command", required=True)
     _add_snapshot_actions(commands.add_parser("snapshot", help="take, verify or show snapshots"))
-    restoring = commands.add_parser(
+    restore_parser = commands.add_parser(
         "restore",
         help="put the newest snapshot back (says what it would do unless --write)",
         description="With no controller running. Without --write nothing is changed.",
     )
-    _add_config(restoring)
-    restoring.add_argument("--write", action="store_true", help="do it")
-    restoring.add_argument("directory", type=Path)
-    return root
+    _add_config(restore_parser)
+    restore_parser.add_argument("--write", action="store_true", help="do it")
+    restore_parser.add_argument("directory", type=Path)
+    return root_parser
 
 
 def _add_snapshot_actions(snapshot: argparse.ArgumentParser) -> None:
@@ -64,7 +65,8 @@
 def main(argv: list[str]) -> int:
     """Run a `snapshot` or `restore` command; return the exit status.
 
-    Status 0: done; 1: a snapshot is damaged; 2: it could not be done, for the reason printed.
+    Status 0 means success, 1 that a snapshot is damaged, and 2 that the command failed for the
+    reason that it has printed.
     """
     args = parser().parse_args(argv)
     try:
@@ -90,10 +92,10 @@
 
 
 def open_store(settings: Settings) -> StateStore:
-    """Return the state service, with a controller's share of its limits.
+    """Return a client of the state service with one controller's share of its rate limits.
 
     Raises:
-        ConfigError: Its address in the settings can't be used.
+        ConfigError: The address of the state service in the settings is invalid.
     """
     state, workers = settings.cluster.state, settings.cluster.workers
     return StateStore(
@@ -106,7 +108,7 @@
 
 
 async def take_snapshot(settings: Settings, directory: Path) -> int:
-    """Write a base of all records, and print its path; return the exit status."""
+    """Write a base of all records and print its path; return the exit status."""
     records, rev = await restore.read_all(open_store(settings))
     head = restore.read_head(records)
     directory.mkdir(parents=True, exist_ok=True)
@@ -123,7 +125,7 @@
 
 
 def verify_snapshots(directory: Path) -> int:
-    """Read all snapshots, and print for each whether it is whole; return the exit status.
+    """Read all snapshots and print whether each is intact; return the exit status.
 
     Raises:
         SnapshotError: There is no snapshot in the directory.
@@ -154,25 +156,26 @@
 
     Args:
         directory: Where the snapshots are.
-        settings: Of the deployment whose snapshots count; None: that of the newest file.
+        settings: Settings of the deployment whose snapshots are shown; None selects the
+            deployment of the newest file.
 
     Raises:
-        SnapshotError: There is no snapshot that can be used.
+        SnapshotError: The directory has no usable snapshot.
     """
     labels = settings.labels if settings is not None else _newest_labels(directory)
-    found = files.newest(directory, labels)
-    _print_refused(found)
-    at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(found.header.at))
+    newest = files.newest(directory, labels)
+    _print_refused(newest)
+    at = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(newest.header.at))
     print(
-        f"controllers {', '.join(found.header.labels)}; history {found.header.history or '-'} "
-        f"(number {found.header.number}); base of {at} UTC, revision {found.rev}"
+        f"controllers {', '.join(newest.header.labels)}; history {newest.header.history or '-'} "
+        f"(number {newest.header.number}); base of {at} UTC, revision {newest.rev}"
     )
-    print(_describe_counts(found))
+    print(_describe_counts(newest))
     return 0
 
 
 def _newest_labels(directory: Path) -> list[str]:
-    """The controllers in the newest header that can be read; none without any."""
+    """Return the controller labels of the newest readable header; empty if there is none."""
     for path in files.bases(directory):
         try:
             return files.read_header(path).labels
@@ -181,39 +184,39 @@
     return []
 
 
-def _print_refused(found: Snapshot) -> None:
-    for problem in found.refused:
+def _print_refused(snapshot: Snapshot) -> None:
+    for problem in snapshot.refused:
         print(f"not used: {problem}")
 
 
-def _describe_counts(found: Snapshot) -> str:
-    """How many records of each kind a snapshot holds."""
+def _describe_counts(snapshot: Snapshot) -> str:
+    """Return a line with the number of records of each kind in a snapshot."""
     kinds = Counter(
         key.partition("/")[0] if not key.startswith("c/") else key.split("/")[1]
-        for key in found.records
+        for key in snapshot.records
         if not is_anchor(key)
     )
     return ", ".join(f"{name} {count}" for name, count in sorted(kinds.items()))
 
 
 async def restore_snapshot(settings: Settings, directory: Path, write: bool) -> int:
-    """Put the newest snapshot back, or print what that would do; return the exit status.
+    """Restore the newest snapshot, or print what a restore would do; return the exit status.
 
     Args:
-        settings: Those of one of the controllers.
+        settings: The settings of one of the controllers.
         directory: Where the snapshots are.
-        write: Whether to change anything.
+        write: Whether to write the changes.
 
     Raises:
-        SnapshotError: There is no snapshot that can be used.
-        RestoreRefusedError: It can't be put back over the records as they are.
+        SnapshotError: The directory has no usable snapshot.
+        RestoreRefusedError: The present state of the records doesn't allow a restore.
     """
-    found = files.newest(directory, settings.labels)
-    _print_refused(found)
+    snapshot = files.newest(directory, settings.labels)
+    _print_refused(snapshot)
     store = open_store(settings)
     records, _ = await restore.read_all(store)
-    restore.check_allowed(found, records)
-    merged = restore.plan_restore(settings, found, records)
+    restore.check_allowed(snapshot, records)
+    merged = restore.plan_restore(settings, snapshot, records)
     print(
         f"live jobs {merged.jobs}, {merged.restored} of them restored; final records restored "
         f"{merged.ended}; {len(merged.changes)} changes"
@@ -223,7 +226,7 @@
         return 0
     await restore.write(
         store,
-        found.header,
+        snapshot.header,
         records,
         merged.changes,
         settings.cluster.state.least().txn_ops,
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -1,4 +1,4 @@
-"""What a controller still knows when the state service has lost records."""
+"""The evidence: what a controller still knows after the state service has lost records."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 
 import msgspec
 
-# A frame's share of it, and the most that a whole may unpack to.
-PART, WHOLE_MOST = 1024 * 1024, 512 * 1024 * 1024
+# Packed evidence is sent in parts, each of which fits in one frame. The second limit bounds the
+# memory that unpacking can use.
+MAX_PART_BYTES, MAX_EVIDENCE_BYTES = 1024 * 1024, 512 * 1024 * 1024
 
 
 class Evidence(msgspec.Struct, rename={"epoch": "generation"}):
-    """One controller's word, from when it had come to stand still.
+    """What one controller, or one snapshot, knows of the records.
 
-    Its leaders' chunks are complete if it had taken over its share of its epoch
-    (`loaded`): a machine and attempt are known to the leader before anything is launched.
+    A controller gathers its evidence after it has stopped serving. The chunks of the jobs that it
+    leads are complete if it had loaded its jobs for its epoch (`loaded`), because a leader
+    knows the machine and the attempt of a task before the task is launched.
     """
 
     label: str
@@ -24,18 +26,18 @@
     epoch: int = 0
     members: dict[str, str] = {}
     loaded: bool = False
-    live: dict[str, tuple[Any, float]] = {}  # description, time of day of the submission
-    # status, time of day (0: not known), description (None: not known)
+    live: dict[str, tuple[Any, float]] = {}  # description, submission (seconds since 1970)
+    # status, end (seconds since 1970; 0: unknown), description (None: unknown)
     ended: dict[str, tuple[str, float, Any]] = {}
-    chunks: dict[str, Any] = {}  # key: value, of the jobs led there
+    chunks: dict[str, Any] = {}  # key: value, for the jobs that the controller leads
     versions: dict[str, int] = {}
     classes: dict[str, Any] = {}
     machines: dict[str, str] = {}  # name: address
-    remembered: Evidence | None = None  # what its disk held when it began
+    remembered: Evidence | None = None  # the snapshot that it read at its start
 
 
 class Task(msgspec.Struct, frozen=True):
-    """A task as its machine has listed it."""
+    """A task as its machine reports it."""
 
     job: str
     number: int
@@ -43,42 +45,56 @@
     machine: str
 
 
-def pack(found: Evidence) -> list[bytes]:
-    """In parts, each of which fits a frame."""
-    raw = zlib.compress(msgspec.json.encode(found), 1)
-    return [raw[at : at + PART] for at in range(0, len(raw), PART)]
+def pack(evidence: Evidence) -> list[bytes]:
+    """Encode and compress evidence into parts that each fit in a frame."""
+    raw = zlib.compress(msgspec.json.encode(evidence), 1)
+    return [raw[start : start + MAX_PART_BYTES] for start in range(0, len(raw), MAX_PART_BYTES)]
 
 
 def unpack(parts: list[bytes]) -> Evidence:
-    """ValueError if it can't be read."""
+    """Decode the parts that `pack` returned.
+
+    Raises:
+        ValueError: The data is incomplete, malformed or too large.
+    """
     try:
-        unzip = zlib.decompressobj()
-        raw = unzip.decompress(b"".join(parts), WHOLE_MOST)
-        if not unzip.eof:
-            raise ValueError("cut off, or larger than anything of ours")
+        decompressor = zlib.decompressobj()
+        raw = decompressor.decompress(b"".join(parts), MAX_EVIDENCE_BYTES)
+        if not decompressor.eof:
+            raise ValueError("incomplete evidence, or evidence above the size limit")
         return msgspec.json.decode(raw, type=Evidence)
     except (zlib.error, msgspec.MsgspecError) as exc:
         raise ValueError(str(exc)) from None
 
 
-def only_news(found: Evidence, seen: Evidence) -> None:
-    """Leave out which jobs were accepted, and how they ended, where another has said the
-    same: every controller knows nearly all of it, and they need not be held five times."""
-    found.live = {n: row for n, row in found.live.items() if n not in seen.live}
-    found.ended = {
-        n: row
-        for n, row in found.ended.items()
-        if n not in seen.ended or seen.ended[n][0] != row[0]
+def only_news(evidence: Evidence, known: Evidence) -> None:
+    """Remove the live jobs and the job ends that other evidence already has.
+
+    Every controller knows nearly all of them, so keeping each copy would multiply the memory of
+    a rebuild by the number of controllers.
+    """
+    evidence.live = {name: row for name, row in evidence.live.items() if name not in known.live}
+    evidence.ended = {
+        name: row
+        for name, row in evidence.ended.items()
+        if name not in known.ended or known.ended[name][0] != row[0]
     }
 
 
-def split(parts: Mapping[str, Evidence]) -> tuple[dict[str, str], dict[str, Evidence]]:
-    """The members of the last epoch that anybody began, and the evidence of those of
-    them that hold the whole of their share."""
-    number = max((e.epoch for e in parts.values()), default=0)
-    members = next((e.members for e in parts.values() if e.epoch == number), {})
+def last_epoch_evidence(
+    evidence_by_label: Mapping[str, Evidence],
+) -> tuple[dict[str, str], dict[str, Evidence]]:
+    """Return the members of the last epoch, and the complete evidence of that epoch by label.
+
+    Evidence is complete if its controller was a member of the last epoch in the same incarnation
+    and had loaded its jobs.
+    """
+    last_epoch = max((item.epoch for item in evidence_by_label.values()), default=0)
+    members = next(
+        (item.members for item in evidence_by_label.values() if item.epoch == last_epoch), {}
+    )
     return members, {
-        label: e
-        for label, e in parts.items()
-        if e.epoch == number and e.loaded and members.get(label) == e.incarnation
+        label: item
+        for label, item in evidence_by_label.items()
+        if item.epoch == last_epoch and item.loaded and members.get(label) == item.incarnation
     }
--- a/clayport/rebuild/files.py
+++ b/clayport/rebuild/files.py
@@ -1,8 +1,8 @@
-"""The snapshots of a directory: bases, each with the log of the changes that came after it.
+"""The snapshots of a directory: bases, each with a log of the later changes.
 
-`snapshot_format` has the format of the files, `snapshot_base` and `snapshot_log` the two
-kinds of them. The newest base that is whole is used, with as much of its log as is whole;
-files that can't be used are named.
+`snapshot_format` defines the file format, and `snapshot_base` and `snapshot_log` read and write
+the two kinds of files. `newest` reads the newest intact base and the intact part of its log, and
+names the files that it can't use.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 
 class Snapshot(msgspec.Struct):
-    """The newest records that could be read.
+    """The records of the newest usable snapshot.
 
     Attributes:
         header: The header of the base.
         records: Value and revision of each record, by its key.
-        rev: The revision up to which the changes are in `records`.
-        refused: The files that could not be used, or not to their ends, and why.
+        rev: The revision up to which `records` contains all changes.
+        refused: For each file that was unusable or usable only in part, its name and the reason.
     """
 
     header: Header
@@ -42,24 +42,24 @@
 
 
 def bases(directory: Path) -> list[Path]:
-    """Return the bases of a directory, the newest first."""
+    """Return the paths of the bases in a directory, newest first."""
     return sorted(directory.glob("base-*.rec"), reverse=True)
 
 
 def log_path(base: Path) -> Path:
-    """Return where the log of a base is, if it has one."""
+    """Return the path of the log of a base; the log may not exist."""
     return base.with_name("log" + base.name[len("base") :])
 
 
 def newest(directory: Path, labels: Iterable[str]) -> Snapshot:
-    """Read the newest base that is whole, with what its log adds.
+    """Read the newest intact base and apply its log.
 
     Args:
         directory: Where the snapshots are.
-        labels: The controllers of the deployment; bases of others are refused.
+        labels: The controllers of the deployment; bases of other deployments are refused.
 
     Raises:
-        SnapshotError: There is no base that can be used; each that was refused is named.
+        SnapshotError: There is no usable base; the message names each refused base.
     """
     refused: list[str] = []
     if not directory.is_dir():
@@ -73,7 +73,7 @@
         if sorted(header.labels) != sorted(labels):
             refused.append(f"{path}: of another deployment ({', '.join(header.labels)})")
             continue
-        # By the header, since a base may have been given another name.
+        # The log's name is derived from the header, since the base may have been renamed.
         log = directory / file_name(Header("log", [], "", header.number, header.rev, 0.0))
         rev = header.rev
         if log.exists():
@@ -85,7 +85,7 @@
 
 
 def prune(directory: Path, keep: int) -> None:
-    """Delete all but the newest `keep` bases and their logs, and files never finished."""
+    """Delete unfinished files, and all bases and logs but the newest `keep`."""
     for path in bases(directory)[keep:]:
         log_path(path).unlink(missing_ok=True)
         path.unlink(missing_ok=True)
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -1,19 +1,21 @@
-"""The history (lineage) of the records that a controller acts on, and checks that it holds.
-
-The rest of the scheduler relies on compare-and-swap: a commit names the revisions of the keys
-it read, and fails if one has changed. This holds only as long as the state service never
-loses a commit. If it does (a replica that was behind has taken over, a backup was put back),
-revisions are given out a second time, and a condition on a revision from before the loss can
-hold by accident. Revisions alone can't show that.
-
-So each run of the records without a loss is a history. It has a random name that is never
-used again, and under each prefix that is kept for good an anchor: a key that contains the
-name. Every commit has the anchors of the prefixes that it touches among its conditions. A
-rebuild after a loss begins a new history by deleting the old anchors, so a commit that was
-sent before fails however late it arrives. (This is what a fencing token does for a lock.)
-
-A controller that sees a sign of a loss suspects its history: it commits nothing more until
-the records have been rebuilt and it has joined the new history. Pure: no I/O, no clock.
+"""The history (lineage) of the records that a controller acts on, and the checks for a loss.
+
+The rest of the scheduler relies on compare-and-set: a commit names the revisions of the keys that
+it read, and fails if one of them has changed. This is safe only while the state service never
+loses a commit. After a loss (a stale replica has taken over, or a backup was restored), the
+service assigns the same revisions again, and a condition on a revision from before the loss can
+hold by accident. Revisions alone can't reveal this.
+
+Therefore each period without a loss is a history. A history has a random name that is never
+reused, and an anchor under each persistent prefix. An anchor is a key that contains the name.
+The conditions of every commit include the anchors of the prefixes that the commit touches. A
+rebuild after a loss begins a new history by deleting the old anchors, so that a commit which was
+sent before the rebuild fails however late it arrives. Anchors thus have the role that fencing
+tokens have for locks.
+
+A controller that sees a sign of a loss suspects its history. It makes no further commits until
+the records have been rebuilt and it has joined the new history. The module does no I/O and reads
+no clock.
 """
 
 from __future__ import annotations
@@ -24,43 +26,45 @@
 from clayport.records.keys import HEAD_KEY as HEAD_KEY
 from clayport.records.keys import is_anchor as is_anchor
 
-# The prefixes of the records that are kept for good; each has an anchor.
+# The prefixes of the persistent records. Each prefix has an anchor.
 PREFIXES = ("c/", "run/", "end/", "quota/")
-# The states of a history, as they are stored under HEAD_KEY.
+# The states of a history in the record under HEAD_KEY.
 REBUILDING, WHOLE = "rebuilding", "whole"
 
 
 def anchor_key(prefix: str, name: str) -> str:
-    """Return the key that marks a prefix as belonging to the named history."""
+    """Return the key of the anchor of a prefix in the named history."""
     return f"{prefix}~{name}"
 
 
 def anchor_value(name: str) -> dict[str, Any]:
     """Return the value of an anchor.
 
-    It also has the fields of an empty quota, so that whoever lists the quotas can read it.
+    The value also has the fields of an empty quota, so that code which scans the quota records
+    can parse the anchor under that prefix.
     """
     return {"id": name, "c": 0.0, "g": 0.0}
 
 
 class History:
-    """What one controller knows of the history that it acts on, and whether to trust it.
+    """The history that one controller acts on, and whether the history is suspect.
 
     Args:
         on_suspicion: Called when the history becomes suspect.
 
     Attributes:
-        name: The name of the history; empty while there is none. Without one, commits have
-            no conditions on anchors and nothing is suspected on account of revisions.
-        number: Counts the histories of a deployment; one more with each rebuild.
-        anchors: The revision of each anchor, by its key.
-        highest_revision: The highest revision that an answer has shown, here or to a peer.
+        name: The name of the history; empty if there is none. Without a name, commits have no
+            conditions on anchors, and a low revision raises no suspicion.
+        number: The number of the history; each rebuild increments it.
+        anchors: The revision of each anchor, by key.
+        highest_revision: The highest revision that this controller or a peer has seen in an
+            answer of the state service.
         suspicion: Why the history is suspect; empty if it isn't.
-        needs_check_in: Whether the state service has failed to answer since the peers were last
-            asked for the revisions they have seen. It may have come back with less.
+        needs_check_in: Whether `Recovery.check_in` has to run before the next request: the state
+            service has failed to answer, and may have lost records since.
     """
 
-    ANCHORS = len(PREFIXES)  # conditions that a commit may have beside its own
+    ANCHORS = len(PREFIXES)  # conditions that `conditions` may add to a commit
 
     def __init__(self, on_suspicion: Callable[[], None] = lambda: None) -> None:
         self.name = ""
@@ -72,10 +76,10 @@
         self._on_suspicion = on_suspicion
 
     def conditions(self, keys: Iterable[str]) -> dict[str, int]:
-        """Return the anchors, with their revisions, on which a commit of these keys depends."""
+        """Return the anchors, with their revisions, that a commit of these keys requires."""
         if not self.name:
             return {}
-        touched = {"c/", *(p for key in keys for p in PREFIXES if key.startswith(p))}
+        touched = {"c/", *(prefix for key in keys for prefix in PREFIXES if key.startswith(prefix))}
         return {
             anchor: revision
             for anchor, revision in self.anchors.items()
@@ -83,17 +87,17 @@
         }
 
     def check_revision(self, revision: int, highest_revision: int, wrote: bool = False) -> bool:
-        """Check the revision of the state service that an answer shows.
+        """Check the revision in an answer of the state service.
 
         Args:
             revision: The revision in the answer.
             highest_revision: The highest revision that was known when the request was sent.
-            wrote: Whether the request was a commit that succeeded: the revision has to be
-                higher then.
+            wrote: Whether the request was a successful commit, after which the revision has to
+                be higher.
 
         Returns:
-            False if the revision is too low, so that commits have been lost; the history is
-            suspect then.
+            False if the revision is too low. Commits have been lost then, and the history
+            becomes suspect.
         """
         if self.name and revision < highest_revision + wrote:
             self.suspect(f"revision {revision} after {highest_revision}")
@@ -102,10 +106,11 @@
         return True
 
     def note_peer(self, name: str, number: int, highest_revision: int, suspicion: bool) -> None:
-        """Take in what a peer says of its own history: the attributes of the same names.
+        """Compare this history with the history of a peer.
 
-        `suspicion` is only whether its history is suspect. A peer without a history, or with an
-        earlier one, has just started or is behind, and changes nothing.
+        The arguments are the peer's attributes of the same names, but `suspicion` only says
+        whether the peer's history is suspect. A peer without a history or with an earlier one is
+        ignored, because it has just started or has not yet joined the current history.
         """
         if not name or not self.name or number < self.number:
             return
@@ -117,10 +122,11 @@
             self.suspect("a peer stands still")
 
     def check_prefix(self, prefix: str, keys: Iterable[str]) -> bool:
-        """Check all keys under a prefix, as just read; the anchor has to be among them.
+        """Check that the anchor is among all keys that were just read under a prefix.
 
         Returns:
-            False if it is missing, so that records are too; the history is suspect then.
+            False if the anchor is missing. Records have been lost then, and the history becomes
+            suspect.
         """
         if self.name and anchor_key(prefix, self.name) not in keys:
             self.suspect(f"nothing holds {prefix}")
@@ -131,8 +137,8 @@
         """Check the keys whose conditions made a commit fail.
 
         Returns:
-            True if an anchor is among them, so that the history has ended or was lost; it is
-            suspect then.
+            True if an anchor is among them. The history has ended or has been lost then, and it
+            becomes suspect.
         """
         if any(key in self.anchors for key in keys):
             self.suspect("the history has moved on")
@@ -140,7 +146,7 @@
         return False
 
     def suspect(self, reason: str) -> None:
-        """Mark the history as suspect, unless it already is; the first reason is kept."""
+        """Mark the history as suspect; a history that is already suspect keeps its reason."""
         if not self.suspicion:
             self.suspicion = reason
             self._on_suspicion()
@@ -148,7 +154,7 @@
     def join(
         self, name: str, number: int, anchors: Mapping[str, int], highest_revision: int
     ) -> None:
-        """Act on this history from now on, without suspicion (an empty name: on none)."""
+        """Switch to a history, which is not suspect; an empty name means no history."""
         self.name, self.number, self.anchors, self.highest_revision = (
             name,
             number,
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -1,8 +1,9 @@
-"""What runs on the machines, asked of the machines themselves.
+"""Asks the machines which tasks they hold.
 
-Only a rebuild with a controller's memory gone needs it. Each machine is told a higher
-fencing token, after which no older command can run, and asked what it holds; one that does
-not answer is returned, which ends what is on it. What nobody knows is stopped.
+A rebuild needs the inventory only if the evidence of a leader is missing. Each machine receives
+a higher fencing token, after which it refuses commands that were sent before, and reports its
+tasks. A machine that does not answer is returned to the cloud, which ends its tasks. Tasks of
+unknown jobs are stopped.
 """
 
 from __future__ import annotations
@@ -26,63 +27,75 @@
 
 log = logging.getLogger(__name__)
 
-# Machines asked at a time.
-ASKED = 32
+# Machines that are asked concurrently.
+MACHINES_PER_BATCH = 32
 
 
 class Inventory:
-    """Asks every machine that there may be what it holds.
+    """Asks every machine that may exist for its tasks.
 
     Attributes:
-        machines: Addresses by machine: those known to controllers, and those the cloud lists.
-        token: The highest fencing token seen so far.
-        held: The tasks of each machine that has been accounted for.
+        machines: Addresses by machine, from the evidence and from the cloud's list.
+        known_jobs: The jobs in the evidence or in the records.
+        token: The fencing token that machines are told; no lower than any token seen so far.
+        tasks_by_machine: The tasks of each machine that has answered.
         returned: Machines that were returned to the cloud.
-        silent: Machines that have not answered, and since when.
+        silent_since: The time of the first unanswered request of each silent machine.
     """
 
     def __init__(
-        self, ports: RebuildParts, parts: dict[str, Evidence], machines: dict[str, str]
+        self,
+        controller: RebuildParts,
+        evidence_by_label: dict[str, Evidence],
+        machines: dict[str, str],
     ) -> None:
-        self.ports = ports
+        self.controller = controller
         self.machines = machines
-        self.known_jobs = {n for e in parts.values() for n in (*e.live, *e.ended)}
-        self.token = max((e.epoch for e in parts.values()), default=0) + 1 << TOKEN_COUNTER_BITS
-        self.held: dict[str, list[Task]] = {}
+        self.known_jobs = {n for e in evidence_by_label.values() for n in (*e.live, *e.ended)}
+        self.token = (
+            max((e.epoch for e in evidence_by_label.values()), default=0) + 1 << TOKEN_COUNTER_BITS
+        )
+        self.tasks_by_machine: dict[str, list[Task]] = {}
         self.returned: set[str] = set()
-        self.silent: dict[str, float] = {}
+        self.silent_since: dict[str, float] = {}
         self.listed_at = -math.inf
 
-    async def take(self) -> tuple[list[Task], int]:
-        """Return what runs on every machine, and the highest token seen."""
-        ports = self.ports
-        lag_s = ports.settings.cluster.cloud.list_lag_s
+    async def collect(self) -> tuple[list[Task], int]:
+        """Return the tasks on all machines, and the highest fencing token that they were told.
+
+        The call ends once every machine has answered or was returned to the cloud, and the
+        machines that were rented last have had time to appear in the cloud's list.
+        """
+        controller = self.controller
+        lag_s = controller.settings.cluster.cloud.list_lag_s
         await self._read_known_jobs()
-        began = time.monotonic()
+        started_at = time.monotonic()
         while True:
             now = time.monotonic()
             if now - self.listed_at > lag_s:
                 await self._list_machines(now)
-            left = [
-                n for n in sorted(self.machines) if n not in self.held and n not in self.returned
+            pending = [
+                n
+                for n in sorted(self.machines)
+                if n not in self.tasks_by_machine and n not in self.returned
             ]
-            if not left and self.listed_at > -math.inf and now - began > 2 * lag_s:
-                return [t for rows in self.held.values() for t in rows], self.token
-            for first in range(0, len(left), ASKED):
-                await self._ask_some(left[first : first + ASKED], now)
-            await self._give_up()
-            if left:
+            if not pending and self.listed_at > -math.inf and now - started_at > 2 * lag_s:
+                return [t for rows in self.tasks_by_machine.values() for t in rows], self.token
+            for start in range(0, len(pending), MACHINES_PER_BATCH):
+                await self._ask_batch(pending[start : start + MACHINES_PER_BATCH], now)
+            await self._return_silent()
+            if pending:
                 log.info(
                     "event=rebuild-accounts machines=%d of=%d silent=%d returned=%d",
-                    len(self.held),
+                    len(self.tasks_by_machine),
                     len(self.machines),
-                    len(self.silent),
+                    len(self.silent_since),
                     len(self.returned),
                 )
-            await curio.sleep(ports.settings.cluster.workers.report_s / 2)
+            await curio.sleep(controller.settings.cluster.workers.report_s / 2)
 
     async def _read_known_jobs(self) -> None:
-        store = self.ports.store
+        store = self.controller.store
         entries = [
             *(await store.scan("c/live/", allow_in_doubt=True))[0],
             *(await store.scan("end/", allow_in_doubt=True))[0],
@@ -90,44 +103,47 @@
         self.known_jobs |= {e.key.rpartition("/")[2] for e in entries}
 
     async def _list_machines(self, now: float) -> None:
-        """Add what the cloud lists; on an error it is asked again with the next round."""
+        """Add the machines that the cloud lists; after an error the next round asks again."""
         self.listed_at = now
         try:
-            listed = await self.ports.cloud.machines()
+            listed = await self.controller.cloud.machines()
             self.machines.update({m.id: m.address for m in listed if m.state != "failed"})
         except CloudError as exc:
             log.info("event=cloud-trouble cause=%s", exc)
             self.listed_at = -math.inf
 
-    async def _ask_some(self, names: list[str], now: float) -> None:
-        """Ask some machines at once, and note what they say."""
+    async def _ask_batch(self, names: list[str], now: float) -> None:
+        """Ask machines concurrently and record their answers."""
         async with curio.TaskGroup(wait=all) as group:
             asked = {
                 n: await group.spawn(self._ask, n, self.machines[n], self.token) for n in names
             }
         for machine, task in asked.items():
-            seen, rows = task.result
-            if seen > self.token:
-                self.token = (seen >> TOKEN_COUNTER_BITS) + 1 << TOKEN_COUNTER_BITS
-            if rows is not None:
-                self.held[machine] = rows
-            if seen:
-                self.silent.pop(machine, None)
+            highest_token, tasks = task.result
+            if highest_token > self.token:
+                self.token = (highest_token >> TOKEN_COUNTER_BITS) + 1 << TOKEN_COUNTER_BITS
+            if tasks is not None:
+                self.tasks_by_machine[machine] = tasks
+            if highest_token:
+                self.silent_since.pop(machine, None)
             else:
-                self.silent.setdefault(machine, now)
+                self.silent_since.setdefault(machine, now)
 
     async def _ask(self, machine: str, address: str, token: int) -> tuple[int, list[Task] | None]:
-        """The highest token that a machine has seen (0: no answer), and what it holds once
-        ours is the highest and nothing unknown is on it."""
-        known = self.known_jobs
-        client = self.ports.fleet.client(address)
+        """Return the highest token that a machine has seen (0: no answer), and its tasks.
+
+        The tasks are None while the machine has seen a token above `token`, or still runs a task
+        of an unknown job.
+        """
+        known_jobs = self.known_jobs
+        client = self.controller.fleet.client(address)
         if client is None:
             return 0, None
         try:
             report = await self._report(client, "GET", "/inspect", None)
             if report.token > token:
                 return report.token, None
-            strange = [p for p in report.tasks if p.task.partition("/")[0] not in known]
+            unknown = [p for p in report.tasks if p.task.partition("/")[0] not in known_jobs]
             orders = [
                 {
                     "verb": "clear" if p.state == "exited" else "kill",
@@ -135,45 +151,53 @@
                     "try": p.attempt,
                     **({} if p.state == "exited" else {"wind_down_s": 0.0}),
                 }
-                for p in strange
+                for p in unknown
             ]
             report = await self._report(
                 client, "POST", "/do", {"epoch": token, "tenure": report.session, "orders": orders}
             )
         except (http.NoAnswerError, msgspec.MsgspecError):
             return 0, None
-        if strange:
-            log.info("machine=%s event=stopped-unknown tasks=%d", machine, len(strange))
+        if unknown:
+            log.info("machine=%s event=stopped-unknown tasks=%d", machine, len(unknown))
         if report.token != token or any(
-            p.task.partition("/")[0] not in known and p.state != "exited" for p in report.tasks
+            p.task.partition("/")[0] not in known_jobs and p.state != "exited" for p in report.tasks
         ):
             return report.token, None
         return report.token, [
             Task(*split_task(p.task), p.attempt, machine)
             for p in report.tasks
-            if p.task.partition("/")[0] in known
+            if p.task.partition("/")[0] in known_jobs
         ]
 
     async def _report(self, client: Any, method: str, path: str, body: Any) -> WorkerHeartbeat:
         raw = None if body is None else msgspec.json.encode(body)
-        _, answer = await client.request(method, path, raw, self.ports.fleet.command_s)
+        _, answer = await client.request(method, path, raw, self.controller.fleet.command_s)
         return msgspec.json.decode(answer, type=WorkerHeartbeat)
 
-    async def _give_up(self) -> None:
-        """Return machines that stay silent; not most of them at once, which would be us."""
-        ports, silent, now = self.ports, self.silent, time.monotonic()
-        most = len(silent) > 2 and len(silent) > len(self.held)
-        circuit = ports.settings.cluster.workers.cancel_s / 2 if most else ports.fleet.silent_s
-        names = [n for n, since in silent.items() if now - since > circuit][
+    async def _return_silent(self) -> None:
+        """Return machines to the cloud that stay silent.
+
+        While most machines are silent, each of them is kept for half of `cancel_s`, because this
+        controller itself is probably the one that is disconnected.
+        """
+        controller, silent_since, now = self.controller, self.silent_since, time.monotonic()
+        mostly_silent = len(silent_since) > 2 and len(silent_since) > len(self.tasks_by_machine)
+        limit_s = (
+            controller.settings.cluster.workers.cancel_s / 2
+            if mostly_silent
+            else controller.fleet.silent_s
+        )
+        names = [n for n, since in silent_since.items() if now - since > limit_s][
             :MAX_MACHINES_PER_RETURN
         ]
         if names:
             try:
-                await ports.cloud.give_back(names)
+                await controller.cloud.give_back(names)
             except CloudError as exc:
                 log.info("event=not-fenced machines=%d cause=%s", len(names), exc)
                 return
             log.info("event=scaled-in machines=%s cause=silent", names)
             self.returned.update(names)
             for name in names:
-                silent.pop(name, None)
+                silent_since.pop(name, None)
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -1,4 +1,8 @@
-"""What a controller had told its users and a rebuild by others could not know."""
+"""Adds the records that a rebuild by other controllers could not know.
+
+A controller that was disconnected during the rebuild may have told its users that jobs were
+accepted or have ended, although no other evidence contains these records.
+"""
 
 from __future__ import annotations
 
@@ -20,57 +24,65 @@
 
 
 class LateEvidence:
-    """Adds live and final records that are missing from a history that was just joined."""
+    """Adds live and final records that are missing from a history after joining it."""
 
-    def __init__(self, parts: RebuildParts, history: History) -> None:
-        self.parts, self.history = parts, history
+    def __init__(self, controller: RebuildParts, history: History) -> None:
+        self.controller, self.history = controller, history
 
     async def add(self, known: Evidence) -> None:
-        """Write what is missing, one record after the other, while the history stands."""
-        parts = self.parts
-        attempt = parts.store.begin()
-        todo = [(name, *row) for name, row in known.live.items() if name not in parts.jobs.ended]
-        ends = list(known.ended.items())
-        while (todo or ends) and not self.history.suspicion:
+        """Write the missing records one by one; stop if the history becomes suspect."""
+        controller = self.controller
+        attempt = controller.store.begin()
+        live_jobs = [
+            (name, *row) for name, row in known.live.items() if name not in controller.jobs.ended
+        ]
+        final_records = list(known.ended.items())
+        while (live_jobs or final_records) and not self.history.suspicion:
             try:
-                if todo:
-                    name, desc, at = todo[-1]
+                if live_jobs:
+                    name, description, at = live_jobs[-1]
                     txn = Txn().require(live_key(name), 0).require(end_key(name), 0)
-                    txn.put(live_key(name), {"j": desc, "t": at})
-                    if not await self._once(txn, "job", name):
-                        await parts.lifecycle.learn(name)
-                    todo.pop()
+                    txn.put(live_key(name), {"j": description, "t": at})
+                    if not await self._write_if_absent(txn, "job", name):
+                        await controller.lifecycle.learn(name)
+                    live_jobs.pop()
                 else:
-                    name, (status, at, desc) = ends[-1]
-                    await self._end(name, status, at, desc)
-                    ends.pop()
+                    name, (status, at, description) = final_records[-1]
+                    await self._add_final(name, status, at, description)
+                    final_records.pop()
             except (UnavailableError, OutcomeUnknownError):
-                await parts.store.back_off(attempt)
+                await controller.store.back_off(attempt)
+
+    async def _write_if_absent(self, txn: Txn, kind: str, name: str) -> bool:
+        """Commit a transaction whose first condition is that a key doesn't exist.
 
-    async def _once(self, txn: Txn, what: str, name: str) -> bool:
-        """Write what nobody else had; False if something else is there instead."""
+        Returns:
+            False if the key doesn't exist, but another condition of the transaction fails.
+        """
         try:
-            await self.parts.store.commit(Txn().require(*next(iter(txn.when.items()))))
+            await self.controller.store.commit(Txn().require(*next(iter(txn.when.items()))))
         except ConflictError:
-            return True  # it is there: one comparison, and no write
+            return True  # The record exists; the check has cost no write.
         try:
-            await self.parts.store.commit(txn)
-            log.info("event=late-evidence %s=%s", what, name)
+            await self.controller.store.commit(txn)
+            log.info("event=late-evidence %s=%s", kind, name)
             return True
         except ConflictError:
             return False
 
-    async def _end(self, name: str, status: str, at: float, desc: Any) -> None:
-        parts = self.parts
-        live = await parts.store.get(live_key(name))
+    async def _add_final(self, name: str, status: str, at: float, description: Any) -> None:
+        controller = self.controller
+        live = await controller.store.get(live_key(name))
         txn = Txn().require(end_key(name), 0)
         if live is not None:
             txn.require(live_key(name), live.rev).delete(live_key(name))
-            desc = live.value["j"]
-        await self._once(
+            description = live.value["j"]
+        await self._write_if_absent(
             txn.put(
                 end_key(name),
-                end_value(status, at or time.time(), desc if status == "cancelled" else None),
+                end_value(
+                    status, at or time.time(), description if status == "cancelled" else None
+                ),
             ),
             "end",
             name,
--- a/clayport/rebuild/merge.py
+++ b/clayport/rebuild/merge.py
@@ -1,22 +1,24 @@
-"""Merge the evidence of controllers and machines into the records that have to be written.
-
-Pure: no I/O, no clock. The leader of a job is the controller that manages it in the last epoch
-(by rendezvous hashing over the members). The rules, each with its reason:
-
-- An end beats a live record: final records never change, and a user has been told.
-- A live record that anybody has seen is restored: its user has been answered 201.
-- A task is done if any source says so: that source has seen its result.
-- The leader's evidence decides on the job's tasks, if the leader is there: no machine is told
-  to start anything before the leader knows of it. A task that is free for the leader and
-  assigned in the state service stays assigned until its machine has reported: it may be a
-  commit whose answer was lost.
-- Where the leader is not there, each task that a machine lists is assigned to it, if its record
-  names no other machine that lists it: it runs there.
-- Attempts are never below the highest that was seen anywhere.
-- A quota is the sum of what is assigned after the merge, no less.
-
-Each value written is one that was in the records or in the evidence, and what may run stays
-assigned.
+"""Merges the evidence of controllers and machines into the records that have to be written.
+
+The module does no I/O and reads no clock. The leader of a job is the controller that leads it in
+the last epoch, by rendezvous hashing over the members. The rules and their reasons:
+
+- A job with a known end gets a final record and no live record, because final records never
+  change and a user may have been told of the end.
+- A live record that any source has seen is restored, because the user has been answered 201.
+- A task is done if any source says so, because that source has seen the task's result.
+- If the leader has given evidence, the leader's evidence decides on the job's tasks, because the
+  leader knows of an assignment before any machine is told to start the task. A task that is
+  unassigned in the leader's evidence but assigned in the state service stays assigned until its
+  machine has reported, because the leader may not have received the answer to that commit.
+- If the leader has given no evidence, each task that a machine reports is assigned to that
+  machine, because the task runs there. A recorded assignment that its machine reports stays.
+- The last attempt number of a chunk is never below an attempt that a merged source has seen, so
+  that no attempt number is reused.
+- A quota record is the sum of the resources that are assigned after the merge.
+
+Each written assignment, end and description comes from the records or the evidence, and every
+task that may be running stays assigned.
 """
 
 from __future__ import annotations
@@ -34,21 +36,21 @@
 from clayport.records.keys import end_key, live_key, quota_key
 from clayport.records.values import end_value, parse_quota
 
-Limits = Mapping[str, tuple[float, float]]  # team: most CPUs, most GPUs (0: no limit)
+QuotaLimits = Mapping[str, tuple[float, float]]  # team: maximum CPUs, maximum GPUs (0: no limit)
 
-# Quota records hold sums of floats; what differs by less is the same.
+# Quota records are sums of floats, so a smaller difference is a rounding error.
 QUOTA_TOLERANCE = 1e-6
 
 
 class Merged(NamedTuple):
-    """The outcome of a merge.
+    """The result of a merge.
 
     Attributes:
-        changes: The new value of each key that has to change; None: to be removed.
-        jobs: Live jobs after the merge.
-        restored: Live jobs whose record the state service had lost.
-        ended: Final records that the state service had lost.
-        unknown: Jobs that machines list and that have no record anywhere.
+        changes: The new value of each key that has to change; None removes the key.
+        jobs: The number of live jobs after the merge.
+        restored: The number of live jobs whose record the state service had lost.
+        ended: The number of final records that the state service had lost.
+        unknown: Jobs that machines report and that appear in no record and no evidence.
     """
 
     changes: dict[str, Any]
@@ -59,16 +61,16 @@
 
 
 class LiveJob(NamedTuple):
-    """A job that has not ended: its description and its submission (seconds since 1970)."""
+    """A job that has not ended: its description and submission time (seconds since 1970)."""
 
     description: Any
     submitted_at: float
 
 
 class JobEnd(NamedTuple):
-    """How a job ended, and when (seconds since 1970; 0: not known).
+    """The end of a job: status, time (seconds since 1970; 0: unknown) and description.
 
-    `description` is None where nobody knows it.
+    The description is None if no source has it.
     """
 
     status: str
@@ -78,33 +80,35 @@
 
 def merge(
     records: Records,
-    parts: Mapping[str, Evidence],
+    evidence_by_label: Mapping[str, Evidence],
     listed: Iterable[Task],
-    limits: Limits,
-    first_size: int,
+    limits: QuotaLimits,
+    default_size: int,
 ) -> Merged:
-    """Work out what has to change of the records (anchors aside).
+    """Compute the changes of the records; anchors are not included.
 
     Args:
-        records: What the state service still has.
-        parts: The evidence of each controller, and of snapshots, by label.
-        listed: The tasks that machines have listed.
+        records: The records that the state service still has.
+        evidence_by_label: The evidence of each controller and each snapshot, by label.
+        listed: The tasks that machines report.
         limits: The quotas of the teams.
-        first_size: Tasks in a chunk whose key says no size.
+        default_size: Tasks in a chunk whose key names no size.
 
     Returns:
-        The changes; applied, a second merge of the same finds nothing to change.
+        The changes. A second merge of the same evidence after the changes are applied finds
+        nothing to change.
     """
-    evidence = sorted(parts.values(), key=lambda part: (-part.epoch, part.label))
+    evidence = sorted(evidence_by_label.values(), key=lambda item: (-item.epoch, item.label))
     ended = _final_records(records, evidence)
     live = _live_records(records, evidence, ended)
     descriptions = _descriptions(live, ended)
-    sources = chunk_sources(records, parts, evidence, listed, first_size)
+    sources = chunk_sources(records, evidence_by_label, evidence, listed, default_size)
     changes: dict[str, Any] = {}
     used: dict[str, list[float]] = {}
-    # Chunks of jobs without any other record stay as they are: nobody knows what they were.
+    # The chunks of a job with neither a live nor a final record are left alone, because the job's
+    # description is unknown.
     for name in sorted({*live, *ended}):
-        merged = merge_chunks(name, sources, first_size, name in ended)
+        merged = merge_chunks(name, sources, default_size, name in ended)
         change_chunks(changes, records, name, merged, name in ended)
         assigned = sum(len(chunk.assigned) for chunk in merged.chunks.values())
         if assigned and name in descriptions:
@@ -129,10 +133,14 @@
 
 
 def _final_records(records: Records, evidence: Iterable[Evidence]) -> dict[str, JobEnd]:
-    """How jobs ended. What a controller knows has been told to a user, or will have been."""
+    """Return how jobs ended, by job.
+
+    The evidence takes precedence over the records where the status differs, because a controller
+    may have told a user of the end that it knows.
+    """
     found: dict[str, JobEnd] = {}
-    for part in evidence:
-        for name, (status, ended_at, description) in part.ended.items():
+    for item in evidence:
+        for name, (status, ended_at, description) in item.ended.items():
             known = found.get(name)
             if known is None:
                 found[name] = JobEnd(status, ended_at, description)
@@ -149,8 +157,8 @@
             if known is None or known.status == value["s"]:
                 description = value.get("j", known.description if known else None)
                 found[name] = JobEnd(value["s"], float(value.get("t", 0.0)), description)
-    for part in evidence:
-        for name, (description, _) in part.live.items():
+    for item in evidence:
+        for name, (description, _) in item.live.items():
             if name in found and found[name].description is None:
                 found[name] = found[name]._replace(description=description)
     return found
@@ -159,16 +167,17 @@
 def _live_records(
     records: Records, evidence: Iterable[Evidence], ended: Mapping[str, JobEnd]
 ) -> dict[str, LiveJob]:
-    """The jobs that were accepted and are not known to have ended."""
+    """Return the jobs that were accepted and are not known to have ended."""
     found: dict[str, LiveJob] = {}
     for key, (value, _) in records.items():
         if key.startswith("c/live/") and key[len("c/live/") :] not in ended:
             found[key[len("c/live/") :]] = LiveJob(value["j"], float(value.get("t", 0.0)))
-    for part in evidence:
-        for name, (description, submitted_at) in part.live.items():
+    for item in evidence:
+        for name, (description, submitted_at) in item.live.items():
             if name not in ended:
                 known = found.get(name)
-                # The first to have seen it: urgency and age count from the submission.
+                # The earliest submission time of all sources is used, because the urgency and the
+                # age of a job count from its submission.
                 if known is None or (
                     live_key(name) not in records and submitted_at < known.submitted_at
                 ):
@@ -177,7 +186,7 @@
 
 
 def _descriptions(live: Mapping[str, LiveJob], ended: Mapping[str, JobEnd]) -> dict[str, Job]:
-    """The jobs whose description is known."""
+    """Return the jobs whose description is known."""
     found: dict[str, Job] = {}
     for name in (*live, *ended):
         raw = live[name].description if name in live else ended[name].description
@@ -189,7 +198,10 @@
 def _change_final(
     changes: dict[str, Any], records: Records, name: str, end: JobEnd, keep_description: bool
 ) -> None:
-    """Restore a final record; with its description while tasks of it may still run."""
+    """Add the final record of a job to `changes` if needed, and remove the live record.
+
+    The final record keeps the description while tasks of the job may still run.
+    """
     if live_key(name) in records:
         changes[live_key(name)] = None
     stored = records.get(end_key(name))
@@ -207,8 +219,8 @@
 # -- quotas, versions, classes ---------------------------------------------------------
 
 
-def _add_usage(used: dict[str, list[float]], job: Job, tasks: int, limits: Limits) -> None:
-    """Charge a job's assigned tasks to its team, if its quota counts them."""
+def _add_usage(used: dict[str, list[float]], job: Job, tasks: int, limits: QuotaLimits) -> None:
+    """Add a job's assigned tasks to its team's usage, if the team's quota limits them."""
     cpus, gpus = quota_usage(job, tasks)
     if is_metered(limits.get(job.team, (0.0, 0.0)), cpus, gpus):
         row = used.setdefault(job.team, [0.0, 0.0])
@@ -217,9 +229,9 @@
 
 
 def _change_quotas(
-    changes: dict[str, Any], records: Records, used: Mapping[str, list[float]], limits: Limits
+    changes: dict[str, Any], records: Records, used: Mapping[str, list[float]], limits: QuotaLimits
 ) -> None:
-    """Set the quota records to what is assigned."""
+    """Add the quota records that differ from the assigned resources to `changes`."""
     for team, (cpus_max, gpus_max) in limits.items():
         if cpus_max <= 0 and gpus_max <= 0:
             continue
@@ -233,13 +245,13 @@
 def _change_versions_and_classes(
     changes: dict[str, Any], records: Records, evidence: Iterable[Evidence]
 ) -> None:
-    """Restore the controllers' formats and the examples of job classes that are missing."""
-    for part in evidence:
-        for label, number in part.versions.items():
+    """Add the missing records of controllers' formats and of job classes' examples."""
+    for item in evidence:
+        for label, number in item.versions.items():
             key = f"c/version/{label}"
             if number and key not in records:
                 changes[key] = {"format": max(number, changes.get(key, {}).get("format", 0))}
-        for job_class, description in part.classes.items():
+        for job_class, description in item.classes.items():
             key = f"c/class/{job_class}"
             if key not in records:
                 changes.setdefault(key, {"j": description})
--- a/clayport/rebuild/plan.py
+++ b/clayport/rebuild/plan.py
@@ -1,6 +1,6 @@
-"""Divide the changes of a rebuild into transactions that the state service accepts.
+"""Divides the changes of a rebuild into transactions that the state service accepts.
 
-Pure: no I/O, no clock.
+The module does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 from clayport.records.chunk import TXN_BYTES
 from clayport.records.transaction import Txn
 
-# The size of a write and its condition in a request beside key and value, at most.
-ROW_BYTES = 64
+# An upper bound on the bytes that a write and its condition add to a request, besides the key
+# and the value.
+WRITE_OVERHEAD_BYTES = 64
 
 
-def in_order(changes: Mapping[str, Any]) -> list[str]:
-    """Return the keys in the order of writing, the most urgent jobs first.
+def write_order(changes: Mapping[str, Any]) -> list[str]:
+    """Return the keys in the order in which they are written.
 
-    Live records come by rank, services first, each with its chunks; then quotas; then all
-    else. Until a job's records are there it can't be scheduled.
+    The live record and the chunks of each job come first, ordered by rank with services first,
+    because a job can't be scheduled until its records exist. Quotas follow, then all other keys.
     """
     ranks: dict[str, tuple[int, int]] = {}
     for key, value in changes.items():
@@ -47,24 +48,27 @@
 def transactions(
     changes: Mapping[str, Any], records: Records, anchor: tuple[str, int], txn_ops: int
 ) -> Iterator[Txn]:
-    """Yield the writes, each conditional on the rebuild's history and on the key as read.
+    """Yield transactions that write the changes.
 
-    So nothing is overwritten that another process has written since.
+    Each transaction requires the anchor of the rebuild's history and the revision of each key as
+    read, so that the rebuild doesn't overwrite a later write of another process.
 
     Args:
-        changes: The new value by key; None: to be removed.
-        records: The records as they were read.
-        anchor: Key and revision of the anchor of the rebuild's history.
-        txn_ops: Writes that the state service takes in a transaction.
+        changes: The new value by key; None removes the key.
+        records: The records as read.
+        anchor: The key and the revision of the anchor of the rebuild's history.
+        txn_ops: The number of writes that the state service accepts in a transaction.
 
     Yields:
-        Transactions within `txn_ops` writes and (unless one write alone is larger)
+        Transactions of at most `txn_ops` writes and, unless a single write is larger, at most
         `TXN_BYTES` bytes.
     """
     txn, size = Txn().require(*anchor), 0
-    for key in in_order(changes):
+    for key in write_order(changes):
         value = changes[key]
-        added = ROW_BYTES + 2 * len(key) + (len(msgspec.json.encode(value)) if value else 0)
+        added = (
+            WRITE_OVERHEAD_BYTES + 2 * len(key) + (len(msgspec.json.encode(value)) if value else 0)
+        )
         if txn.writes and (len(txn.writes) == txn_ops or size + added > TXN_BYTES):
             yield txn
             txn, size = Txn().require(*anchor), 0
--- a/clayport/rebuild/ports.py
+++ b/clayport/rebuild/ports.py
@@ -1,4 +1,4 @@
-"""What rebuilding uses of a controller: the parts by their names, and nothing of the whole."""
+"""The interface through which this package uses the parts of a controller."""
 
 from __future__ import annotations
 
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -1,7 +1,6 @@
-"""A rebuild: evidence is gathered and merged, the records are written, and a history begins.
+"""Carries out a rebuild: gathers evidence, writes the merged records and begins a history.
 
-What the records have to be is decided in `merge`, and in which transactions they are written
-in `plan`; here they are carried out.
+`merge` computes the records, and `plan` divides the writes into transactions.
 """
 
 from __future__ import annotations
@@ -45,11 +44,11 @@
 
 
 class ConcurrentChangeError(Exception):
-    """Somebody else has changed something: look anew."""
+    """Another process has changed the records meanwhile; they have to be read again."""
 
 
 async def read_anchors(store: StateStore, name: str) -> dict[str, int]:
-    """Return the anchors of a history that are there, with their revisions."""
+    """Return the existing anchors of a history, with their revisions."""
     found = [await store.get(anchor_key(prefix, name), allow_in_doubt=True) for prefix in PREFIXES]
     return {e.key: e.rev for e in found if e is not None}
 
@@ -58,61 +57,71 @@
     """Carries out the rebuilds of one controller.
 
     Args:
-        ports: The controller.
-        history: The history that it acts on.
-        own_evidence: Returns what this controller still knows of the records.
-        join: Acts on a history, given its head and the revisions of its anchors.
+        controller: The parts of the controller.
+        history: The history that the controller acts on.
+        own_evidence: Returns the evidence of this controller.
+        join: Joins a history, given its head record and the revisions of its anchors.
     """
 
     def __init__(
         self,
-        ports: RebuildParts,
+        controller: RebuildParts,
         history: History,
         own_evidence: Callable[[], Evidence],
         join: Callable[[Entry, dict[str, int]], Awaitable[None]],
     ) -> None:
-        self.ports, self.history = ports, history
+        self.controller, self.history = controller, history
         self.own_evidence, self.join = own_evidence, join
 
     async def rebuild(self, head: Entry | None, records: dict[str, Entry], number: int) -> None:
-        """Rebuild the records, alone with the state service: all others stand still.
+        """Rebuild the records.
+
+        The rebuild uses the request rates of all controllers, because the others have suspended
+        their work.
+
+        Args:
+            head: The record under `HEAD_KEY`, if there is one.
+            records: The records under `c/`.
+            number: The number of the new history.
 
         Raises:
-            ConcurrentChangeError: Another controller has changed the records meanwhile.
+            ConcurrentChangeError: Another process has changed the records meanwhile.
             UnavailableError: The state service doesn't answer.
         """
-        store = self.ports.store
+        store = self.controller.store
         store.shared_by(1)
         try:
-            await self._put_together(head, records, number)
+            await self._rebuild_records(head, records, number)
         finally:
             store.shared_by(store.controllers)
 
-    async def _put_together(
+    async def _rebuild_records(
         self, head: Entry | None, records: dict[str, Entry], number: int
     ) -> None:
-        ports, h = self.ports, self.history
-        began = time.monotonic()
-        name = f"{ports.routines.rng.getrandbits(64):016x}"
-        anchor = await self._begin(head, records, name, number)
-        log.info("event=rebuild-began history=%s cause=%r", name, h.suspicion)
-        parts = await self._gather(name)
-        members, managed_jobs = evidence.split(parts)
-        missing = sorted(set(members) - set(managed_jobs))
-        machines = {n: a for e in parts.values() for n, a in e.machines.items()}
+        controller, history = self.controller, self.history
+        started_at = time.monotonic()
+        name = f"{controller.routines.rng.getrandbits(64):016x}"
+        anchor = await self._begin_history(head, records, name, number)
+        log.info("event=rebuild-began history=%s cause=%r", name, history.suspicion)
+        evidence_by_label = await self._gather_evidence(name)
+        members, complete = evidence.last_epoch_evidence(evidence_by_label)
+        missing = sorted(set(members) - set(complete))
+        machines = {n: a for e in evidence_by_label.values() for n, a in e.machines.items()}
         listed: list[Task] = []
         highest_token = 0
         if missing or not members:
             log.info("event=rebuild-asks machines=%d missing=%s", len(machines), ",".join(missing))
-            listed, highest_token = await Inventory(ports, parts, machines).take()
-        records_now, _ = await ports.store.scan_all(PREFIXES, allow_in_doubt=True)
-        found = {key: row for key, row in records_now.items() if not is_anchor(key)}
+            listed, highest_token = await Inventory(
+                controller, evidence_by_label, machines
+            ).collect()
+        scanned, _ = await controller.store.scan_all(PREFIXES, allow_in_doubt=True)
+        current = {key: row for key, row in scanned.items() if not is_anchor(key)}
         merged = merge(
-            found,
-            parts,
+            current,
+            evidence_by_label,
             listed,
-            ports.quotas.limits,
-            chunk_size(ports.settings.cluster.state.value_kb),
+            controller.quotas.limits,
+            chunk_size(controller.settings.cluster.state.value_kb),
         )
         log.info(
             "event=rebuild-found jobs=%d restored=%d ended=%d changes=%d unknown=%d "
@@ -122,96 +131,110 @@
             merged.ended,
             len(merged.changes),
             len(merged.unknown),
-            len(parts),
+            len(evidence_by_label),
             len(machines),
         )
         written = 0
         for txn in plan.transactions(
-            merged.changes, found, anchor, ports.settings.cluster.state.least().txn_ops
+            merged.changes, current, anchor, controller.settings.cluster.state.least().txn_ops
         ):
             await self._write(txn)
             written += len(txn.writes)
             log.debug("event=rebuild-wrote changes=%d of=%d", written, len(merged.changes))
-        await self._finish(name, number, anchor, parts, found, highest_token)
+        await self._finish(name, number, anchor, evidence_by_label, current, highest_token)
         log.info(
             "event=rebuild-done history=%s changes=%d seconds=%.1f",
             name,
             written,
-            time.monotonic() - began,
+            time.monotonic() - started_at,
         )
 
-    async def _begin(
+    async def _begin_history(
         self, head: Entry | None, records: dict[str, Entry], name: str, number: int
     ) -> tuple[str, int]:
-        """End the history that was: nothing that was sent under it is applied from here on,
-        since it names the anchor under `c/`. The others follow, each with its predecessors."""
-        ports = self.ports
-        olds = {
+        """Replace the anchors of all earlier histories; return the new anchor under `c/`.
+
+        The first transaction replaces the anchors under `c/`. From then on no commit of an earlier
+        history is applied, because every commit requires the anchor under `c/`. The anchors of the
+        other prefixes follow in one transaction each.
+        """
+        controller = self.controller
+        old_names = {
             self.history.name,
             head.value["id"] if head is not None else "",
             *(k[len("c/~") :] for k in records if k.startswith("c/~")),
         } - {""}
-        there = {old: await read_anchors(ports.store, old) for old in sorted(olds)}
+        old_anchors = {
+            old_name: await read_anchors(controller.store, old_name)
+            for old_name in sorted(old_names)
+        }
 
-        def renew(txn: Txn, prefix: str) -> Txn:
-            for old, revs in there.items():
-                key = anchor_key(prefix, old)
+        def replace_anchor(txn: Txn, prefix: str) -> Txn:
+            for old_name, revs in old_anchors.items():
+                key = anchor_key(prefix, old_name)
                 txn.require(key, revs.get(key, 0))
                 if key in revs:
                     txn.delete(key)
             return txn.put(anchor_key(prefix, name), anchor_value(name))
 
-        txn = renew(Txn().require(HEAD_KEY, head.rev if head is not None else 0), "c/")
+        txn = replace_anchor(Txn().require(HEAD_KEY, head.rev if head is not None else 0), "c/")
         txn.put(
-            HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": ports.membership.label}
+            HEAD_KEY,
+            {"id": name, "n": number, "state": REBUILDING, "by": controller.membership.label},
         )
         anchor = anchor_key("c/", name), await self._write(txn)
         for prefix in PREFIXES:
             if prefix != "c/":
-                await self._write(renew(Txn().require(*anchor), prefix))
+                await self._write(replace_anchor(Txn().require(*anchor), prefix))
         return anchor
 
     async def _write(self, txn: Txn) -> int:
-        """Commit until it is known whether; ConcurrentChangeError if somebody else came first."""
-        ports = self.ports
-        attempt = ports.store.begin()
-        unsure = False
+        """Commit, and retry until the commit is known to be applied; return its revision.
+
+        Raises:
+            ConcurrentChangeError: A condition doesn't hold, possibly because an earlier attempt
+                without an answer was applied.
+            UnavailableError: The state service has refused the commit, which is not applied.
+        """
+        controller = self.controller
+        attempt = controller.store.begin()
+        may_be_applied = False
         while True:
             try:
-                return await ports.store.commit(
+                return await controller.store.commit(
                     txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True
                 )
             except ConflictError as exc:
                 log.info("event=rebuild-overtaken keys=%s", exc.failed[:3])
                 raise ConcurrentChangeError from None
             except OutcomeUnknownError:
-                unsure = True
+                may_be_applied = True
             except UnavailableError:
-                if not unsure:
+                if not may_be_applied:
                     raise
-            await ports.store.back_off(attempt)
+            await controller.store.back_off(attempt)
 
-    async def _gather(self, name: str) -> dict[str, Evidence]:
-        """The evidence of all controllers that answer, ours included."""
-        ports = self.ports
-        parts = {ports.membership.label: self.own_evidence()}
+    async def _gather_evidence(self, name: str) -> dict[str, Evidence]:
+        """Return the evidence of this controller, of all peers that answer, and of snapshots."""
+        controller = self.controller
+        evidence_by_label = {controller.membership.label: self.own_evidence()}
         for _ in range(3):
-            for label in ports.peers:
-                if label not in parts:
-                    found = await self._evidence_of(label, name)
-                    if found is not None:
-                        evidence.only_news(found, parts[ports.membership.label])
-                        parts[label] = found
-            if len(parts) == len(ports.settings.labels):
+            for label in controller.peers:
+                if label not in evidence_by_label:
+                    received = await self._evidence_of(label, name)
+                    if received is not None:
+                        evidence.only_news(received, evidence_by_label[controller.membership.label])
+                        evidence_by_label[label] = received
+            if len(evidence_by_label) == len(controller.settings.labels):
                 break
-            await curio.sleep(ports.membership.lease_ttl_s / 8)
-        for found in list(parts.values()):
-            if found.remembered is not None:
-                parts[found.remembered.label] = found.remembered
-        return parts
+            await curio.sleep(controller.membership.lease_ttl_s / 8)
+        for received in list(evidence_by_label.values()):
+            if received.remembered is not None:
+                evidence_by_label[received.remembered.label] = received.remembered
+        return evidence_by_label
 
     async def _evidence_of(self, label: str, name: str) -> Evidence | None:
-        peer, parts = self.ports.peers[label], []
+        peer, parts = self.controller.peers[label], []
         try:
             count, part = await peer.call(frames.EVIDENCE, (name, 0))
             parts.append(part)
@@ -228,39 +251,50 @@
         name: str,
         number: int,
         anchor: tuple[str, int],
-        parts: dict[str, Evidence],
-        found: dict[str, tuple[Any, int]],
+        evidence_by_label: dict[str, Evidence],
+        current: dict[str, tuple[Any, int]],
         highest_token: int,
     ) -> None:
-        """The history is whole, and an epoch begins under it, above all that anybody has
-        seen."""
-        ports = self.ports
-        stored = found.get(EPOCH_KEY)
-        later = 1 + max(
+        """Mark the history as complete, begin an epoch under it and join it.
+
+        The epoch's number is higher than every epoch number and fencing token seen so far.
+        """
+        controller = self.controller
+        stored = current.get(EPOCH_KEY)
+        epoch_number = 1 + max(
             highest_token >> TOKEN_COUNTER_BITS,
             int(stored[0]["number"]) if stored else 0,
-            *(e.epoch for e in parts.values()),
+            *(e.epoch for e in evidence_by_label.values()),
         )
-        members = {label: e.incarnation for label, e in parts.items() if e.incarnation}
-        present = await self._present(members)
+        members = {label: e.incarnation for label, e in evidence_by_label.items() if e.incarnation}
+        registered = await self._registered(members)
         txn = Txn().require(*anchor).require(EPOCH_KEY, stored[1] if stored else 0)
-        txn.put(EPOCH_KEY, Epoch(later, present, 0).value())
-        head = {"id": name, "n": number, "state": WHOLE, "by": ports.membership.label}
+        txn.put(EPOCH_KEY, Epoch(epoch_number, registered, 0).value())
+        head = {"id": name, "n": number, "state": WHOLE, "by": controller.membership.label}
         rev = await self._write(txn.put(HEAD_KEY, head).put(anchor[0], anchor_value(name)))
-        anchors = await read_anchors(ports.store, name)
+        anchors = await read_anchors(controller.store, name)
         if len(anchors) < len(PREFIXES):
-            raise ConcurrentChangeError  # lost in the very moment
+            raise ConcurrentChangeError  # Anchors were lost again meanwhile.
         await self.join(Entry(HEAD_KEY, head, rev), anchors)
 
-    async def _present(self, members: dict[str, str]) -> dict[str, str]:
-        """Of those whose evidence is there, who has a key: all others would have to be taken
-        out again at once. Everybody, if nobody has one yet."""
-        ports = self.ports
-        end = time.monotonic() + ports.membership.lease_ttl_s
+    async def _registered(self, members: dict[str, str]) -> dict[str, str]:
+        """Return the members that have registered a key under `c/node/`.
+
+        A member without a key would be removed from the epoch at once. If no member registers
+        within the lease TTL, all of them are returned.
+        """
+        controller = self.controller
+        deadline = time.monotonic() + controller.membership.lease_ttl_s
         while True:
-            entries, _ = await ports.store.scan("c/node/", allow_in_doubt=True)
-            keys = {e.key[len("c/node/") :]: str(e.value["inc"]) for e in entries}
-            found = {label: inc for label, inc in members.items() if keys.get(label) == inc}
-            if len(found) == len(members) or time.monotonic() >= end:
+            entries, _ = await controller.store.scan("c/node/", allow_in_doubt=True)
+            registered_incarnations = {
+                e.key[len("c/node/") :]: str(e.value["inc"]) for e in entries
+            }
+            found = {
+                label: inc
+                for label, inc in members.items()
+                if registered_incarnations.get(label) == inc
+            }
+            if len(found) == len(members) or time.monotonic() >= deadline:
                 return found or members
-            await curio.sleep(ports.membership.lease_ttl_s / 8)
+            await curio.sleep(controller.membership.lease_ttl_s / 8)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -1,4 +1,4 @@
-"""Keeping snapshots of the records, from their changes as they come."""
+"""Keeps snapshots of the records up to date by watching for changes."""
 
 from __future__ import annotations
 
@@ -23,99 +23,107 @@
 
 log = logging.getLogger(__name__)
 
-# Bases that are kept. A new one is written once the log is so many times as long as the last.
-KEEP, LOG_TIMES = 3, 2.0
-# A log is not given up before that, however small the base is.
-LOG_LEAST = 256 * 1024
+# The number of bases that are kept, and the size of a log relative to its base at which a new base
+# is written.
+KEPT_BASES, MAX_LOG_RATIO = 3, 2.0
+# A smaller log never causes a new base, however small the present base is.
+MIN_LOG_BYTES = 256 * 1024
 
 
-def remembered(found: files.Snapshot, label: str) -> Evidence:
-    """A snapshot as evidence: who was there, and what had been accepted and had ended. Which
-    machine holds what is left to the machines themselves: it is older than their reports."""
-    said = Evidence(f"{label}/disk", "")
-    for key, (value, _) in found.records.items():
+def remembered(snapshot: files.Snapshot, label: str) -> Evidence:
+    """Convert a snapshot into evidence.
+
+    The evidence has no machines. The assignments in its chunks decide nothing, because the
+    machines' own reports are newer.
+    """
+    evidence = Evidence(f"{label}/disk", "")
+    for key, (value, _) in snapshot.records.items():
         prefix, _, rest = key.partition("/")
         if is_anchor(key):
             continue
         if key == EPOCH_KEY:
-            said.epoch, said.members = int(value["number"]), dict(value["members"])
+            evidence.epoch, evidence.members = int(value["number"]), dict(value["members"])
         elif key.startswith("c/live/"):
-            said.live[rest[len("live/") :]] = (value["j"], float(value.get("t", 0.0)))
+            evidence.live[rest[len("live/") :]] = (value["j"], float(value.get("t", 0.0)))
         elif prefix == "end":
-            said.ended[rest] = (value["s"], float(value.get("t", 0.0)), value.get("j"))
+            evidence.ended[rest] = (value["s"], float(value.get("t", 0.0)), value.get("j"))
         elif prefix == "run":
-            said.chunks[key] = value
+            evidence.chunks[key] = value
         elif key.startswith("c/version/"):
-            said.versions[rest[len("version/") :]] = int(value["format"])
+            evidence.versions[rest[len("version/") :]] = int(value["format"])
         elif key.startswith("c/class/"):
-            said.classes[rest[len("class/") :]] = value["j"]
-    return said
+            evidence.classes[rest[len("class/") :]] = value["j"]
+    return evidence
 
 
 class Recorder:
-    """One controller's snapshots: a base, then every change, synced as it comes."""
+    """Writes the snapshots of one controller: a base, then each change, synced as it arrives."""
 
-    def __init__(self, parts: RebuildParts, directory: Path) -> None:
-        self.parts, self.directory = parts, directory
+    def __init__(self, controller: RebuildParts, directory: Path) -> None:
+        self.controller, self.directory = controller, directory
         self.records: dict[str, tuple[Any, int]] = {}
         self.rev = 0
-        self.synced = 0  # up to this revision all is on the disk
+        self.synced_revision = 0  # all changes up to this revision are on disk
         self.log: ChangeLog | None = None
         self.base_bytes = 0
 
     def load(self) -> Evidence | None:
-        """What was on the disk when this process began; None if nothing of use is."""
+        """Return the newest usable snapshot as evidence; None if there is none."""
         try:
-            found = files.newest(self.directory, self.parts.settings.labels)
+            snapshot = files.newest(self.directory, self.controller.settings.labels)
         except (SnapshotError, OSError) as exc:
             log.info("event=no-snapshot cause=%r", str(exc))
             return None
-        for why in found.refused:
-            log.info("event=snapshot-refused cause=%r", why)
-        log.info("event=snapshot-read revision=%d records=%d", found.rev, len(found.records))
-        return remembered(found, self.parts.membership.label)
+        for reason in snapshot.refused:
+            log.info("event=snapshot-refused cause=%r", reason)
+        log.info("event=snapshot-read revision=%d records=%d", snapshot.rev, len(snapshot.records))
+        return remembered(snapshot, self.controller.membership.label)
 
     async def run(self) -> None:
-        """Follow the records as long as there is no doubt of them."""
-        parts = self.parts
-        attempt = parts.store.begin()
+        """Record all changes while the history is not suspect; start a new base for each history.
+
+        Runs as long as the process.
+        """
+        controller = self.controller
+        attempt = controller.store.begin()
         while True:
-            recovery = parts.rebuild.recovery
+            recovery = controller.rebuild.recovery
             if recovery is None or recovery.history.suspicion or not recovery.history.name:
-                await curio.sleep(parts.membership.lease_ttl_s / 2)
+                await curio.sleep(controller.membership.lease_ttl_s / 2)
                 continue
             name, number = recovery.history.name, recovery.history.number
             try:
-                await self._base(name, number)
+                await self._read_and_write_base(name, number)
                 attempt.served()
                 while recovery.history.name == name and not recovery.history.suspicion:
-                    await self._follow(name, number)
+                    await self._follow_changes(name, number)
             except CompactedError:
                 log.info("event=snapshot-anew cause='too far behind'")
             except (UnavailableError, OutcomeUnknownError) as exc:
                 log.debug("event=snapshot-waits cause=%s", exc)
-                await parts.store.back_off(attempt)
+                await controller.store.back_off(attempt)
             except (OSError, msgspec.MsgspecError) as exc:
                 log.error("event=snapshot-failed cause=%r", exc)
-                await curio.sleep(parts.routines.jitter(parts.membership.lease_ttl_s * 4))
+                await curio.sleep(controller.routines.jitter(controller.membership.lease_ttl_s * 4))
 
-    async def _base(self, name: str, number: int) -> None:
-        """Read all records once, and write them."""
-        # What has changed while the pages were read comes with the first changes once more.
-        self.records, self.rev = await self.parts.store.scan_all(PREFIXES)
-        await self._write(name, number)
+    async def _read_and_write_base(self, name: str, number: int) -> None:
+        """Read all records and write them as a base."""
+        # Changes made during the scan arrive again with the first watch. Applying them twice has no
+        # effect.
+        self.records, self.rev = await self.controller.store.scan_all(PREFIXES)
+        await self._write_base(name, number)
 
-    async def _write(self, name: str, number: int) -> None:
-        """A base of what is known, and a log for what comes."""
+    async def _write_base(self, name: str, number: int) -> None:
+        """Write a base of the records in memory, and open its log."""
         header = Header(
-            "base", list(self.parts.settings.labels), name, number, self.rev, time.time()
+            "base", list(self.controller.settings.labels), name, number, self.rev, time.time()
         )
         if self.log is not None:
             self.log.close()
             self.log = None
         records = dict(self.records)
-        self.log, self.base_bytes = await curio.run_in_thread(self._on_disk, header, records)
-        self.synced = self.rev
+        self.log, self.base_bytes = await curio.run_in_thread(self._write_files, header, records)
+        self.synced_revision = self.rev
         log.info(
             "event=snapshot revision=%d records=%d bytes=%d",
             self.rev,
@@ -123,29 +131,29 @@
             self.base_bytes,
         )
 
-    def _on_disk(
+    def _write_files(
         self, header: Header, records: dict[str, tuple[Any, int]]
     ) -> tuple[ChangeLog, int]:
         self.directory.mkdir(parents=True, exist_ok=True)
         path = files.write_base(self.directory, header, files.rows_of(records))
-        after = ChangeLog(self.directory, msgspec.structs.replace(header, kind="log"))
-        files.prune(self.directory, KEEP)
-        return after, path.stat().st_size
-
-    async def _follow(self, name: str, number: int) -> None:
-        parts = self.parts
-        changes, rev = await parts.store.watch(
-            "", self.rev, parts.membership.lease_ttl_s, apart=True
+        change_log = ChangeLog(self.directory, msgspec.structs.replace(header, kind="log"))
+        files.prune(self.directory, KEPT_BASES)
+        return change_log, path.stat().st_size
+
+    async def _follow_changes(self, name: str, number: int) -> None:
+        controller = self.controller
+        changes, rev = await controller.store.watch(
+            "", self.rev, controller.membership.lease_ttl_s, apart=True
         )
-        rows = self.note(changes, rev)
+        rows = self.apply_changes(changes, rev)
         if rows and self.log is not None:
             await curio.run_in_thread(self.log.append, rows)
-            self.synced = self.rev
-            if self.log.bytes > max(LOG_LEAST, LOG_TIMES * self.base_bytes):
-                await self._write(name, number)
+            self.synced_revision = self.rev
+            if self.log.bytes > max(MIN_LOG_BYTES, MAX_LOG_RATIO * self.base_bytes):
+                await self._write_base(name, number)
 
-    def note(self, changes: list[Change], rev: int) -> list[Row]:
-        """Carry changes out on what is known; the rows for the log."""
+    def apply_changes(self, changes: list[Change], rev: int) -> list[Row]:
+        """Apply changes to the records in memory; return the rows for the log."""
         rows = []
         for change in changes:
             if change.put is not None:
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -1,6 +1,6 @@
-"""Watching over the history of the records: joining it, or having it rebuilt.
+"""Watches the history of the records, and joins a history or starts a rebuild.
 
-What is decided stands in `history`; a rebuild is carried out by `rebuilder`.
+`history` detects a loss, and `rebuilder` carries out a rebuild.
 """
 
 from __future__ import annotations
@@ -42,312 +42,350 @@
 log = logging.getLogger(__name__)
 
 
-class Said(NamedTuple):
-    """What a peer says of the history that it acts on."""
+class PeerHistory(NamedTuple):
+    """The state of a peer's history, as the peer reports it."""
 
     name: str
     number: int
     highest_revision: int
     suspicion: bool
-    seen: int  # up to which revision it holds the records under `c/` in memory
+    read_revision: int  # the peer has the records under `c/` in memory up to this revision
 
 
 class Recovery:
-    """Notices that records are gone, stands still, and puts them together again."""
+    """Detects lost records, suspends the controller's work and has the records rebuilt."""
 
-    def __init__(self, ports: RebuildParts, directory: str = "", second_copy: bool = False) -> None:
-        self.ports, self.second_copy = ports, second_copy
+    def __init__(
+        self, controller: RebuildParts, directory: str = "", second_copy: bool = False
+    ) -> None:
+        self.controller, self.second_copy = controller, second_copy
         self.recorder: Recorder | None = None
         self.remembered: Evidence | None = None
         if directory:
-            from clayport.rebuild.recorder import Recorder  # imported only where there is a disk
+            from clayport.rebuild.recorder import Recorder  # imported only if snapshots are kept
 
-            self.recorder = Recorder(ports, Path(directory))
+            self.recorder = Recorder(controller, Path(directory))
             self.remembered = self.recorder.load()
-        self.history = History(self._stand_still)
-        self.rebuilder = Rebuilder(ports, self.history, self._own, self._join)
-        ports.store.history = self.history
-        ports.store.check_in = self.check_in
-        # Nobody acts before it is known whether the records are those that were left.
+        self.history = History(self._stop_serving)
+        self.rebuilder = Rebuilder(controller, self.history, self._own_evidence, self._join_history)
+        controller.store.history = self.history
+        controller.store.check_in = self.check_in
+        # Records may have been lost before the start, so the first history has to be confirmed.
         self.history.suspect("just begun")
-        self.loaded = False  # this epoch's share was taken over when doubt came
-        self.packed: tuple[str, list[bytes]] = ("", [])
-        self.asking: curio.Event | None = None
+        self.loaded = False  # whether this controller was serving when its history became suspect
+        self.packed_evidence: tuple[str, list[bytes]] = ("", [])
+        self.running_check: curio.Event | None = None
         self.head_rev = 0
-        self.since = time.monotonic()
+        self.suspect_since = time.monotonic()
 
-    # -- noticing --------------------------------------------------------
+    # -- detecting a loss ------------------------------------------------
 
-    def _stand_still(self) -> None:
-        ports = self.ports
-        self.loaded, self.since = ports.membership.serving, time.monotonic()
-        ports.membership.serving = False
-        self.packed = ("", [])
+    def _stop_serving(self) -> None:
+        controller = self.controller
+        self.loaded, self.suspect_since = controller.membership.serving, time.monotonic()
+        controller.membership.serving = False
+        self.packed_evidence = ("", [])
         log.info("event=records-suspect cause=%r", self.history.suspicion)
-        ports.routines.signal("history")
+        controller.routines.signal("history")
 
     async def check_in(self) -> None:
-        """Ask the peers what they have seen, and then the state service, before anything is
-        written: it has not answered for a moment, or an epoch begins. (UnavailableError if it
-        doesn't answer now.)
+        """Compare the peers' highest revisions with the state service's present revision.
 
-        Read before the first write of each of us: the revisions of what is written after a
-        loss soon are what they were, and nobody would have noticed.
+        This happens before the first request after the state service has failed to answer, and
+        before the first request of an epoch. Every controller has to do so, because the writes
+        after a loss soon raise the revisions to their former values, which would hide the loss.
+
+        Raises:
+            UnavailableError: The state service doesn't answer.
         """
-        if self.asking is not None:
-            await self.asking.wait()
+        if self.running_check is not None:
+            await self.running_check.wait()
             return
-        h, ports, now = self.history, self.ports, time.monotonic()
-        self.asking = curio.Event()
+        history, controller, now = self.history, self.controller, time.monotonic()
+        self.running_check = curio.Event()
         try:
             async with curio.TaskGroup(wait=all) as group:
-                for label, peer in ports.peers.items():
-                    if now - peer.heard < ports.membership.lease_ttl_s and self._understands(label):
-                        await group.spawn(self._exchange, label)
-            highest_revision = h.highest_revision
-            _, rev = await ports.store.scan(HEAD_KEY, allow_in_doubt=True)
-            h.needs_check_in = False
-            h.check_revision(rev, highest_revision)
+                for label, peer in controller.peers.items():
+                    if (
+                        now - peer.heard < controller.membership.lease_ttl_s
+                        and self._supports_histories(label)
+                    ):
+                        await group.spawn(self._exchange_histories, label)
+            highest_revision = history.highest_revision
+            _, rev = await controller.store.scan(HEAD_KEY, allow_in_doubt=True)
+            history.needs_check_in = False
+            history.check_revision(rev, highest_revision)
         except OutcomeUnknownError as exc:
             raise UnavailableError(str(exc)) from None
         finally:
-            asking, self.asking = self.asking, None
-            await asking.set()
+            finished_check, self.running_check = self.running_check, None
+            await finished_check.set()
 
-    async def _exchange(self, label: str) -> Said | None:
-        """What a peer has seen; None without an answer."""
-        h, ports = self.history, self.ports
+    async def _exchange_histories(self, label: str) -> PeerHistory | None:
+        """Exchange the state of the history with a peer; return None if it doesn't answer."""
+        history, controller = self.history, self.controller
         try:
-            said = Said(
-                *await ports.peers[label].call(
+            reply = PeerHistory(
+                *await controller.peers[label].call(
                     frames.HISTORY,
                     (
-                        h.name,
-                        h.number,
-                        h.highest_revision,
-                        bool(h.suspicion),
-                        ports.progress.seen,
+                        history.name,
+                        history.number,
+                        history.highest_revision,
+                        bool(history.suspicion),
+                        controller.progress.seen,
                     ),
-                    ports.membership.lease_ttl_s / 4,
+                    controller.membership.lease_ttl_s / 4,
                 )
             )
         except (PeerError, KeyError):
             return None
-        h.note_peer(*said[:4])
-        return said
+        history.note_peer(*reply[:4])
+        return reply
 
     async def second(self, rev: int, deadline: Deadline) -> None:
-        """Until a second place has what was committed at the revision: our disk, or the
-        memory of another controller. UnavailableError if that can't be known in time (the user
-        asks again, and is told of the job as it is)."""
+        """Wait until a second copy of the commit exists: in the local snapshot or at a peer.
+
+        Raises:
+            UnavailableError: No second copy is known in time. A retry of the user's request
+                returns the state of the job.
+        """
         if not self.second_copy or not self.history.name:
             return
-        ports, name = self.ports, self.history.name
-        pause_s = (
-            ports.membership.lease_ttl_s / 256
-        )  # a watch tells of a change within milliseconds
+        controller, name = self.controller, self.history.name
+        # A watch delivers a change within milliseconds.
+        pause_s = controller.membership.lease_ttl_s / 256
         while deadline.allows(time.monotonic(), pause_s):
-            if self.recorder is not None and self.recorder.synced >= rev:
+            if self.recorder is not None and self.recorder.synced_revision >= rev:
                 return
-            for label in sorted(ports.peers, key=lambda x: -ports.peers[x].heard):
-                if self._understands(label):
-                    said = await self._exchange(label)
-                    if said is not None and said.name == name and said.seen >= rev:
+            for label in sorted(controller.peers, key=lambda x: -controller.peers[x].heard):
+                if self._supports_histories(label):
+                    reply = await self._exchange_histories(label)
+                    if reply is not None and reply.name == name and reply.read_revision >= rev:
                         return
-                    if said is not None:
-                        break  # it is about to: its watch takes a moment
+                    if reply is not None:
+                        break  # The peer's watch is about to deliver the change.
             await curio.sleep(pause_s)
         raise UnavailableError("no second copy in time")
 
-    def _understands(self, label: str) -> bool:
-        return understands_histories(self.ports.upgrade.formats.get(label, (0, 0))[0])
+    def _supports_histories(self, label: str) -> bool:
+        return understands_histories(self.controller.upgrade.formats.get(label, (0, 0))[0])
 
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
-        """What peers ask."""
-        h = self.history
+        """Answer a HISTORY or EVIDENCE request of a peer.
+
+        An EVIDENCE request makes this controller's history suspect, because the peer has begun a
+        rebuild.
+        """
+        history = self.history
         if kind == frames.HISTORY:
-            if not h.suspicion:
-                h.note_peer(*values[:4])
+            if not history.suspicion:
+                history.note_peer(*values[:4])
             return frames.HISTORY_REPLY, (
-                h.name,
-                h.number,
-                h.highest_revision,
-                bool(h.suspicion),
-                self.ports.progress.seen,
+                history.name,
+                history.number,
+                history.highest_revision,
+                bool(history.suspicion),
+                self.controller.progress.seen,
             )
         name, part = values
-        if self.packed[0] != name:
-            h.suspect("the records are rebuilt")
-            self.packed = (name, evidence.pack(self._own()))
-        parts = self.packed[1]
+        if self.packed_evidence[0] != name:
+            history.suspect("the records are rebuilt")
+            self.packed_evidence = (name, evidence.pack(self._own_evidence()))
+        parts = self.packed_evidence[1]
         return frames.EVIDENCE_REPLY, (len(parts), parts[part] if part < len(parts) else b"")
 
     def note_head(self, value: Any) -> None:
-        """Which history the records belong to, as the watch has it."""
+        """Suspect the history if the head record, as the watch delivers it, names another one."""
         if self.history.name and str(value["id"]) != self.history.name:
             self.history.suspect("the head has moved")
 
     # -- the routine -----------------------------------------------------
 
     async def run(self) -> None:
-        """Watch over the history, and rebuild when it is in doubt."""
-        ports = self.ports
+        """Check the history regularly, and recover it while it is suspect."""
+        controller = self.controller
         while True:
-            await ports.routines.wait("history", ports.membership.lease_ttl_s / 4)
+            await controller.routines.wait("history", controller.membership.lease_ttl_s / 4)
             if self.history.suspicion:
-                await self._settle()
+                await self._resolve_suspicion()
                 continue
             if not self.history.name:
-                if ports.membership.records_loaded and self._all_understand():
+                if controller.membership.records_loaded and self._all_support_histories():
                     self.history.suspect("no history yet")
                 continue
-            for label in ports.peers:
-                if self._understands(label):
-                    await self._exchange(label)
+            for label in controller.peers:
+                if self._supports_histories(label):
+                    await self._exchange_histories(label)
             if not self.history.suspicion:
-                await self._look()
+                await self._check_stored_history()
+
+    async def _check_stored_history(self) -> None:
+        """Check that the head, the anchors and the epoch record still exist.
 
-    async def _look(self) -> None:
-        """Whether the anchors and the epoch stand: a loss of these alone, or of one
-        prefix, shows nowhere else."""
-        ports = self.ports
+        No other check detects the loss of these records alone, or of a single prefix.
+        """
+        controller = self.controller
         txn = Txn().require(HEAD_KEY, self.head_rev)
         for prefix in PREFIXES:
-            txn.require(prefix, 0)  # no such key: so that all anchors are compared
-        if ports.membership.epoch.rev:
-            txn.require(EPOCH_KEY, ports.membership.epoch.rev)
+            # No key equals a prefix. The condition adds the prefix's anchor to the commit.
+            txn.require(prefix, 0)
+        if controller.membership.epoch.rev:
+            txn.require(EPOCH_KEY, controller.membership.epoch.rev)
         try:
             try:
-                await ports.store.commit(txn)
+                await controller.store.commit(txn)
             except ConflictError as exc:
                 if HEAD_KEY in exc.failed:
                     self.history.suspect("the head has moved")
                     return
-                entry = await ports.store.get(EPOCH_KEY)
-                if entry is None or int(entry.value["number"]) < ports.membership.epoch.number:
+                entry = await controller.store.get(EPOCH_KEY)
+                if entry is None or int(entry.value["number"]) < controller.membership.epoch.number:
                     self.history.suspect("the epoch is gone")
         except (UnavailableError, OutcomeUnknownError):
             pass
 
-    def _all_understand(self) -> bool:
-        return all(self._understands(label) for label in self.ports.settings.labels)
+    def _all_support_histories(self) -> bool:
+        return all(self._supports_histories(label) for label in self.controller.settings.labels)
 
-    async def _settle(self) -> None:
-        """Until there is no doubt any more."""
-        ports = self.ports
-        attempt = ports.store.begin()
+    async def _resolve_suspicion(self) -> None:
+        """Join a history or rebuild the records until the history is no longer suspect."""
+        controller = self.controller
+        attempt = controller.store.begin()
         while self.history.suspicion:
             try:
-                await self._step()
+                await self._join_or_rebuild()
                 attempt.served()
             except ConcurrentChangeError:
-                await curio.sleep(ports.routines.jitter(ports.membership.lease_ttl_s / 16))
+                await curio.sleep(
+                    controller.routines.jitter(controller.membership.lease_ttl_s / 16)
+                )
             except (UnavailableError, OutcomeUnknownError, ConflictError) as exc:
                 log.debug("event=rebuild-waits cause=%s", exc)
-                await ports.store.back_off(attempt)
+                await controller.store.back_off(attempt)
             except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
                 log.error("event=malformed-state cause=%r", exc)
-                await curio.sleep(ports.routines.jitter(ports.membership.lease_ttl_s / 4))
-            await ports.routines.flush()
+                await curio.sleep(controller.routines.jitter(controller.membership.lease_ttl_s / 4))
+            await controller.routines.flush()
 
-    async def _step(self) -> None:
-        """Look at what holds, and join it, wait for who rebuilds it, or rebuild it."""
-        ports, h = self.ports, self.history
-        entries, _ = await ports.store.scan("c/", allow_in_doubt=True)
+    async def _join_or_rebuild(self) -> None:
+        """Read the head, then join its history, wait for a peer's rebuild, or rebuild."""
+        controller, history = self.controller, self.history
+        entries, _ = await controller.store.scan("c/", allow_in_doubt=True)
         records = {e.key: e for e in entries}
         for entry in entries:
-            # Who is there, and understands what: also for who has only just begun.
+            # A controller that has just started needs the formats too, to know which controllers
+            # support histories.
             if entry.key.startswith("c/version/"):
-                ports.versions.note_version(entry.key[len("c/version/") :], entry.value, entry.rev)
+                controller.versions.note_version(
+                    entry.key[len("c/version/") :], entry.value, entry.rev
+                )
         head = records.get(HEAD_KEY)
-        # Whoever is there with no record at all has none of before.
-        told = [
-            t
-            for label in ports.peers
-            if (head is not None or EPOCH_KEY not in records or self._understands(label))
-            and (t := await self._exchange(label)) is not None
+        # With neither a head nor an epoch record, all peers are asked, because their formats are
+        # among the lost records.
+        peer_histories = [
+            peer_history
+            for label in controller.peers
+            if (head is not None or EPOCH_KEY not in records or self._supports_histories(label))
+            and (peer_history := await self._exchange_histories(label)) is not None
         ]
         if (
             head is None
-            and not h.name
-            and not any(t.name for t in told)
+            and not history.name
+            and not any(peer_history.name for peer_history in peer_histories)
             and EPOCH_KEY in records
-            and not self._all_understand()
+            and not self._all_support_histories()
         ):
-            # Somebody may be there who doesn't know of any of this.
+            # A controller of an older version may be running, which can't take part in a rebuild.
             log.info("event=no-history cause='not all controllers are new'")
-            h.join("", 0, {}, 0)
-            self._rejoin()
+            history.join("", 0, {}, 0)
+            self._await_new_epoch()
             return
-        if head is not None and self._holds(head, told):
-            anchors = await read_anchors(ports.store, str(head.value["id"]))
+        if head is not None and self._can_join(head, peer_histories):
+            anchors = await read_anchors(controller.store, str(head.value["id"]))
             if len(anchors) == len(PREFIXES):
-                await self._join(head, anchors)
+                await self._join_history(head, anchors)
                 return
-            # Whole when it was written, and not any more.
-        if ports.membership.away or self._somebody_else(head):
-            await curio.sleep(ports.membership.lease_ttl_s / 16)
+            # The history was complete when the head was written, but has lost anchors since.
+        if controller.membership.away or self._peer_rebuilds(head):
+            await curio.sleep(controller.membership.lease_ttl_s / 16)
             return
         await self.rebuilder.rebuild(
             head,
             records,
             max(
-                h.number, int(head.value["n"]) if head is not None else 0, *(t.number for t in told)
+                history.number,
+                int(head.value["n"]) if head is not None else 0,
+                *(peer_history.number for peer_history in peer_histories),
             )
             + 1,
         )
 
-    def _holds(self, head: Entry, told: list[Said]) -> bool:
-        """Whether the history that the head names is whole and later than ours, or, if we
-        have only begun, is one that somebody has acted on all the time."""
+    def _can_join(self, head: Entry, peer_histories: list[PeerHistory]) -> bool:
+        """Return whether this controller can join the history that the head names.
+
+        The history has to be complete. It also has to be later than the present history of this
+        controller or, if the controller has none, a peer has to act on it without suspicion.
+        """
         name, number = str(head.value["id"]), int(head.value["n"])
         if head.value["state"] != WHOLE:
             return False
         if self.history.name:
             return number > self.history.number
-        return any(t.name == name and not t.suspicion for t in told)
-
-    def _somebody_else(self, head: Entry | None) -> bool:
-        """Whether a peer is at it, or goes first: who has begun, and of all that may begin
-        the first by name. (Two at once can't both win; they would only hinder each other.)"""
-        ports, now = self.ports, time.monotonic()
-        heard = [
-            p.label for p in ports.peers.values() if now - p.heard < ports.membership.lease_ttl_s
+        return any(
+            peer_history.name == name and not peer_history.suspicion
+            for peer_history in peer_histories
+        )
+
+    def _peer_rebuilds(self, head: Entry | None) -> bool:
+        """Return whether a peer rebuilds the records or takes precedence.
+
+        A reachable peer that has begun a rebuild takes precedence. If no peer has begun one, the
+        reachable controller with the lowest label does so until half a lease TTL after the
+        suspicion. Two concurrent rebuilds can't both succeed, but would delay each other.
+        """
+        controller, now = self.controller, time.monotonic()
+        reachable = [
+            p.label
+            for p in controller.peers.values()
+            if now - p.heard < controller.membership.lease_ttl_s
         ]
         if (
             head is not None
             and head.value["state"] == REBUILDING
-            and head.value["by"] != ports.membership.label
+            and head.value["by"] != controller.membership.label
         ):
-            return head.value["by"] in heard
-        early = now - self.since < ports.membership.lease_ttl_s / 2
-        return early and any(label < ports.membership.label for label in heard)
+            return head.value["by"] in reachable
+        is_early = now - self.suspect_since < controller.membership.lease_ttl_s / 2
+        return is_early and any(label < controller.membership.label for label in reachable)
 
     # -- joining ---------------------------------------------------------
 
-    async def _join(self, head: Entry, revs: dict[str, int]) -> None:
-        """Act on the history that the head names."""
-        ports, name = self.ports, str(head.value["id"])
-        late = gather(ports, self.loaded)
+    async def _join_history(self, head: Entry, revs: dict[str, int]) -> None:
+        """Join the history that the head names, and add the evidence that it lacks."""
+        controller, name = self.controller, str(head.value["id"])
+        own_evidence = gather(controller, self.loaded)
         self.head_rev = head.rev
         self.history.join(name, int(head.value["n"]), revs, max(head.rev, *revs.values()))
-        log.info("event=joined history=%s seconds=%.1f", name, time.monotonic() - self.since)
-        self._rejoin()
-        ports.routines.spawn(LateEvidence(ports, self.history).add(late))
-
-    def _rejoin(self) -> None:
-        """Read the records anew, and wait for an epoch that began under this history."""
-        ports = self.ports
-        ports.membership.epoch = Epoch(ports.membership.epoch.number, {}, 0)
-        ports.membership.serving = False
-        # Without a revision until its record has been seen under this history: none of them
-        # is worked on, or answered for, before that.
-        ports.jobs.live = {name: (job, 0) for name, (job, _) in ports.jobs.live.items()}
-        ports.membership.rescan = True
-        ports.routines.signal("members")
-        ports.routines.signal("lease")
-
-    def _own(self) -> Evidence:
-        found = gather(self.ports, self.loaded)
-        found.remembered = self.remembered
-        return found
+        log.info(
+            "event=joined history=%s seconds=%.1f", name, time.monotonic() - self.suspect_since
+        )
+        self._await_new_epoch()
+        controller.routines.spawn(LateEvidence(controller, self.history).add(own_evidence))
+
+    def _await_new_epoch(self) -> None:
+        """Reread the records, and wait for an epoch of the history that was just joined."""
+        controller = self.controller
+        controller.membership.epoch = Epoch(controller.membership.epoch.number, {}, 0)
+        controller.membership.serving = False
+        # Revision 0 marks a job whose record has not yet been read under this history. Such a job
+        # is neither scheduled nor reported to users.
+        controller.jobs.live = {name: (job, 0) for name, (job, _) in controller.jobs.live.items()}
+        controller.membership.rescan = True
+        controller.routines.signal("members")
+        controller.routines.signal("lease")
+
+    def _own_evidence(self) -> Evidence:
+        own_evidence = gather(self.controller, self.loaded)
+        own_evidence.remembered = self.remembered
+        return own_evidence
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -1,8 +1,8 @@
-"""Put a snapshot of the records back into the state service, while no controller runs.
+"""Restores a snapshot of the records to the state service while no controller runs.
 
-All is read and checked before anything is written. The writes belong to a history of their
-own that is left in the state `REBUILDING`: controllers that are started then ask the machines
-what runs, and complete the rebuild.
+All records are read and checked before anything is written. The writes belong to a new history
+that is left in the state `REBUILDING`. Controllers that are started afterwards ask the machines
+which tasks run, and complete the rebuild.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 
 Records = dict[str, tuple[Any, int]]  # key: value, revision
 
-# Written to the head where a controller would write its label.
+# Stored in the head in place of a controller's label.
 WRITER = "clayport restore"
 
 
 class RestoreRefusedError(Exception):
-    """The snapshot can't be put back; the message says why."""
+    """The snapshot can't be restored; the message gives the reason."""
 
 
 class ControllersRunningError(RestoreRefusedError):
-    """Controllers are running, and rebuild the records by themselves."""
+    """Controllers are running, which rebuild the records without a restore."""
 
     def __init__(self, labels: list[str]) -> None:
         super().__init__(
@@ -60,7 +60,7 @@
 
 
 class RecordsChangedError(RestoreRefusedError):
-    """Somebody else has written to the records since they were read."""
+    """Another process has written to the records since they were read."""
 
     def __init__(self) -> None:
         super().__init__("the records have changed meanwhile: begin again")
@@ -71,8 +71,8 @@
 
     Attributes:
         name: The history's name.
-        number: Its number; one more with each rebuild.
-        writer: The controller that wrote the record, or `WRITER`; empty if not known.
+        number: The number of the history; each rebuild increments it.
+        writer: The controller that wrote the record, or `WRITER`; empty if unknown.
         revision: The revision of the record.
     """
 
@@ -83,18 +83,18 @@
 
 
 def read_head(records: Records) -> Head | None:
-    """Return the head among the records; None if they belong to no history."""
-    found = records.get(HEAD_KEY)
-    if found is None:
+    """Return the parsed head record; None if the records belong to no history."""
+    stored = records.get(HEAD_KEY)
+    if stored is None:
         return None
-    value, revision = found
+    value, revision = stored
     return Head(str(value["id"]), int(value["n"]), str(value.get("by", "")), revision)
 
 
 async def read_all(store: StateStore) -> tuple[Records, int]:
-    """Read every record, and a revision up to which all changes are among them.
+    """Read every record; return them and a revision up to which they contain all changes.
 
-    Progress goes to stderr.
+    Progress is printed to stderr.
 
     Raises:
         UnavailableError: The state service doesn't answer.
@@ -104,26 +104,26 @@
     )
 
 
-def check_allowed(found: Snapshot, records: Records) -> None:
-    """Check that the snapshot may be put back over the records as they are.
+def check_allowed(snapshot: Snapshot, records: Records) -> None:
+    """Check that the present state of the records allows a restore of the snapshot.
 
     Raises:
-        ControllersRunningError: A controller is present.
+        ControllersRunningError: A controller is registered.
         OutdatedSnapshotError: The records have been rebuilt since the snapshot.
     """
     labels = sorted(key[len(NODE_PREFIX) :] for key in records if key.startswith(NODE_PREFIX))
     if labels:
         raise ControllersRunningError(labels)
     head = read_head(records)
-    # A restore that was begun before may be run again: its history is one later.
-    if head is not None and head.number > found.header.number + (head.writer == WRITER):
-        raise OutdatedSnapshotError(found.header.number, head.number)
+    # An interrupted restore may be repeated. Its history has the next number after the snapshot's.
+    if head is not None and head.number > snapshot.header.number + (head.writer == WRITER):
+        raise OutdatedSnapshotError(snapshot.header.number, head.number)
 
 
-def plan_restore(settings: Settings, found: Snapshot, records: Records) -> Merged:
-    """Work out what putting the snapshot back changes of the records."""
+def plan_restore(settings: Settings, snapshot: Snapshot, records: Records) -> Merged:
+    """Compute the changes of the records that restore the snapshot."""
     limits = {team.name: (team.cpus_max, team.gpus_max) for team in settings.cluster.teams}
-    evidence = remembered(found, "snapshot")
+    evidence = remembered(snapshot, "snapshot")
     return merge(
         {key: row for key, row in records.items() if not is_anchor(key)},
         {evidence.label: evidence},
@@ -140,17 +140,17 @@
     changes: Mapping[str, Any],
     txn_ops: int,
 ) -> None:
-    """Begin the history of the restore, and write the changes under it.
+    """Begin a history for the restore and write the changes under it.
 
     Args:
         store: The state service.
         header: The header of the snapshot.
-        records: The records as they were read and checked.
-        changes: The new value by key; None: to be removed.
-        txn_ops: Writes that the state service takes in a transaction.
+        records: The records as read and checked.
+        changes: The new value by key; None removes the key.
+        txn_ops: The number of writes that the state service accepts in a transaction.
 
     Raises:
-        RecordsChangedError: Somebody else has written meanwhile.
+        RecordsChangedError: Another process has written meanwhile.
     """
     name = f"restored-{header.history or 'none'}-{header.rev}"
     await _begin_history(store, name, header.number + 1, records)
@@ -164,7 +164,7 @@
 
 
 async def _begin_history(store: StateStore, name: str, number: int, records: Records) -> None:
-    """End the history that was, so that no commit sent under it is applied any more."""
+    """End the earlier history, so that no commit that was sent under it can be applied."""
     head = read_head(records)
     txn = Txn().require(HEAD_KEY, head.revision if head else 0)
     for key, (_, revision) in records.items():
@@ -176,7 +176,7 @@
 
 
 async def _commit(store: StateStore, txn: Txn) -> None:
-    """Commit, and retry until it is known to be applied.
+    """Commit, and retry until the commit is known to be applied.
 
     Raises:
         RecordsChangedError: A condition doesn't hold.
@@ -188,7 +188,7 @@
             await store.commit(txn)
             return
         except ConflictError:
-            # After an attempt without an answer: it was applied, and its own writes conflict.
+            # An earlier attempt without an answer was applied, and this attempt conflicts with it.
             if may_be_applied:
                 return
             raise RecordsChangedError from None
--- a/clayport/rebuild/snapshot_base.py
+++ b/clayport/rebuild/snapshot_base.py
@@ -1,7 +1,7 @@
-"""The base of a snapshot: all records as of a revision.
+"""Reads and writes the base of a snapshot: all records as of a revision.
 
-A base is written under a temporary name, synced, and only then given its own. So one that
-is cut off at any moment is never taken for whole.
+A base is written under a temporary name, synced, and renamed only then, so that a crash during
+the write never leaves an incomplete file under the name of a base.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from clayport.rebuild.snapshot_format import (
     MAGIC,
-    ROWS,
+    ROWS_PER_BLOCK,
     BlockWriter,
     End,
     Header,
@@ -27,14 +27,14 @@
 
 
 def write_base(directory: Path, header: Header, rows: Iterable[Row]) -> Path:
-    """Write a base, and return its path once all of it is on the disk.
+    """Write a base and return its path; the base is synced to disk by then.
 
     Raises:
-        OSError: It can't be written; a file `*.part` may be left.
+        OSError: The base can't be written; a file `*.part` may remain.
     """
     path = directory / file_name(header)
-    draft = path.with_suffix(".part")
-    with open(draft, "wb") as file:
+    partial = path.with_suffix(".part")
+    with open(partial, "wb") as file:
         file.write(MAGIC)
         writer = BlockWriter(file)
         writer.write(header)
@@ -43,23 +43,23 @@
         for row in rows:
             block.append(row)
             count += 1
-            if len(block) == ROWS:
+            if len(block) == ROWS_PER_BLOCK:
                 writer.write(block)
                 block = []
         if block:
             writer.write(block)
         writer.write(End(count))
         writer.sync()
-    os.replace(draft, path)
+    os.replace(partial, path)
     sync_directory(directory)
     return path
 
 
 def read_base(path: Path) -> tuple[Header, dict[str, tuple[Any, int]]]:
-    """Read a base: its header, and value and revision of each record by its key.
+    """Return the header of a base, and the value and revision of each record by key.
 
     Raises:
-        SnapshotError: It is not a base, or not whole: no part of it is used then.
+        SnapshotError: The file is not a base, or is incomplete or damaged.
     """
     header: Header | None = None
     records: dict[str, tuple[Any, int]] = {}
--- a/clayport/rebuild/snapshot_log.py
+++ b/clayport/rebuild/snapshot_log.py
@@ -1,6 +1,6 @@
-"""The log of a snapshot: the changes since its base, synced block by block.
+"""Reads and writes the log of a snapshot: the changes since its base, synced after each block.
 
-Of a log that is cut off or damaged, what is whole before the damage is used.
+The blocks of an incomplete or damaged log are used up to the damage.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 class ChangeLog:
-    """The changes after a base, open for writing.
+    """The log of the changes after a base, open for writing.
 
     Args:
         directory: Where the base is.
         header: The header of the base, with the kind "log".
 
     Raises:
-        OSError: It can't be written.
+        OSError: The log can't be written.
     """
 
     def __init__(self, directory: Path, header: Header) -> None:
         self.path = directory / file_name(header)
-        self.file = open(self.path, "wb")  # noqa: SIM115 - open as long as it is written
+        self.file = open(self.path, "wb")  # noqa: SIM115 - stays open until close()
         self.file.write(MAGIC)
         self.writer = BlockWriter(self.file)
         self.writer.write(header)
@@ -43,11 +43,11 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes written to the log so far."""
+        """The total size of the blocks written."""
         return self.writer.bytes
 
     def append(self, rows: list[Row]) -> None:
-        """Write changes as one block; they are on the disk when this returns."""
+        """Write changes as one block and sync it to disk."""
         self.writer.write(rows)
         self.writer.sync()
 
@@ -57,11 +57,11 @@
 
 
 class LogEnd(NamedTuple):
-    """How far a log could be read.
+    """How far a log was readable.
 
     Attributes:
         rev: All changes up to this revision have been applied.
-        problem: What is wrong with the rest of the log; empty if nothing is.
+        problem: Why the rest of the log is unusable; empty if all of the log was read.
     """
 
     rev: int
@@ -69,12 +69,12 @@
 
 
 def read_log(path: Path, base: Header, records: dict[str, tuple[Any, int]]) -> LogEnd:
-    """Apply a log to the records of its base, as far as the log is whole.
+    """Apply the intact part of a log to the records of its base.
 
     Args:
         path: The log.
         base: The header of the base.
-        records: The records of the base; they are changed.
+        records: The records of the base, which are modified in place.
     """
     rev, is_first = base.rev, True
     try:
--- a/clayport/rebuild/support.py
+++ b/clayport/rebuild/support.py
@@ -1,4 +1,7 @@
-"""Whether this controller takes part in rebuilding records that the store has lost."""
+"""The recovery of lost records as the other parts of a controller see it.
+
+The recovery is off unless the operator's settings or the records turn it on.
+"""
 
 from __future__ import annotations
 
@@ -15,49 +18,49 @@
 
 
 class Recorder(Protocol):
-    """Keeps snapshots of the records on a disk."""
+    """Keeps snapshots of the records on disk."""
 
     async def run(self) -> None:
-        """Write what changes, for as long as the process runs."""
+        """Record all changes as long as the process runs."""
 
 
 class Recovery(Protocol):
-    """The recovery of records (`rebuild.recovery.Recovery`), as the other parts see it."""
+    """The interface of `rebuild.recovery.Recovery` for the other parts of a controller."""
 
     @property
     def history(self) -> History:
-        """The history that the records belong to."""
+        """The history that this controller acts on."""
         ...
 
     @property
     def recorder(self) -> Recorder | None:
-        """Where a directory for snapshots was given."""
+        """The recorder of snapshots; None without a directory for them."""
         ...
 
     async def run(self) -> None:
-        """Look after the records, for as long as the process runs."""
+        """Check and recover the records as long as the process runs."""
 
     async def second(self, rev: int, deadline: Deadline) -> None:
-        """Wait until a second place has what was committed at the revision."""
+        """Wait until the local snapshot or a peer has the commit at the revision."""
 
     def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
-        """Answer what a peer asks of the history or the evidence."""
+        """Answer a peer's request for the history or the evidence."""
         ...
 
     def note_head(self, value: Any) -> None:
-        """The records say which history they belong to."""
+        """Process the head record, which names the history of the records."""
 
 
-# Makes the recovery of records, given a directory for snapshots and whether a second copy of
-# each accepted job is waited for.
+# Creates the recovery, given the directory for snapshots and whether submissions wait for a
+# second copy of the accepted job.
 RecoveryFactory = Callable[[str, bool], Recovery]
 
 
 class RebuildSupport:
-    """Switched on by the operator's file, or by records that say that they have a history.
+    """Turns the recovery on, for the operator's settings or for records with a history.
 
     Attributes:
-        recovery: The recovery of records; None while it is off.
+        recovery: The recovery of lost records; None while it is off.
     """
 
     def __init__(self, routines: Routines, make_recovery: RecoveryFactory) -> None:
@@ -66,20 +69,20 @@
         self.recovery: Recovery | None = None
 
     def enable(self, snapshots: str = "", second_copy: bool = False) -> None:
-        """Take part from now on.
+        """Turn the recovery on.
 
         Args:
-            snapshots: The directory in which snapshots are kept; empty for none.
-            second_copy: Whether nobody is told 201 before a disk, or another controller's
-                memory, has the record as well.
+            snapshots: The directory for snapshots; empty for no snapshots.
+            second_copy: Whether a submission is answered 201 only after a snapshot or another
+                controller's memory also holds the job's record.
         """
         self.recovery = self.make_recovery(snapshots, second_copy)
 
     def note_head(self, value: Any) -> None:
-        """The records say which history they belong to."""
+        """Process the head record, which names the history of the records."""
         if self.recovery is None:
-            # Not switched on here; but whoever changes records without naming their history
-            # may change what is not there any more.
+            # The recovery is off in the settings. But a commit without the conditions on the
+            # anchors could be applied after a loss, so the recovery has to be on.
             log.info("event=rebuild-enabled cause='the records have a history'")
             self.enable()
             assert self.recovery is not None
@@ -87,20 +90,23 @@
         else:
             self.recovery.note_head(value)
 
-    def suspect(self, why: str) -> bool:
-        """A record that is known here is gone, though nobody removes it; whether that is
-        looked into here."""
+    def suspect(self, reason: str) -> bool:
+        """Suspect the history because a known record is missing or has an earlier revision.
+
+        Returns:
+            Whether the recovery handles the loss; False if it is off or there is no history.
+        """
         if self.recovery is None or not self.recovery.history.name:
             return False
-        self.recovery.history.suspect(why)
+        self.recovery.history.suspect(reason)
         return True
 
     @property
     def format(self) -> int:
-        """What this controller understands, as its version's record says it."""
+        """The record format that this controller announces in its version record."""
         return PROMISES_FORMAT if self.recovery is None else PROMISES_FORMAT + 1
 
     @property
     def in_doubt(self) -> bool:
-        """Whether the records may not be those that were left: nothing rests on them then."""
+        """Whether the records may have been lost in part, so that nothing may rely on them."""
         return self.recovery is not None and bool(self.recovery.history.suspicion)
--- a/tests/rebuild/test_rebuild.py
+++ b/tests/rebuild/test_rebuild.py
@@ -1,5 +1,8 @@
-"""The state service comes back with records missing: what the controllers still know, and
-what runs on the machines, puts them together again, and no rule is broken meanwhile."""
+"""Simulated days on which the state service loses records.
+
+The controllers rebuild the records from their own evidence and from the machines' reports. No
+rule of the service is broken meanwhile, and all accepted jobs finish. Only if all controllers
+crash and no snapshot exists may jobs be lost."""
 
 from __future__ import annotations
 
@@ -17,12 +20,17 @@
 Loss = Callable[[World], Any]
 
 
-async def lose(world: World, loss: Loss, outage_s: float = 3.0, ends: bool = False) -> None:
-    """The state service is out for a moment, and what it has lost is gone when it is back."""
+async def lose(
+    world: World, loss: Loss, outage_s: float = 3.0, controllers_crash: bool = False
+) -> None:
+    """Make the state service unavailable for `outage_s` and lose records during the outage.
+
+    With `controllers_crash` all controllers are restarted as well.
+    """
     if outage_s:
         world.state.outage(world.clock(), outage_s)
     loss(world)
-    if ends:
+    if controllers_crash:
         world.lost = set()
         for label in list(world.controllers):
             await world.crash(label)
@@ -31,12 +39,12 @@
             await world.start(label)
 
 
-async def losing_day(
+async def day_with_losses(
     clock: Clock,
     seed: int,
     loss: Loss,
     outage_s: float,
-    ends: bool,
+    controllers_crash: bool,
     controllers: int = 3,
     times: int = 1,
     disks: Path | None = None,
@@ -48,23 +56,23 @@
     await world.open()
     at = sorted(world.rng.sample(range(10, JOBS_A_DAY - 2), times))
 
-    async def then(number: int) -> None:
+    async def after_submit(number: int) -> None:
         if number in at:
-            await curio.spawn(lose, world, loss, outage_s, ends, daemon=True)
+            await curio.spawn(lose, world, loss, outage_s, controllers_crash, daemon=True)
 
-    await work(world, then)
+    await work(world, after_submit)
     return await until_over(world)
 
 
-def back(seconds: float) -> Loss:
+def lose_last(seconds: float) -> Loss:
     return lambda world: world.state.lose(seconds)
 
 
-def prefix(name: str) -> Loss:
+def lose_prefix(name: str) -> Loss:
     return lambda world: world.state.lose_keys(name)
 
 
-def left(world: World) -> dict[str, Any]:
+def unfinished_jobs(world: World) -> dict[str, Any]:
     return {
         i: world.told.get(i)
         for i in world.accepted
@@ -73,41 +81,41 @@
 
 
 LOSSES: list[tuple[str, Loss]] = [
-    ("0.1 s", back(0.1)),
-    ("0.5 s", back(0.5)),
-    ("5 s", back(5.0)),
-    ("all", back(1e6)),
-    ("end/", prefix("end/")),
-    ("run/", prefix("run/")),
-    ("quota/", prefix("quota/")),
-    ("epoch", prefix("c/generation")),
-    ("c/", prefix("c/")),
-    ("nothing", prefix("-")),
+    ("0.1 s", lose_last(0.1)),
+    ("0.5 s", lose_last(0.5)),
+    ("5 s", lose_last(5.0)),
+    ("all", lose_last(1e6)),
+    ("end/", lose_prefix("end/")),
+    ("run/", lose_prefix("run/")),
+    ("quota/", lose_prefix("quota/")),
+    ("epoch", lose_prefix("c/generation")),
+    ("c/", lose_prefix("c/")),
+    ("nothing", lose_prefix("-")),
 ]
 
 
 @pytest.mark.parametrize("seed, outage_s", [(1, 3.0), (2, 3.0), (3, 0.0)])
 @pytest.mark.parametrize("loss", [loss for _, loss in LOSSES], ids=[name for name, _ in LOSSES])
-def test_controllers_that_live_on_put_the_records_together(
+def test_running_controllers_rebuild_lost_records(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
     loss: Loss,
     seed: int,
     outage_s: float,
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: losing_day(clock, seed, loss, outage_s, False))
+    world = simulate(monkeypatch, lambda clock: day_with_losses(clock, seed, loss, outage_s, False))
     assert world.broken == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
-    assert len(world.accepted) == JOBS_A_DAY and left(world) == {}
+    assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
 
-# -- losses with more than a loss ------------------------------------------------
+# -- losses together with a further failure --------------------------------------
 
 
-Scene = Callable[[World, Loss], Coroutine[Any, Any, None]]
+Scenario = Callable[[World, Loss], Coroutine[Any, Any, None]]
 
 
-async def again(world: World, label: str, after_s: float) -> None:
+async def restart(world: World, label: str, after_s: float) -> None:
     if label in world.controllers:
         await world.crash(label)
         await curio.sleep(after_s)
@@ -115,41 +123,41 @@
             await world.start(label)
 
 
-async def one_ends(world: World, loss: Loss) -> None:
-    """Its memory of what its jobs have where is gone: the machines are asked."""
+async def controller_restarts(world: World, loss: Loss) -> None:
+    """A controller loses its memory of its jobs' assignments, so the machines are asked."""
     await lose(world, loss)
-    await again(world, world.rng.choice(world.labels), world.rng.uniform(0.3, 6.0))
+    await restart(world, world.rng.choice(world.labels), world.rng.uniform(0.3, 6.0))
 
 
-async def rebuilder(world: World, before: str = "") -> str:
-    """Who is at it, once somebody is."""
+async def rebuilding_controller(world: World, previous: str = "") -> str:
+    """Wait for a rebuild; return the controller that carries it out, or "" after the wait."""
     for _ in range(600):
         head = world.state.keys.get("c/lineage")
-        if head is not None and head[0]["state"] == "rebuilding" and head[0]["id"] != before:
+        if head is not None and head[0]["state"] == "rebuilding" and head[0]["id"] != previous:
             return str(head[0]["by"])
         await curio.sleep(0.05)
     return ""
 
 
-async def who_rebuilds_ends(world: World, loss: Loss) -> None:
+async def rebuilder_restarts(world: World, loss: Loss) -> None:
     await lose(world, loss, 1.0)
     for _ in range(2):
-        label = await rebuilder(world)
+        label = await rebuilding_controller(world)
         if label:
-            await again(world, label, world.rng.uniform(0.3, 2.0))
+            await restart(world, label, world.rng.uniform(0.3, 2.0))
 
 
-async def lost_again_meanwhile(world: World, loss: Loss) -> None:
+async def losses_during_rebuild(world: World, loss: Loss) -> None:
     await lose(world, loss, 1.0)
-    await rebuilder(world)
+    await rebuilding_controller(world)
     await curio.sleep(world.rng.uniform(0.0, 0.3))
     await lose(world, loss, 1.0)
     await curio.sleep(world.rng.uniform(0.5, 4.0))
     await lose(world, loss, 1.0)
 
 
-async def one_cut_off(world: World, loss: Loss) -> None:
-    """It comes back with what it knew when the others have long gone on."""
+async def controller_disconnected(world: World, loss: Loss) -> None:
+    """A controller is disconnected during the rebuild and reconnects with old evidence."""
     label = world.rng.choice(world.labels)
     world.cut.add(label)
     await curio.sleep(world.rng.uniform(0.2, 3.0))
@@ -158,8 +166,8 @@
     world.cut.discard(label)
 
 
-async def commits_on_their_way(world: World, loss: Loss) -> None:
-    """Sent before the loss, applied long after the records have been rebuilt."""
+async def delayed_commits(world: World, loss: Loss) -> None:
+    """Commits that were sent before the loss arrive after the rebuild."""
     label = world.rng.choice(world.labels)
     world.hold_s = (3.0, 30.0)
     world.cut.add(f"{label}>state")
@@ -169,27 +177,29 @@
     world.cut.discard(f"{label}>state")
 
 
-async def machines_cut_off(world: World, loss: Loss) -> None:
-    """What they hold can't be asked for while a controller that knew it is gone."""
-    up = sorted(world.workers)
-    gone = world.rng.sample(up, min(2, len(up)))
-    world.cut.update(gone)
-    await one_ends(world, loss)
+async def machines_disconnected(world: World, loss: Loss) -> None:
+    """Machines can't be asked for their tasks while the controller that knew them is down."""
+    machines = sorted(world.workers)
+    disconnected = world.rng.sample(machines, min(2, len(machines)))
+    world.cut.update(disconnected)
+    await controller_restarts(world, loss)
     await curio.sleep(world.rng.uniform(3.0, 20.0))
-    world.cut.difference_update(gone)
+    world.cut.difference_update(disconnected)
 
 
-SCENES: list[Scene] = [
-    one_ends,
-    who_rebuilds_ends,
-    lost_again_meanwhile,
-    one_cut_off,
-    commits_on_their_way,
-    machines_cut_off,
+SCENARIOS: list[Scenario] = [
+    controller_restarts,
+    rebuilder_restarts,
+    losses_during_rebuild,
+    controller_disconnected,
+    delayed_commits,
+    machines_disconnected,
 ]
 
 
-async def scene_day(clock: Clock, seed: int, scene: Scene, loss: Loss, controllers: int) -> World:
+async def day_with_scenario(
+    clock: Clock, seed: int, scenario: Scenario, loss: Loss, controllers: int
+) -> World:
     world = World(clock, seed, controllers, rebuild=True)
     world.state.past = []
     await world.open()
@@ -200,71 +210,85 @@
         if number % 4 == 1 and world.rng.random() < 0.5:
             await curio.spawn(world.abort, job(number)["id"], daemon=True)
         if number == at:
-            await curio.spawn(scene, world, loss, daemon=True)
+            await curio.spawn(scenario, world, loss, daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 3.0))
     return await until_over(world)
 
 
-SOME = [(name, loss) for name, loss in LOSSES if name in ("0.5 s", "5 s", "all", "run/")]
+FEWER_LOSSES = [(name, loss) for name, loss in LOSSES if name in ("0.5 s", "5 s", "all", "run/")]
 
 
 @pytest.mark.parametrize("seed, controllers", [(1, 3), (2, 5)])
-@pytest.mark.parametrize("loss", [loss for _, loss in SOME], ids=[name for name, _ in SOME])
-@pytest.mark.parametrize("scene", SCENES)
-def test_a_loss_seldom_comes_alone(
+@pytest.mark.parametrize(
+    "loss", [loss for _, loss in FEWER_LOSSES], ids=[name for name, _ in FEWER_LOSSES]
+)
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_rebuild_with_a_further_failure(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    scene: Scene,
+    scenario: Scenario,
     loss: Loss,
     seed: int,
     controllers: int,
 ) -> None:
-    world = simulate(monkeypatch, lambda clock: scene_day(clock, seed, scene, loss, controllers))
+    world = simulate(
+        monkeypatch, lambda clock: day_with_scenario(clock, seed, scenario, loss, controllers)
+    )
     assert world.broken == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
-    assert len(world.accepted) == JOBS_A_DAY and left(world) == {}
+    assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
 
 @pytest.mark.parametrize("seed", [1])
 @pytest.mark.parametrize("loss", [loss for _, loss in LOSSES], ids=[name for name, _ in LOSSES])
-def test_with_nobody_left_who_knows_nothing_runs_twice(
+def test_no_task_runs_twice_after_all_controllers_crash(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture, loss: Loss, seed: int
 ) -> None:
-    """All controllers end as well, and nothing else remembers: jobs may be lost, or told of
-    as they were before. What runs is found on its machines all the same."""
-    world = simulate(monkeypatch, lambda clock: losing_day(clock, seed, loss, 3.0, True))
-    worst = ("ran_twice", "quota", "wrong_place", "ran_cancelled", "invented", "not_done")
-    assert [b for b in world.broken if b.startswith(worst)] == []
+    """All controllers crash during the loss and no snapshots exist.
+
+    Jobs may be lost or return to an earlier state, but running tasks are found on their machines.
+    """
+    world = simulate(monkeypatch, lambda clock: day_with_losses(clock, seed, loss, 3.0, True))
+    safety_rules = ("ran_twice", "quota", "wrong_place", "ran_cancelled", "invented", "not_done")
+    assert [b for b in world.broken if b.startswith(safety_rules)] == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("loss", [loss for _, loss in LOSSES], ids=[name for name, _ in LOSSES])
-def test_with_all_ended_a_disk_remembers(
+def test_snapshots_restore_records_after_all_controllers_crash(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
     tmp_path: Path,
     loss: Loss,
     seed: int,
 ) -> None:
-    """Two of three controllers keep snapshots; all end while the state service loses records.
-    What was synced comes back, and no rule is broken: here nothing is lost at all."""
+    """Two of three controllers keep snapshots, and all crash while the state service loses records.
+
+    The synced changes are restored, so no job is lost and no rule is broken.
+    """
 
-    async def in_line(call: Callable[..., Any], *args: Any) -> Any:
+    async def run_inline(call: Callable[..., Any], *args: Any) -> Any:
         return call(*args)
 
-    monkeypatch.setattr(curio, "run_in_thread", in_line)
+    monkeypatch.setattr(curio, "run_in_thread", run_inline)
     monkeypatch.setattr(os, "fsync", lambda _: None)
     world = simulate(
-        monkeypatch, lambda clock: losing_day(clock, seed, loss, 3.0, True, disks=tmp_path)
+        monkeypatch, lambda clock: day_with_losses(clock, seed, loss, 3.0, True, disks=tmp_path)
     )
     assert world.broken == [] and world.lost == set()
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
-    assert len(world.accepted) == JOBS_A_DAY and left(world) == {}
+    assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
 
-async def told_by_one_alone(clock: Clock, second_copy: bool) -> tuple[list[int], World]:
-    """The others don't hear of a job in time; the one that took it ends with the loss."""
+async def submit_known_to_one_controller(
+    clock: Clock, second_copy: bool
+) -> tuple[list[int], World]:
+    """Submit a job that only one controller knows, which crashes together with a loss.
+
+    Returns:
+        The statuses of the answers to the user, and the world.
+    """
     world = World(clock, 4, rebuild=True)
     world.second_copy = second_copy
     world.state.past = []
@@ -273,12 +297,12 @@
     value = job(2)
     world.jobs[value["id"]], world.run_s[value["id"]] = value, 5.0
     world.results[value["id"]] = set()
-    others = {"c1>state", "c2>state"}
-    world.cut.update(others)
+    links = {"c1>state", "c2>state"}
+    world.cut.update(links)
     await curio.sleep(0.5)
     answers = [(await world.user("c0", "POST", "/api/jobs", value))[0]]
     await curio.sleep(1.0)
-    world.cut.difference_update(others)
+    world.cut.difference_update(links)
     if not second_copy:
         world.state.lose(2.0)
         await world.crash("c0")
@@ -295,8 +319,10 @@
 
 
 @pytest.mark.parametrize("second_copy, expected", [(True, [503, 200, 200]), (False, [201, 404])])
-def test_with_a_second_copy_nothing_is_told_that_one_alone_knows(
+def test_submission_waits_for_second_copy(
     monkeypatch: pytest.MonkeyPatch, second_copy: bool, expected: list[int]
 ) -> None:
-    answers, world = simulate(monkeypatch, lambda clock: told_by_one_alone(clock, second_copy))
+    answers, world = simulate(
+        monkeypatch, lambda clock: submit_known_to_one_controller(clock, second_copy)
+    )
     assert answers == expected and world.broken == []
