--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -82,7 +82,7 @@
             async def serve() -> Any:
                 other = self.controllers.get(peer.label)
                 if other is None:
-                    raise http.NotSentError("connection refused")
+                    raise http.NotSentError("refused")
                 reply, answer = await other.peer_requests.answer(kind, body)
                 raw = frames.encode(reply, 1, answer)
                 return frames.decode_body(reply, raw[frames.HEADER.size :])
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -84,7 +84,7 @@
             await curio.sleep(delay)
             serve()
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("answer lost after execution")
+            raise http.NoAnswerError("only the answer is lost")
         if target in self.workers and hold and self.draw_fault("late_commands"):
             await curio.spawn(self._deliver_late(serve, (2.0, 16.0)), daemon=True)
             await curio.sleep(timeout_s)
@@ -93,23 +93,23 @@
             await curio.sleep(self.rng.uniform(0.0, self.link_s))
         if source in self.mute and target in self.labels:
             await curio.sleep(timeout_s)  # without a connection nothing can be held
-            raise http.NoAnswerError("machine reaches no controller")
+            raise http.NoAnswerError("mute")
         if not self.reaches(source, target):
             if hold and self.rng.random() < 0.3:
                 await curio.spawn(self._deliver_late(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("disconnected")
+            raise http.NoAnswerError("cut")
         if source in self.held and hold and target in self.workers:
             await curio.spawn(self._deliver_late(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("request held")
+            raise http.NoAnswerError("held")
         await curio.sleep(delay)
         lost = self.rng.random() < self.loss
         if lost and self.rng.random() < 0.5:
             if hold:
                 await curio.spawn(self._deliver_late(serve), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("request lost")
+            raise http.NoAnswerError("lost")
         answer = serve()
         if hasattr(answer, "__await__"):
             answer = await answer
@@ -139,7 +139,7 @@
         async def serve() -> tuple[int, bytes]:
             controller = self.controllers.get(label)
             if controller is None:
-                raise http.NotSentError("connection refused")
+                raise http.NotSentError("refused")
             status, raw, _ = await controller.user_api.handle(method, path, body)
             return status, raw
 
@@ -150,7 +150,7 @@
                 )
                 return answer
         except curio.TaskTimeout:
-            raise http.NoAnswerError("timeout") from None
+            raise http.NoAnswerError("slow") from None
 
     async def deliver_copy_late(self, source: str, body: bytes) -> None:
         """Deliver a copy of a report late, at any controller, and drop the answer."""
@@ -212,7 +212,7 @@
                         return world.cloud(method, path, value)
                     worker = world.workers.get(host)
                     if worker is None or not worker.alive():
-                        raise http.NoAnswerError("machine is down")
+                        raise http.NoAnswerError("dead")
                     return world.handle_unless_hung(worker, method, path, value)
 
                 try:
@@ -231,7 +231,7 @@
     def handle_unless_hung(self, worker: Worker, method: str, path: str, value: Any) -> Any:
         """Let a worker answer a request, unless the worker hangs or receives nothing."""
         if self.clock() < worker.hung_until or worker.name in self.deaf:
-            raise http.NoAnswerError("worker does not answer")
+            raise http.NoAnswerError("hung")
         return worker.handle(method, path, value)
 
     async def watch(self, source: str, path: str) -> tuple[int, bytes]:
@@ -242,7 +242,7 @@
             await curio.sleep(0.01)
             if not self.reaches(source, "state"):
                 await curio.sleep(2.0)
-                raise http.NoAnswerError("disconnected")
+                raise http.NoAnswerError("cut")
             self.state.expire(self.clock())
             if self.clock() >= self.state.down_until and source not in self.state.refused:
                 found = self.state.changes(args["prefix"], int(args["since"]))
@@ -252,4 +252,4 @@
                         await curio.sleep(self.rng.uniform(0.0, self.watch_delay_s))
                     return 200, answer
             elif self.clock() >= end:
-                raise http.NoAnswerError("state service is down")
+                raise http.NoAnswerError("outage")
