--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -74,7 +74,7 @@
         if target == "state" and hold and self.late_writes and self.rng.random() < self.late_writes:
             await curio.spawn(self._deliver_late(serve, (2.0, 12.0)), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("executed late")
+            raise http.NoAnswerError("carried out late")
         if (
             target == "state"
             and hold
@@ -88,7 +88,7 @@
         if target in self.workers and hold and self.draw_fault("late_commands"):
             await curio.spawn(self._deliver_late(serve, (2.0, 16.0)), daemon=True)
             await curio.sleep(timeout_s)
-            raise http.NoAnswerError("command executed late")
+            raise http.NoAnswerError("held up")
         if self.link_s:
             await curio.sleep(self.rng.uniform(0.0, self.link_s))
         if source in self.mute and target in self.labels:
