--- a/clayport/limits/admission.py
+++ b/clayport/limits/admission.py
@@ -23,10 +23,10 @@
         self.max_backlog_s, self.max_retry_after_s = max_backlog_s, max_retry_after_s
 
     def retry_after_s(self, backlog_s: float) -> int:
-        """Return 0 to admit a request, otherwise the whole seconds after which to retry.
+        """Return 0 if a request is admitted, otherwise the whole seconds before the client retries.
 
-        By then the backlog has fallen to half of `max_backlog_s`, so that the refused clients
-        aren't all refused again when they retry together.
+        Unless a bound applies, the backlog can fall to half of `max_backlog_s` in that time, so
+        that the refused clients aren't all refused again when they retry together.
         """
         if backlog_s <= self.max_backlog_s:
             return 0
--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -1,4 +1,4 @@
-"""Routines that wait for a request slot at a server, or for the server to recover."""
+"""The gate and the circuit of a server, at which routines wait before they send requests."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         return self.retries.begin(time.monotonic(), deadline)
 
     async def back_off(self, attempt: Attempt) -> bool:
-        """Wait until the request may be retried; return False if that is after the deadline."""
+        """Wait until the request may be retried; return False if the deadline comes first."""
         pause = attempt.next_pause(time.monotonic())
         if pause is None:
             return False
@@ -50,7 +50,7 @@
         return True
 
     async def record(self, serving: bool) -> None:
-        """Record whether the server served the latest request; wake the waiting routines if so."""
+        """Record whether the server served the latest request; if so, wake the waiting routines."""
         if serving and self.failing:
             event, self.recovered = self.recovered, curio.Event()
             await event.set()
--- a/clayport/limits/inflight.py
+++ b/clayport/limits/inflight.py
@@ -4,11 +4,11 @@
 
 # The factor by which the limit is multiplied when requests fail or are slow.
 DECREASE_FACTOR = 0.7
-# An answer that takes more than this multiple of the fastest recent time has queued at the server.
-# More requests in flight would only queue longer.
+# An answer counts as slow if it takes more than this multiple of the fastest recent time, because
+# the request has then waited in the server's queue. Further requests would only lengthen the queue.
 SLOW_RATIO = 4.0
-# The share by which the fastest time moves towards each slower one. Without this drift a server
-# that has become slower permanently would count as overloaded forever.
+# The fraction of the difference by which `fastest_s` moves towards each slower answer time. Without
+# this drift a server that has become slower permanently would count as overloaded forever.
 FASTEST_DRIFT = 0.01
 # A time earlier than any reading of the monotonic clock, in seconds.
 NEVER = -1e9
@@ -63,8 +63,8 @@
             else:
                 self.fastest_s += FASTEST_DRIFT * (took_s - self.fastest_s)
             if took_s <= SLOW_RATIO * self.fastest_s:
-                # The limit rises only under load. An idle client doesn't learn the capacity of the
-                # server.
+                # The limit rises only under load, because answers to an idle client don't show how
+                # many concurrent requests the server can handle.
                 if busy:
                     self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
                 return
--- a/clayport/limits/retry.py
+++ b/clayport/limits/retry.py
@@ -33,7 +33,7 @@
         return now + needs_s < self.at
 
     def fraction(self, now: float, share: float) -> Deadline:
-        """Return the deadline after the given share of the time left, for one of several steps."""
+        """Return an earlier deadline for one step, which may use `share` of the time left."""
         return Deadline(now + self.left(now) * share) if self.at < math.inf else self
 
 
@@ -42,9 +42,9 @@
 
     Each first attempt earns a fraction of a retry, and retries also accrue with time, up to a
     maximum. While the server serves requests, the budget delays no retry. During an outage, a
-    thousand waiting routines together send no more retries than a few would. Without the budget
-    each of a controller's hundred jobs retried on its own during an outage, and after the outage
-    answers were delayed behind the retries.
+    thousand waiting routines together send no more retries than a few routines would. Without the
+    budget, each of a controller's hundred jobs retried independently during an outage, and after
+    the outage the queued retries delayed the answers to other requests.
 
     A retry that exceeds the budget is delayed, not refused, because most routines can't give up.
 
@@ -88,11 +88,11 @@
     """The retry policy of one server.
 
     Args:
-        base_pause_s: Sets the range of pauses: no pause is shorter than half of it, and the first
-            is at most 1.5 times as long.
+        base_pause_s: The base of the pauses. No pause is shorter than half the base, and the
+            first pause is at most 1.5 times the base.
         max_pause_s: The longest pause, except for the wait that the budget imposes.
         budget: The budget that all requests to the server share.
-        uniform: Draws a random number from a range, so that controllers don't retry in step.
+        uniform: Draws a random number from a range, so that controllers retry at different times.
     """
 
     def __init__(
@@ -127,11 +127,11 @@
         self.last_pause_s = retries.base_pause_s / 2
 
     def next_pause(self, now: float) -> float | None:
-        """Return the seconds to wait before the next retry; None if that is after the deadline.
+        """Return the seconds before the next retry; None if the retry would miss the deadline.
 
         The pause uses decorrelated jitter: it lies between half the base and three times the
-        previous pause. This spreads clients that started together as well as full jitter does,
-        but never retries immediately.
+        previous pause. This spreads the retries of clients that started together as well as full
+        jitter does, but no client retries immediately.
         """
         policy = self.retries
         base_s = policy.base_pause_s
--- a/clayport/scaling/arrivals.py
+++ b/clayport/scaling/arrivals.py
@@ -1,4 +1,7 @@
-"""Arrival rates of tasks, and the spare room kept for arrivals. Pure: no I/O, no clock."""
+"""Arrival rates of tasks, and the spare room kept for arrivals.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,13 @@
 from clayport.scaling.boot_times import ready_s
 from clayport.scaling.demand import Demand
 
-# The share of a service class's replicas for which spare room is kept: about as many as
-# run on one machine, so that they can restart at once when the machine is lost.
+# The share of a service class's replicas for which spare room is kept. About as many replicas run
+# on one machine, and they can restart at once in the spare room when that machine is lost.
 SPARE_REPLICA_SHARE = 0.1
 # Standard deviations above the mean of a normal distribution's 90th percentile.
 P90_DEVIATIONS = 1.28
-# The share of the window during which arrivals are ignored after a start. It is also the
-# shortest time over which a rate is computed.
+# The part of the window during which arrivals are not counted after the scheduler starts. A rate
+# is never computed over a shorter time than this.
 WARMUP_SHARE = 0.1
 
 
@@ -61,11 +64,12 @@
 def spare_room(
     live: Iterable[Job], arrivals: Arrivals, types: list[MachineType], urgent: set[str], now: float
 ) -> list[Demand]:
-    """Return the demand to keep spare room for, because it must start before a machine boots.
+    """Return the expected demand that has to start sooner than a newly rented machine boots.
 
-    For each class with an objective for its start time, the demand is the 90th percentile of
-    the tasks that arrive while a machine boots and fetches the image. For services the demand
-    covers at least the replicas that have to restart when a machine is lost.
+    Spare room is kept for this demand. For each class with an objective for its start time, the
+    demand is the 90th percentile of the tasks that arrive while a machine boots and fetches the
+    image. For services the demand covers at least the replicas that have to restart when a machine
+    is lost.
 
     Args:
         live: All jobs that haven't ended.
--- a/clayport/scaling/boot_times.py
+++ b/clayport/scaling/boot_times.py
@@ -1,4 +1,4 @@
-"""Boot times of rented machines. Pure: no I/O, no clock."""
+"""Boot times of rented machines. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 MachineKind = tuple[str, str, bool]  # machine type, zone, whether spot
 
-# Multiples of a machine type's boot time: a machine that has not reported after the first is
-# returned; the room of one that has not reported after the second is no longer planned with.
-# The second is also how far the median boot has to be off before a boot time is corrected.
+# Both factors are multiples of a machine type's boot time. A rented machine that has not reported
+# after `GIVE_UP_FACTOR` boot times is returned. A machine that has not reported after `LATE_FACTOR`
+# boot times is ignored by the planning of rentals. A type's boot time is corrected only if the
+# median boot differs from it by more than `LATE_FACTOR`.
 GIVE_UP_FACTOR, LATE_FACTOR = 4.0, 1.6
-# How many recent boots of a machine type are kept, and how many are needed to correct its
-# boot time.
+# The maximum number of recent boots of a machine type that are kept, and the minimum number that is
+# needed to correct the type's boot time.
 MAX_BOOTS, MIN_BOOTS = 8, 3
 
 
@@ -37,11 +38,11 @@
     """Recent boot times by machine type.
 
     Args:
-        window_s: For how long a boot counts.
+        window_s: For how long a boot is kept for the correction.
 
     Attributes:
-        seen: For each machine type, when machines came up, and the ratios of their boot times
-            to the one in the catalogue.
+        seen: For each machine type, the times at which machines came up, each with the ratio of
+            the machine's boot time to the boot time in the catalogue.
     """
 
     def __init__(self, window_s: float) -> None:
@@ -60,9 +61,9 @@
         """Return the machine types with their boot times corrected by recent boots.
 
         A type's boot time is corrected only if the median boot is far slower or faster than the
-        catalogue says. Single machines often take several times as long, and correcting for them
-        would change the choice of a type more than prices per task do. Old boots are dropped, so
-        that a slow type is tried again.
+        catalogue says. Single machines often take several times as long, and a correction for each
+        of them would influence the choice of a type more than the prices per task do. Old boots are
+        dropped, so that a slow type is tried again.
         """
         booting_ages_s: dict[str, list[float]] = {}
         for boot in booting:
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -22,12 +22,13 @@
 RETRIES_PER_REQUEST, MAX_RETRY_SHARE = 0.1, 0.5
 # Bounds of the pauses between retries, as shares of the request timeout.
 MIN_PAUSE_SHARE, MAX_PAUSE_SHARE = 0.1, 0.2
-# The protocol's limits on the machines of one request: to return, and to list.
+# The protocol's limits on the number of machines in a request to return machines, and in a page of
+# the machine list.
 MAX_MACHINES_PER_RETURN = 100
 PAGE_SIZE = 500
 # HTTP status codes. Importing the standard library's `http` for them would slow down startup.
 OK, TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE = 200, 429, 503
-# In the protocol, the text of a 503 answer that means that no such machine can be rented.
+# The protocol's text in a 503 answer to a rental if no machine of the requested kind is available.
 NO_CAPACITY = b"no capacity"
 # How many bytes of an unexpected answer an error quotes.
 MAX_QUOTED_BYTES = 100
@@ -117,7 +118,7 @@
         except http.NoAnswerError as exc:
             await self.circuit.record(False)
             raise CloudError(str(exc)) from None
-        # A refusal for lack of capacity counts as served: the API itself is not overloaded.
+        # A refusal for lack of capacity counts as served, because the API is not overloaded.
         await self.circuit.record(
             status != TOO_MANY_REQUESTS
             and (status != SERVICE_UNAVAILABLE or NO_CAPACITY in payload)
@@ -128,7 +129,7 @@
     def _check(status: int, payload: bytes) -> None:
         """Raise CloudError unless the request was served."""
         if status != OK:
-            raise CloudError(f"{status} {payload[:MAX_QUOTED_BYTES]!r}")
+            raise CloudError(f"unexpected status {status}: {payload[:MAX_QUOTED_BYTES]!r}")
 
     @classmethod
     def _decode(cls, status: int, payload: bytes, answer_type: type[Answer]) -> Answer:
@@ -137,7 +138,7 @@
         try:
             return msgspec.json.decode(payload, type=answer_type)
         except msgspec.MsgspecError as exc:
-            raise CloudError(f"malformed answer: {exc}") from None
+            raise CloudError(f"malformed answer of the cloud: {exc}") from None
 
     async def catalogue(self) -> list[MachineType]:
         """Return the machine types with their current prices.
@@ -175,7 +176,7 @@
         """Rent up to `count` machines and return the names of the rented ones.
 
         Args:
-            rental: The idempotency key of the request, never used for another one.
+            rental: The idempotency key of the request; each request has its own.
             machine_type: The name of the machine type.
             zone: The zone of the machines.
             spot: Whether to rent spot machines.
--- a/clayport/scaling/consolidation.py
+++ b/clayport/scaling/consolidation.py
@@ -16,14 +16,15 @@
 from clayport.settings import Settings
 from clayport.transport import frames
 
-# The share of the fleet's CPUs that has to be free elsewhere before the replicas of a machine
-# that isn't expensive are moved.
+# The share of the fleet's CPUs that has to be free on other machines before the replicas of a
+# machine that isn't expensive are moved.
 MIN_FREE_SHARE = 0.1
-# The CPUs that have to be free elsewhere before a machine is emptied, in machines of its type.
+# The CPUs that have to be free on other machines before a machine is emptied, as a multiple of the
+# CPUs of its machine type.
 MIN_FREE_MACHINES = 2
 # The number of candidates checked in one round; each is compared with all other machines.
 MAX_CANDIDATES = 4
-# The share of all replicas' running time that may be lost to moving them.
+# The maximum share of all replicas' running time that is lost because replicas are moved.
 MAX_MOVING_SHARE = 0.001
 
 
@@ -50,8 +51,8 @@
         objectives: Says which jobs can wait for a cheaper machine.
         routing: Sends requests to the owner of a machine.
         settings: The settings of the cluster.
-        loses_room: Returns whether less of a demand fits without the first of the given
-            machines; the others are excluded in either case.
+        loses_room: Returns whether fewer tasks of a demand fit without all given machines than
+            without all but the first of them.
 
     Attributes:
         next_at: When the next round is due, in seconds on the monotonic clock.
@@ -86,9 +87,9 @@
 
         Replicas don't end by themselves, so a machine with a single replica would otherwise stay
         rented. A machine that isn't expensive for its replicas is left alone while waiting
-        demand could use it. An expensive one is emptied even then, if the other machines have
-        room for both, because gangs that keep waiting would otherwise keep expensive machines
-        rented all day.
+        demand could use it. An expensive machine is emptied even then, if the other machines
+        have room for its replicas and the waiting demand. Otherwise gangs that wait for long
+        would keep expensive machines rented all day.
         """
         rooms = self.cached_state.rooms()
         self._tried_at = {name: at for name, at in self._tried_at.items() if name in rooms}
@@ -106,7 +107,7 @@
             if waiting and not expensive:
                 continue
             free_cpus = self._free_elsewhere(room, rooms, waiting, expensive)
-            # Enough room has to stay free that the next job doesn't cause a new rental.
+            # So much room has to stay free that the next job doesn't cause a new rental.
             min_free_cpus = MIN_FREE_MACHINES * machine_type.cpus
             if not expensive:
                 min_free_cpus = max(min_free_cpus, MIN_FREE_SHARE * fleet_cpus)
@@ -120,7 +121,7 @@
                 share = candidate.replica_cpus / max(candidate.replica_cpus, all_replica_cpus)
                 self.next_at = now + max(2.0, share / MAX_MOVING_SHARE) * report_s
             return
-        # A round right after this one would check the same candidates.
+        # An immediate next round would check the same candidates again.
         self.next_at = now + 2 * report_s
 
     def _candidates(
@@ -141,7 +142,7 @@
                 or now - self._tried_at.get(room.machine, -1e9)
                 < 2 * self.settings.cluster.workers.lease_s
             ):
-                continue  # it empties by itself, or was asked recently
+                continue  # empties by itself, or its owner was asked recently
             expensive = any(policy.expensive(job, room) for job in policy.services)
             # Expensive machines sort first, then machines with fewer replica CPUs to move.
             found.append(Candidate(not (expensive or gpu_jobs), replica_cpus, room.machine))
@@ -176,10 +177,11 @@
         ]
         free_cpus = sum(other.cpus for other in others)
         if expensive:
-            # Replicas may preempt tasks of the lowest rank, because moving them saves more
-            # than the lost progress costs. Waiting demand preempts those tasks too, so its
-            # CPUs are subtracted. If any waiting demand ruled evacuation out instead, expensive
-            # machines would stay rented all day, because some demand nearly always waits.
+            # Replicas that are moved may preempt tasks of the lowest rank, because returning the
+            # machine saves more than the lost progress of these tasks costs. Waiting demand may
+            # preempt these tasks too, so its CPUs are subtracted. When any waiting demand
+            # prevented the evacuation, nine expensive machines stayed rented all day, because
+            # some demand nearly always waits.
             free_cpus += sum(
                 used[0]
                 for other in others
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -1,4 +1,7 @@
-"""Waiting demand: whether it fits the room, and how long it can wait. Pure: no I/O, no clock."""
+"""Checks of waiting demand: whether it fits the free room, and how long it can wait.
+
+This module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,14 @@
 from clayport.scheduling.policy import Policy
 from clayport.scheduling.spread import Spread
 
-# Users' estimates of durations are often wrong by half. Estimated durations are multiplied by
-# the first number, and the time allowed for a job by the second.
+# Users' estimates of durations are often wrong by half. Estimated durations are therefore
+# multiplied by `LINE`, and the time allowed for a job by `DEADLINE_SHARE`.
 LINE, DEADLINE_SHARE = 1.5, 0.8
-# A job that has time for at least this many waves of its tasks is planned by its rate of
-# completed tasks.
+# For an array that has time for at least this many waves of its tasks, rentals are planned from the
+# rate at which its tasks complete.
 MIN_WAVES = 4.0
-# Passed to `place` as `uncached`: no machine without the cached image is considered. Demand is
-# placed with an empty image, which every machine counts as having.
+# The value of `uncached` with which `place` considers only machines that have the image cached.
+# Demand is placed with an empty image, which counts as cached on every machine.
 NO_MACHINE_TYPES: frozenset[str] = frozenset()
 
 
@@ -87,9 +90,9 @@
 ) -> bool:
     """Return whether a fast check shows that the demand fits without the excluded machines.
 
-    False means only that `unmet_demand` in a trial has to decide. On a shrinking fleet the demand
-    nearly always fits, and a trial for each idle machine would take most of the provisioner's
-    processor time.
+    If the result is False, the demand may fit nevertheless, and `unmet_demand` has to decide in
+    a trial. On a shrinking fleet the demand nearly always fits, and a trial for each idle machine
+    would take most of the provisioner's processor time.
     """
     excluded = set(without)
     return all(
@@ -158,10 +161,10 @@
 def plan_waves(need: Demand, limits: dict[str, float], boot_s: float) -> Waves | None:
     """Plan an array with time for at least `MIN_WAVES` waves; return None for other jobs.
 
-    Such a job is judged by its own rate of completed tasks. Judged by the throughput of the
-    whole fleet, a low-rank array of 25,000 tasks of four seconds would count as early until
-    shortly before its deadline, because it gets only the room that other jobs leave. Thousands
-    of CPUs would then have to be rented for it at once.
+    Such a job is judged by its own rate of completed tasks. If it were judged by the throughput of
+    the whole fleet, a low-rank array of 25,000 tasks of four seconds would count as on time until
+    shortly before its deadline, because it gets only the room that other jobs leave. Thousands of
+    CPUs would then have to be rented for it at once.
     """
     job = need.job
     limit = job.deadline_s if job.deadline_s is not None else limits.get(job.job_class)
@@ -187,12 +190,13 @@
 ) -> list[Demand]:
     """Return the demand that would finish late if it waited for room on the present fleet.
 
-    A job with a deadline can stay queued as long as the present fleet works off the queue ahead
-    of it in time. That the queue moves faster than a machine boots is no reason not to rent: jobs
-    that fit no present machine would wait forever, and more jobs would finish late.
+    A job with a deadline can stay queued if the present fleet completes the jobs ahead of it in the
+    queue soon enough. When demand was also left out because the queue moved faster than a machine
+    boots, jobs that fit no present machine waited forever, and more jobs finished late.
 
-    With both factors 1, the result is the demand that will be late if the estimates are right.
-    This is used for expensive machines, which cost too much to be rented for the margins alone.
+    With `estimate_factor` and `deadline_share` 1, the result is the demand that will be late if
+    the estimates are right. Callers use these values for expensive machines, which cost too much
+    to be rented only because estimates may be wrong.
 
     Args:
         demand: The waiting demand, the most urgent first.
--- a/clayport/scaling/machine_list.py
+++ b/clayport/scaling/machine_list.py
@@ -62,12 +62,12 @@
         self._boot_times = BootTimes(BOOT_MEMORY_LEASES * settings.cluster.workers.lease_s)
 
     def note_rented(self, name: str, kind: MachineKind, now: float) -> None:
-        """Record a machine that this controller has just rented as booting."""
+        """Record as booting a machine that this controller has just rented."""
         self.booting[name] = BootingMachine(name, kind, now)
         self._rented_here.add(name)
 
     def booting_rooms(self, types: dict[str, MachineType], now: float) -> list[Room]:
-        """Return the empty rooms of booting machines, except of those that are late."""
+        """Return the empty rooms of booting machines, except those that are late."""
         rooms = []
         for boot in self.booting.values():
             machine_type = types.get(boot.kind[0])
@@ -104,7 +104,7 @@
             await self.give_back(failed[first : first + MAX_MACHINES_PER_RETURN], now)
 
     def _note_listed(self, found: list[CloudMachine], now: float) -> list[str]:
-        """Record listed machines that have not reported as booting; return the failed ones."""
+        """Record as booting the listed machines that have not reported; return the failed ones."""
         failed = []
         for machine in found:
             if machine.id in self.returned:
@@ -123,7 +123,7 @@
         return failed
 
     def _drop_settled(self, settled_s: float, now: float) -> None:
-        """Drop booting machines that came up, were returned or have not been listed for long."""
+        """Drop booting machines that came up, were returned or are unlisted after `settled_s`."""
         for name, boot in list(self.booting.items()):
             unlisted = name not in self.listed and now - boot.since > settled_s
             if name in self.view.rooms or name in self.returned or unlisted:
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -1,4 +1,4 @@
-"""Choice of machines to rent for unmet demand. Pure: no I/O, no clock."""
+"""Choice of machines to rent for unmet demand. This module does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 ) -> list[MachineKind]:
     """Choose machines to rent for unmet demand, by the lowest price per task.
 
-    A large machine is worth its price only when it fills up. The load that can fill it is
+    A large machine is worth its price only if tasks fill the machine. The load that can fill it is
     the unmet demand plus `EXPECTED_GROWTH` of the busy CPUs, because about that much more
     load arrives while the machine is rented.
 
@@ -86,8 +86,8 @@
         time_left_s: By job, the seconds that the job can still wait. An expensive machine is
             rented only for a job that can still finish in time on it.
         nominal_boot_s: By type, the boot times in the catalogue. The price of a type whose
-            machines boot later is raised in proportion, because a machine costs money while it
-            boots.
+            machines take longer to boot is raised in proportion, because a machine costs money
+            while it boots.
     """
     planned: list[MachineKind] = []
     counts: dict[MachineKind, int] = {}
@@ -110,8 +110,8 @@
             _, most, zone, machine_type, spot = best
             rental = (machine_type.name, zone, spot)
             if counts.get(rental, 0) >= MAX_RENTED_AT_ONCE:
-                # No more can be rented with one request. The rest is planned in the next
-                # round, so that a burst of jobs doesn't make one round expensive.
+                # One request can rent no more machines. The rest is planned in the next
+                # round, so that a burst of jobs doesn't make one round take long.
                 break
             room = empty_room(machine_type, f"new-{len(planned)}", zone, spot)
             tasks = _allowed_in(zone, min(wanted, most), spread)
--- a/clayport/scaling/rental_plan.py
+++ b/clayport/scaling/rental_plan.py
@@ -122,7 +122,8 @@
                 unmet_spare = unmet_demand(index, moving, policy, True)
         with index.trial(extra=work.booting):
             missing = unmet_demand(index, urgent, policy)
-            # Spare room has to be on cheap machines for the same reason.
+            # Only cheap machines count as spare room. Otherwise expensive machines would stay
+            # rented as spare room.
             unmet_spare = unmet_demand(index, work.spare, policy, True) + unmet_spare
         if not missing and not unmet_spare:
             return self._plan_backfill_after(work, work.waiting, urgent, busy, index, policy)
@@ -132,7 +133,8 @@
         rentals += self._plan_missing(work, unmet_spare, no_time_left, busy, policy)
         if any(need.job.gpus > 0 for need in missing + unmet_spare):
             return rentals
-        # The machines to rent have no GPUs, so backfill jobs with GPUs are planned as well.
+        # None of the demand that lacks machines needs GPUs, so machines for backfill jobs with GPUs
+        # are planned as well.
         with_gpus = [need for need in work.waiting if need.job.gpus > 0]
         return rentals + self._plan_backfill_after(work, with_gpus, urgent, busy, index, policy)
 
@@ -174,7 +176,7 @@
         index: Index,
         policy: Policy,
     ) -> list[MachineKind]:
-        """Return the machines to rent for backfill that other demand leaves no room for."""
+        """Return the machines to rent for backfill that does not fit beside other demand."""
         if not any(need.job.backfill for need in waiting):
             return []
         with index.trial(extra=work.booting):
@@ -187,10 +189,11 @@
     ) -> list[MachineKind]:
         """Return the machines to rent for backfill, within a trial of the index.
 
-        The caller plans backfill only when no other demand needs machines, or none with GPUs.
-        Beside jobs with an objective, backfill gets machines only within its share of the fleet.
-        Until a backfill job has waited for `long_wait_s`, no on-demand machine is rented for it
-        if it can run on spot machines.
+        The caller passes backfill of all kinds if no other demand needs new machines, and only
+        backfill with GPUs if other demand needs new machines but no GPUs. Backfill that could
+        hinder jobs with an objective gets machines only within its share of the fleet. Until such a
+        backfill job has waited for `long_wait_s`, no on-demand machine is rented for the job if it
+        can run on spot machines.
 
         Args:
             waiting: All waiting demand.
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -1,4 +1,4 @@
-"""The routine that rents and returns machines, on the one member of the epoch in charge."""
+"""The routine with which one member of the epoch, the provisioner, rents and returns machines."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
 # For how long a kind of machine isn't requested again after the cloud had no capacity for it,
 # in boot times of its type.
 REFUSAL_BOOT_TIMES = 0.5
-# An epoch up to this number with no machine in the cloud's list is the start of a new service,
-# so that no predecessor has rented machines.
+# If the cloud lists no machine in an epoch up to this number, the service is only just starting,
+# and no previous provisioner has rented machines.
 FIRST_EPOCHS = 3
 
 
@@ -195,8 +195,9 @@
             await self.machine_list.refresh(now)
         if new_epoch:
             # Machines that the previous provisioner rented may not be listed yet, so renting
-            # waits until the list must contain them. When the service is only just starting,
-            # there was no previous provisioner, even if machines exist already.
+            # waits until the list is certain to contain them. There was no previous
+            # provisioner in epoch 1, even if machines exist already, or in an epoch up to
+            # `FIRST_EPOCHS` if the cloud lists no machine.
             self._known_epoch = epoch
             self.began_at = now
             first_start = epoch.number == 1 or (epoch.number <= FIRST_EPOCHS and not self.listed)
@@ -297,8 +298,8 @@
         }
         urgent = [need for need in demand if not self.objectives.can_wait(need.job, need.age_s)]
         candidates = self._idle_rooms(index, types, now)[:MAX_IDLE_PER_ROUND]
-        # All candidates are checked together first, because with enough spare room one check
-        # decides for all of them. On a shrinking fleet, checks one by one would take half of
+        # All candidates are checked together first, because one check is enough for all of them if
+        # there is plenty of spare room. On a shrinking fleet, separate checks would take half of
         # the processor time.
         all_spare = sum(room.open for room in candidates) > 1 and not self._lost(
             self.cached_state.index(),
--- a/clayport/scheduling/backfill.py
+++ b/clayport/scheduling/backfill.py
@@ -15,7 +15,7 @@
 # The share of the fleet's CPUs that jobs without an objective may use while they could hinder
 # jobs with one.
 BACKFILL_SHARE = 0.25
-# A job without an objective has waited long after this many times a worker's lease.
+# The wait, in worker leases, after which a job without an objective counts as waiting long.
 LONG_WAIT_LEASES = 20
 
 
@@ -46,13 +46,13 @@
     def cpus_left(self, index: Index, rank: int) -> float:
         """Return the CPUs that jobs without an objective may still take.
 
-        The limit applies while there are jobs with an objective that cannot preempt backfill
-        of the given rank, because an array without an objective that fills the fleet for
-        minutes would make all other jobs of its rank late. Such an array may always use its
-        fair share. Jobs of a higher rank can preempt the array, so the limit does not apply for
-        their sake: when it did, 4,500 tasks waited for most of a day while a third of the fleet
-        was free. Backfill of the lowest rank can be preempted by all other ranks, so it counts
-        only against the limit of its own rank.
+        The limit applies while there are jobs with an objective that cannot preempt backfill of the
+        given rank, because an array without an objective that fills the fleet for minutes would
+        make all other jobs of its rank late. Such an array may always use its fair share. Jobs of a
+        higher rank can preempt the array, so they do not cause the limit to apply. When they did,
+        4,500 tasks waited for most of a day while a third of the fleet was free. Backfill of the
+        lowest rank can be preempted by all other ranks, so it counts only against the limit of its
+        own rank.
         """
         cpus = backfill_cpus = 0.0
         for pool in index.pools.values():
@@ -65,11 +65,11 @@
     def hinders_objectives(self, job: Job, max_rank: int = RANKS["production"]) -> bool:
         """Return whether the job could hinder jobs with an objective, up to rank `max_rank`.
 
-        Jobs with and without GPUs are considered separately, because each have machines of
-        their own. When they were not, gangs on whole GPU machines waited for hours on a day on
-        which only arrays had an objective, because arrays of the lowest rank used the quarter
-        of the fleet that all of them shared. Replicas are not considered, because they are
-        placed before all other jobs.
+        Jobs with and without GPUs are considered separately, because they run on different
+        machines. When both kinds shared `BACKFILL_SHARE` of the fleet and only arrays had an
+        objective, arrays of the lowest rank used the whole share, and gangs on whole GPU machines
+        waited for hours. Replicas are not considered, because they are placed before all other
+        jobs.
         """
 
         def is_affected(kind: tuple[bool, int]) -> bool:
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -107,8 +107,9 @@
 
     Attributes:
         adaptive_interval: The interval at which all peers' tables are pulled.
-        inflight: Tasks, by job and number, that are placed and not committed yet, with their
-            machine and job. Their resources stay subtracted from the rooms.
+        inflight: The machine and the job of each task that is placed and not committed yet, by
+            the job's id and the task's number. The resources of these tasks stay subtracted from
+            the rooms.
         pulled: For each peer, the revision of its table at the last pull.
         own_table_rev: The revision of this controller's own table at the last read (-1: none).
         stale: Machines whose rooms were charged or closed here, and therefore differ from
@@ -304,9 +305,9 @@
                 continue
             now = time.monotonic()
             if now < min(due, pulled_at + spacing_s):
-                # Each heartbeat of a peer wakes this routine. Waiting lets one round of pulls
-                # serve several heartbeats: with five controllers, tables took a seventh of a
-                # controller's CPU time.
+                # Each heartbeat of a peer wakes this routine. The sleep lets one round of pulls
+                # serve several heartbeats. Without it, the exchange of tables among five
+                # controllers took a seventh of a controller's CPU time.
                 await curio.sleep(min(due, pulled_at + spacing_s) - now)
                 now = time.monotonic()
             if now >= due:
@@ -322,8 +323,8 @@
                 for peer in self.peers.values()
                 if peer.label in self.membership.epoch.members
             ):
-                # In a real shortage the interval stays as it is, but changes of free room that
-                # peers have announced since are pulled.
+                # A shortage of room does not shorten the interval, but the tables of peers that
+                # have announced changes since the last pull are pulled.
                 pulled_at = now
                 await self.refresh_peers(changed_only=True)
                 self.routines.signal("place")
--- a/clayport/scheduling/demand_report.py
+++ b/clayport/scheduling/demand_report.py
@@ -15,7 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-# The most jobs in a report to peers: enough to fill any fleet, while the frame stays bounded.
+# The most jobs in a report to peers. So many jobs can fill any fleet, and the limit bounds the size
+# of the frame.
 MAX_DEMAND_ROWS = 500
 
 
--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -33,8 +33,8 @@
         job: The job as submitted.
         submitted_at: When the job was submitted.
         unfinished_prerequisites: The prerequisites that are not known to be done.
-        ready_at: When the last prerequisite known to be done ended; initially, when the job was
-            submitted.
+        ready_at: The end of the latest prerequisite that is known to be done. Before any
+            prerequisite is known to be done, this is the time of submission.
         due_at: When the job has to end, to meet its own deadline and those of its dependents.
         rank: The highest rank among the job and its dependents.
     """
--- a/clayport/scheduling/guarantees.py
+++ b/clayport/scheduling/guarantees.py
@@ -24,8 +24,8 @@
     """Return the machines where room for one task would be enough for the job to start.
 
     For a gang these are machines in zones with free room for all its other tasks. Without this
-    rule a gang of two that found no room anywhere had one task after another preempted, in one
-    zone after the other, and never started.
+    rule, tasks were preempted in one zone after another for a gang of two that found no room in
+    any zone, and the gang never started.
     """
     rooms = [room for room in pool if room.open and room.allows(job) and spread.allows(room.zone)]
     if job.kind != GANG:
@@ -63,7 +63,7 @@
         return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
 
     def covers(self, job: Job) -> bool:
-        """Return whether the job would leave its team within the guarantee, by the cached usage.
+        """Return whether the job leaves its team within the guarantee, by the team's cached usage.
 
         Returns True if the team has no guarantee that applies to the job. Jobs within a guarantee
         come before jobs that borrow beyond one.
@@ -76,8 +76,9 @@
         return used + need <= self.quotas.guarantees[job.team][resource] + EPSILON
 
     async def claim(self, job: Job, machines: list[str]) -> None:
-        """Preempt tasks of teams beyond their guarantee, on one machine, for a team within its own.
+        """Preempt tasks of teams that exceed their guarantee, on one of the machines.
 
+        Nothing is preempted if the job would take its own team beyond the team's guarantee.
         Usage is recorded only for teams with limits. Other teams can't be shown to exceed
         their guarantee, so their tasks are not preempted.
         """
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -1,12 +1,12 @@
 """An index of rooms by the criteria of placement and preemption.
 
-The index does no I/O and reads no clock. The cost of a placement decision must not grow with
-the fleet, so no function here iterates over the whole fleet or sorts it. The machines of one
-type and zone that are all spot or all on-demand form a pool. A pool keeps its open rooms in
-sorted views, in the order in which `placement` prefers them: one view of all open rooms, and
-one view for each requested image, of the rooms that have the image cached. A change only
-records which machine changed. A sorted view applies the changes when it is next used, so an
-image that no job requests costs nothing.
+The index does no I/O and reads no clock. The cost of a placement decision must not grow with the
+fleet, so no function of this module iterates over the whole fleet or sorts it. The machines of one
+type and zone that are all spot or all on-demand form a pool. A pool keeps its open rooms in sorted
+views, in the order in which `placement` prefers them: one view of all open rooms, and one view for
+each requested image, of the rooms that have the image cached. A change only records which machine
+changed. A sorted view applies the changes when it is next used, so an image that no job requests
+costs nothing.
 """
 
 from __future__ import annotations
@@ -23,10 +23,11 @@
 from clayport.scheduling.requirements import EPSILON, allows
 from clayport.scheduling.room import Level, Room, SortKey
 
-# The sorted views that a pool keeps. The limit exceeds the number of images that one class uses
-# at a time, and bounds the memory for the images of a large fleet.
+# The maximum number of sorted views of a pool. The limit exceeds the number of images that one
+# class uses at a time, and bounds the memory for the images of a large fleet.
 MAX_SORTED_VIEWS = 64
-# The bound of each result cache: unplaceable jobs, and the pools that a job allows.
+# The maximum number of entries in each of two caches. One holds searches that found no room, the
+# other the pools that a job's requirements allow.
 MAX_CACHED_QUESTIONS = 4096
 # Removed machines stay in a pool's list of changes until the list exceeds twice the number of
 # machines by this many entries.
@@ -200,7 +201,7 @@
 
     Attributes:
         salt: A string that differs by controller, so that each controller tries equal machines
-            in another order. Otherwise controllers with the same cached state would choose the
+            in a different order. Otherwise controllers with the same cached state would choose the
             same machine.
         rooms: The rooms by machine.
         pools: The pools by type, zone and whether their machines are spot machines.
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -112,8 +112,8 @@
 def accepts(job: Job, room: Room, policy: Policy, reserve: LargeTaskReserve | None) -> bool:
     """Return whether the room may take a task of the job in its present state.
 
-    Afterwards, a task of the GPU job that the policy protects on this machine, and a task of
-    the large job for which the reserve keeps room there, must still fit.
+    The room must afterwards still fit a task of the GPU job that the policy protects on this
+    machine, and a task of the large job for which the reserve keeps room there.
     """
     if not room.fits(job):
         return False
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -223,7 +223,7 @@
         self.cached_state.starved = current.starved
 
     def _current_owed(self, now: float) -> dict[AccountKey, FairShare]:
-        """Return the fair shares owed, looked up several times between two heartbeats."""
+        """Return the fair shares owed, recomputed several times between two heartbeats."""
         if now >= self.owed_until:
             self.owed_until = (
                 now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
@@ -267,8 +267,9 @@
         if job.backfill and job.rank not in current.backfill_cpus_left:
             current.backfill_cpus_left[job.rank] = self.backfill.cpus_left(current.index, job.rank)
         if managed.at_fault and managed.assigned > managed.running:
-            # A job at fault gets one trial at a time, even while other tasks of it run. Without
-            # any trial, a replica that failed on three unhealthy machines would never return.
+            # A job whose own tasks are at fault may start one task at a time, even while other
+            # tasks of it run. If it could start none, a replica that failed on three unhealthy
+            # machines would never be restarted.
             return
         current.work += 1
         wanted = self._wanted(managed, current)
@@ -293,7 +294,7 @@
             self._hand_over(managed, chosen, current)
 
     def _wanted(self, managed: ManagedJob, current: SchedulingPass) -> int:
-        """Return for how many tasks to seek room: a transaction's worth that the job may start."""
+        """Return for how many tasks to seek room, at most as many as one transaction starts."""
         job = managed.job
         wanted = min(
             managed.pending,
@@ -305,8 +306,8 @@
             wanted = min(wanted, 1)
         missing_cpus = current.missing_cpus(account_keys(job))
         if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
-            # The array goes first only for the share that is owed. Tasks beyond it would be
-            # preempted again for the jobs that the array overtook.
+            # The array goes before other jobs only for the share that is owed. Tasks beyond the
+            # share would be preempted again for the jobs that the array overtook.
             wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
         if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
             cpus = max(current.backfill_cpus_left[job.rank], missing_cpus)
@@ -325,7 +326,7 @@
                 current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
             )
         for room in chosen[len(numbers) :]:
-            room.take(managed.job, -1)  # left for the next transaction
+            room.take(managed.job, -1)  # the task is left for the next transaction
         managed.starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
         for number, machine in managed.starts:
@@ -347,10 +348,10 @@
         return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
 
     def _within_limit(self, job: Job, wanted: int) -> int:
-        """Return `wanted`, bounded by what the team's limit leaves as far as known here.
+        """Return `wanted`, bounded by what the team's limit leaves according to the cached usage.
 
         Usage that was read too long ago is ignored, because other controllers may have released
-        some since then, and no event would trigger another attempt.
+        resources since then, and no event would trigger another attempt.
         """
         limit = self.quotas.limits.get(job.team, (0.0, 0.0))
         used, _, at = self.jobs.quota_usage.get(job.team, ((0.0, 0.0), 0, 0.0))
--- a/clayport/scheduling/policy_cache.py
+++ b/clayport/scheduling/policy_cache.py
@@ -12,7 +12,7 @@
 
 
 class PolicyCache:
-    """Caches the policy, and keeps the same object while its decisions stay the same."""
+    """Caches the policy, and replaces the policy object only when the policy's decisions change."""
 
     def __init__(self, *, catalogue: Catalogue, jobs: JobRegistry, settings: Settings) -> None:
         self.catalogue = catalogue
--- a/clayport/scheduling/postponement.py
+++ b/clayport/scheduling/postponement.py
@@ -14,8 +14,8 @@
 from clayport.settings import Settings
 
 # The share of a heartbeat interval for which freed room accumulates before postponed arrays are
-# tried again. On a full fleet tasks end one by one, and without this delay each new task had a
-# pass, a commit and two requests to an owner of its own.
+# tried again. On a full fleet tasks end one by one, and without this delay each new task needed a
+# separate pass, a separate commit and two separate requests to an owner.
 GATHER_SHARE = 0.2
 
 
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -15,8 +15,9 @@
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
 
-# The highest rank to preempt, whether the machine is a spot machine to avoid, the resources that
-# are not free yet, the machine's name, and its room. The smallest offer is the best.
+# A machine on which preemption makes room: the highest rank to preempt, whether the machine is a
+# spot machine to avoid, the resources that are not free yet, the machine's name, and its room. The
+# smallest tuple is the best offer.
 Offer = tuple[int, bool, float, str, Room]
 
 
--- a/clayport/scheduling/queueing/__init__.py
+++ b/clayport/scheduling/queueing/__init__.py
@@ -2,7 +2,7 @@
 
 This package does no I/O and reads no clock. `queue` keeps the waiting jobs in order; its cost grows
 with the number of changes to jobs, not with the number of waiting jobs. `shares` decides which
-classes and teams have had so little room that they go before others of higher rank.
+classes and teams have had so little room that their jobs go before jobs of higher rank.
 """
 
 from clayport.scheduling.queueing.queue import Group as Group
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -122,7 +122,8 @@
         groups: The groups that have waiting jobs, by key.
         entries: The waiting jobs by id.
         in_flight: Jobs that are being placed, and the number of their other waiting
-            tasks. A job that returns with no more waiting tasks than that is no new demand.
+            tasks. A job that returns to the queue with no more waiting tasks than this number
+            does not count as new demand.
         dirty: Jobs that have changed since the queue last caught up.
         timers: A heap of the times at which jobs change their bands, or may be placed again
             after an error.
@@ -289,18 +290,18 @@
 
         Jobs that can still start within the wait limit of their class come before jobs that have
         missed it but may finish on time. Otherwise, once the queue is too long, all later jobs
-        would miss the wait limit too. An array that has started some tasks keeps the order that
-        it had before its start. Otherwise an overload would start all arrays, and finish none on
-        time.
+        would miss the wait limit too. An array that has started some tasks keeps the position
+        that it had before its start. Otherwise all arrays would start during an overload, and
+        none would finish on time.
         """
         job = managed.job
         if job.backfill:
             # Backfill comes last because no objective applies to it, and because its tasks, once
             # started, can't be preempted for a job of the same rank.
             return BACKFILL, (-math.inf, managed.live_rev, job.id), math.inf
-        # Estimates are often wrong by half. Taken as exact, they made an overlong queue serve each
-        # job just when it could no longer finish on time. A job's own deadline is derived from
-        # the estimate and has the same error, so no factor applies to it.
+        # Estimates are often wrong by half. When they were treated as exact, an overlong queue
+        # served each job just when the job could no longer finish on time. A job's own deadline
+        # is derived from the estimate and has the same error, so no factor applies to it.
         limits, estimate_s = self.finish_limits.get(job.job_class, ()), LINE * job.estimate_s
         if job.deadline_s is not None:
             estimate_s = job.estimate_s
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -29,7 +29,7 @@
 # just started to fill the share would be preempted at once.
 PROTECTION_MARGIN = 1.25
 # The largest share, as a part of the CPUs that all of a class's work needs. It is somewhat more
-# than the half below which a class counts as not served.
+# than one half, because a class counts as not served if less than half of its work runs.
 MAX_SHARE_OF_NEED = 0.7
 # The span over which arrivals are counted, as a multiple of the tolerated wait.
 ARRIVAL_SPAN = 2.0
--- a/clayport/scheduling/refresh.py
+++ b/clayport/scheduling/refresh.py
@@ -4,8 +4,8 @@
 The interval halves if the ratio of declined starts exceeds the upper threshold, and grows by a
 factor of 1.1 if the ratio is below the lower threshold. The paper's rule lets a single declined
 start decide a window of few attempts; this module carries such a window over into the next one.
-A real shortage of room does not count, because tasks that fit nowhere in the cached state are
-not attempted.
+A real shortage of room does not raise the ratio, because no start is attempted for tasks that fit
+nowhere in the cached state.
 """
 
 from __future__ import annotations
--- a/clayport/scheduling/replica_migration.py
+++ b/clayport/scheduling/replica_migration.py
@@ -20,7 +20,8 @@
 
 # The least time between two moves of a job's replicas, in worker leases.
 MIN_MOVE_INTERVAL_LEASES = 0.3
-# The same for moves that drain a machine which isn't expensive.
+# The least time between two moves of a job's replicas for a drain of a machine that isn't
+# expensive, in worker leases.
 MIN_DRAIN_MOVE_INTERVAL_LEASES = 3.0
 
 
--- a/clayport/scheduling/reserves.py
+++ b/clayport/scheduling/reserves.py
@@ -16,7 +16,7 @@
 
 
 class Reserves:
-    """Tracks classes and teams that found no room for their fair share, and the reserve for them.
+    """Chooses the reserve for classes and teams that found no room for their fair share.
 
     Without a reserve, a task that needs more of a machine than other tasks would wait forever,
     because smaller tasks take every smaller amount of room as soon as it becomes free.
@@ -41,7 +41,7 @@
             self.unplaced_jobs.setdefault(account, job)
 
     def note_placed(self, job: Job) -> None:
-        """Record that the search found room for all tasks of a job that it was made for."""
+        """Record that a search found room for as many tasks of a job as it was made for."""
         for account in account_keys(job):
             self.unplaced_jobs.pop(account, None)
 
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -27,7 +27,8 @@
 class Room:
     """A machine's free resources as the cached state shows them.
 
-    A placement subtracts its tasks at once. The machine's next report replaces the room.
+    A placement subtracts the resources of its tasks at once. The machine's next report replaces
+    the room.
 
     Attributes:
         open: Whether the machine takes new tasks.
--- a/clayport/scheduling/room_finder.py
+++ b/clayport/scheduling/room_finder.py
@@ -157,8 +157,9 @@
         """Find room for a job that has to start within `left_s` seconds.
 
         The job starts in time only on machines that have the image cached or can fetch it
-        within that time. Tasks of the lowest rank are preempted on these machines in preference
-        to starting elsewhere.
+        within that time. If these machines have too little room, tasks of the lowest rank are
+        preempted there if possible. The job's remaining tasks then wait for this room instead of
+        starting on other machines.
         """
         managed = search.managed
         uncached = types_fetched_within(self.machines.types, managed.job, left_s)
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -24,7 +24,7 @@
 
 
 def _drop_expired(managed: ManagedJob, now: float) -> None:
-    """Drop entries of preempted room that the tables of free room show by now."""
+    """Drop expired entries of `preempted_room`; the tables of free room show that room by now."""
     managed.preempted_room = {
         machine: (count, until)
         for machine, (count, until) in managed.preempted_room.items()
@@ -170,11 +170,11 @@
     def max_preempted_rank(self, job: Job, age_s: float, can_wait: bool) -> int:
         """Return the highest rank that may be preempted for the job; -1: none.
 
-        A job that inherits its rank from a job that depends on it preempts only what its own
-        rank allows, or the lowest rank, as long as it can wait. With the inherited rank, a
-        tenth of the tasks on a saturated fleet were stopped for pipelines that had a minute to
-        spare. When pipelines preempted no rank at all, they took all free room and made other
-        jobs late.
+        A job that inherits its rank from a job that depends on it preempts only what its own rank
+        allows, or the lowest rank, as long as it can wait. When such jobs preempted by their
+        inherited rank, a tenth of the tasks on a saturated fleet were stopped for pipelines that
+        could still wait for a minute. When such jobs preempted no rank at all, pipelines took all
+        free room and made other jobs late.
         """
         own = self.jobs.dependencies.own_rank(job)
         limit = self.objectives.wait_limits.get(job.job_class)
@@ -197,9 +197,10 @@
     def grace_s(self, job: Job, age_s: float) -> float:
         """Return the time that preempted tasks may take to save, in seconds.
 
-        Replicas, and jobs that can still start within their class's limit, grant no time.
-        Users miss a replica in every second in which it is down, and six seconds of saving
-        plus an image fetch have made such a start late. For other jobs the time is unlimited.
+        The time is 0 for replicas, because users are affected for as long as a replica is down.
+        The time is also 0 for jobs that can still start within their class's limit, because six
+        seconds of saving and an image fetch have made such jobs start late. For other jobs the
+        time is unlimited.
         """
         limit = self.objectives.wait_limits.get(job.job_class)
         return 0.0 if job.kind == SERVICE or (limit is not None and age_s < limit) else math.inf
--- a/clayport/scheduling/scheduling_pass.py
+++ b/clayport/scheduling/scheduling_pass.py
@@ -26,9 +26,9 @@
         reserve: The machines that have to keep room for a larger task, if any.
         granted_cpus: For each class or team, the CPUs of the tasks placed since `owed` was
             looked up.
-        backfill_cpus_left: By rank, the CPUs that jobs without an objective may still take
-            while jobs with an objective that cannot preempt them exist; looked up when the pass
-            reaches such a job.
+        backfill_cpus_left: By rank, the CPUs that jobs without an objective may still take in
+            this pass while they could hinder jobs with an objective. The CPUs are looked up when
+            the pass reaches the first job without an objective of the rank.
         unsatisfied: Groups that found less room than they want, with the index's revision at
             that time.
         starved: Whether jobs other than backfill are left without room.
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -37,9 +37,9 @@
     def can_wait(self, job: Job, age_s: float) -> bool:
         """Return whether the job can wait for a machine that isn't expensive.
 
-        Jobs without an objective always can, because `slack_s` treats a job without a limit as
-        late. Without this rule the most expensive machines, at eighteen times the price, were
-        rented for them.
+        Jobs without an objective can always wait. `slack_s` treats a job without a limit as late,
+        so without this rule the most expensive machines, at eighteen times the price, were
+        rented for such jobs.
         """
         return job.kind != SERVICE and (
             job.without_objective or slack_s(job, age_s, self.finish_limits) > self.patience_s
@@ -49,8 +49,8 @@
         """Return whether the job would be late if the cloud reclaimed one of its spot machines.
 
         This concerns jobs without checkpoints, whose lost tasks start from the beginning. A
-        quarter of such arrays was late because of a few restarted tasks: an array of eighty
-        tasks on ten spot machines often loses at least one of them.
+        quarter of such arrays was late because of a few restarted tasks. An array of eighty
+        tasks on ten spot machines often loses at least one task.
         """
         return (
             job.spot
