--- a/clayport/jobs/commits.py
+++ b/clayport/jobs/commits.py
@@ -40,10 +40,11 @@
     async def commit(self, txn: Txn, fence: int, priority_s: float = 0.0) -> int:
         """Send a transaction until its outcome is certain.
 
-        An unanswered transaction may still be applied, so it is sent again until there is an
-        answer. At most one copy is applied, because each copy invalidates the conditions of the
-        other. If the limits shrink meanwhile and the repeated copy is refused as too large, the
-        outcome of the first one stays unknown, and the caller has to read the records.
+        Without an answer it is unknown whether the transaction was applied, so it is sent again
+        until there is an answer. At most one copy is applied, because an applied copy invalidates
+        the conditions of the others. If the limits shrink meanwhile and a repeated copy is refused
+        as too large, the outcome of the earlier copies stays unknown, and the caller has to read
+        the records.
 
         Args:
             txn: The transaction.
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -1,4 +1,4 @@
-"""The routine that leads one job: it commits the job's starts, its outcomes and its end.
+"""The routine that leads one job and commits the job's starts, its outcomes and its end.
 
 The routine runs until the epoch ends. `jobs.transactions` builds the transactions, and
 `jobs.owner_requests` sends requests to the owners of machines.
@@ -124,8 +124,8 @@
                     await self.store.back_off(attempt)
                     continue
                 except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
-                    # A value in the state service is malformed: the job waits, and tries
-                    # again, instead of losing its routine for this epoch.
+                    # A value in the state service is malformed. The routine waits and retries,
+                    # because the job would otherwise have no routine for this epoch.
                     log.error("job=%s event=malformed cause=%r", managed.job.id, exc)
                     await curio.sleep(self.routines.jitter(self.membership.lease_ttl_s))
                     continue
@@ -170,7 +170,7 @@
                 self.queue.touch(managed.job.id)
 
     async def _do_next(self, managed: ManagedJob) -> bool:
-        """Do the first due action in order of precedence, and return the result of `_step`."""
+        """Do the first due action in order of precedence; return whether there may be more."""
         if (
             self.upgrade.complete and managed.split_chunks(self.upgrade.chunk_size)
         ) or managed.wider_chunks:
@@ -227,11 +227,11 @@
     def _waits_for_more_outcomes(self, managed: ManagedJob, now: float) -> bool:
         """Return whether outcomes may wait until more of them can be committed together.
 
-        The tasks of an array end one by one, and without batching each one would cost a commit
-        and a request to the owner of its machine. Outcomes wait only where the delay affects
-        nothing else: the array has other unfinished tasks, all the outcomes are successes, and
-        the team has no quota to be given back. The room of a task is free as soon as the task
-        has exited, whether or not its outcome is committed.
+        The tasks of an array end one by one, and without batching each one would cost a commit and
+        a request to the owner of its machine. Outcomes wait only where the delay affects nothing
+        else: the array has other unfinished tasks, all the outcomes are successes, and the team has
+        no quota limit whose usage would have to be credited. The room of a task is free as soon as
+        the task has exited, whether or not its outcome is committed.
         """
         job = managed.job
         if (
--- a/clayport/jobs/eligibility.py
+++ b/clayport/jobs/eligibility.py
@@ -6,7 +6,7 @@
 
 from clayport.model import ARRAY, GANG, Job, MachineType, fits
 
-# By how much an amount may exceed a limit, so that rounding errors of floats don't matter.
+# How far an amount may exceed a limit, so that a rounding error of floats causes no refusal.
 TOLERANCE = 1e-6
 
 
@@ -16,7 +16,7 @@
 
 
 def is_metered(limit: tuple[float, float], cpus: float, gpus: float) -> bool:
-    """Return whether a team's quota usage has to be recorded for an amount.
+    """Return whether an amount counts against a limit, so that the usage has to be recorded.
 
     Args:
         limit: The team's limits in CPUs and GPUs; 0 means that there is none.
--- a/clayport/jobs/job_records.py
+++ b/clayport/jobs/job_records.py
@@ -56,7 +56,7 @@
         """Write the job's narrower chunks, then delete the wider chunks.
 
         Nothing else of the job is committed meanwhile, so that the wider chunks are still
-        complete if this controller ends during the split. Otherwise the next leader would miss
+        complete if this controller stops during the split. Otherwise the next leader would miss
         assignments, and start tasks again while they run.
         """
         fence = self.commits.fence(managed)
@@ -97,8 +97,8 @@
     async def cancel_for_prerequisite(self, managed: ManagedJob) -> None:
         """Cancel the job because one of its prerequisites was cancelled.
 
-        The job's leader does so from the records alone, because the controller that cancelled
-        the prerequisite for its user may have ended. No task of the job has ever started.
+        The job's leader acts on the records alone, because the controller that cancelled the
+        prerequisite for its user may have ended. No task of the job has ever started.
 
         Raises:
             EpochEndedError: The epoch that the job was loaded under has ended.
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -119,8 +119,8 @@
         """Convert a recorded wall-clock time to this process's monotonic clock.
 
         The nodes' clocks differ by up to the bound in the settings, so a time within that bound
-        counts as the present. Otherwise clock error alone could make a start that is due within
-        two seconds a second late.
+        counts as the present. Otherwise clock error alone could delay by one second a start that
+        is due within two seconds.
 
         Args:
             at: The wall-clock time in seconds; None for now.
@@ -139,7 +139,7 @@
             submitted: When it was submitted, on the monotonic clock.
         """
         if job.id in self.jobs.live and rev > self.jobs.live[job.id][1]:
-            self.jobs.live[job.id] = (self.jobs.live[job.id][0], rev)  # rewritten by a rebuild
+            self.jobs.live[job.id] = (self.jobs.live[job.id][0], rev)  # a rebuild has rewritten it
             if job.id in self.jobs.managed:
                 self.jobs.managed[job.id].live_rev = rev
         if job.id in self.jobs.live or job.id in self.jobs.ended:
@@ -207,7 +207,7 @@
                 .put(key, {"j": msgspec.to_builtins(msgspec.structs.replace(job, prereqs=None))})
             )
         except (ConflictError, UnavailableError, OutcomeUnknownError):
-            pass  # the example only serves as a hint
+            pass  # the example is only a hint for placement
 
     def note_gone(self, job: str) -> None:
         """Start to read how a job ended, because its live record has been deleted."""
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -67,7 +67,7 @@
         self.outcomes: dict[int, tuple[int, bool]] = {}
         self.exited_on: dict[int, str] = {}  # exited task: the machine that still lists it
         self.started = False  # whether a task has been reported as running
-        self.unreported: set[tuple[int, int]] = set()  # (task, attempt) found by the last check
+        self.unreported: set[tuple[int, int]] = set()  # (task, attempt) that the last check found
         self.next_report_check = now
 
         # Tasks without a machine are those from `cursor` on that are neither assigned nor done,
@@ -95,7 +95,7 @@
         self.errors: dict[str, int] = {}  # failures by machine, the latest last
         self.has_completed_task = False
         self.suspected = False  # whether it was found at fault under an earlier epoch
-        self.failed_retries = 0  # since the job was found to be at fault
+        self.failed_retries = 0  # failed retries since it was found at fault
         self.pause_s, self.max_pause_s = pause_s, max_pause_s
 
     @property
@@ -141,7 +141,7 @@
         """Whether this is a gang that has not started yet and may get replacement tasks.
 
         Replacements run under the current attempt number, so that the other tasks keep their
-        fetched images and go on waiting.
+        fetched images and continue to wait.
         """
         return (
             self.job.kind == GANG
@@ -162,9 +162,9 @@
     def take_pending(self, count: int, limit: int = UNLIMITED_CHUNKS) -> list[int]:
         """Take tasks that wait for a machine, and mark them as being placed.
 
-        The tasks fit one transaction. Without that bound, the requeued tasks of a job of tens of
-        thousands could belong to all its chunks, and a transaction that is too large would be
-        refused as a whole each time.
+        The tasks fit one transaction. Without that bound, the requeued tasks of a job with tens
+        of thousands of tasks could belong to all its chunks. The transaction would then be too
+        large, and would be refused as a whole at every attempt.
 
         Args:
             count: The most tasks to take.
@@ -219,7 +219,7 @@
         Args:
             machine: The machine of the task.
             number: The number of the task.
-            attempt: The attempt.
+            attempt: The number of the attempt.
             state: The state of the task there; `GONE` if the machine no longer has the task.
             cause: Why the task is in that state.
             now: The present time.
@@ -254,7 +254,7 @@
         return Verdict.OK
 
     def mark_machines_gone(self, machines: Container[str]) -> bool:
-        """Mark the tasks on machines as gone whose return to the cloud is confirmed.
+        """Mark as gone the tasks on machines that are confirmed as returned to the cloud.
 
         Returns:
             Whether there were any such tasks.
@@ -269,8 +269,8 @@
     def find_unreported(self, now: float, min_interval_s: float) -> set[int]:
         """Return the assigned tasks that no owner has reported on.
 
-        A task counts only when two consecutive checks find it, because a new one may not have
-        been reported yet.
+        A task is returned only if two consecutive checks find it, because a newly assigned task
+        may not have been reported yet.
 
         Args:
             now: The present time.
--- a/clayport/jobs/owner_requests.py
+++ b/clayport/jobs/owner_requests.py
@@ -25,8 +25,8 @@
 Start = tuple[int, str]
 # The machine, task and attempt of a committed start.
 LaunchRow = tuple[str, str, int]
-# Machine, task, attempt, grace period in seconds, and whether the task has exited and is to be
-# cleared only.
+# Machine, task, attempt, grace period in seconds, and whether the task has exited and only has to
+# be cleared.
 StopRow = tuple[str, str, int, float, bool]
 
 
@@ -125,7 +125,7 @@
         """Send launches to an owner.
 
         Returns:
-            A flag for each start, 0 if it is never launched; None if the owner didn't answer.
+            A flag for each start, 0 if the owner never launches it; None without an answer.
         """
         if owner == self.membership.label:
             answers = self.machines.launch(items)
@@ -143,11 +143,12 @@
     async def stop(self, managed: ManagedJob, items: list[StopRow]) -> None:
         """Have the owners kill or clear tasks.
 
-        A request may get lost: kills are repeated by the caller, and reservations expire.
+        A lost request is not sent again here, because the caller repeats kills and reservations
+        expire.
         """
         for owner, part in self._by_owner(items).items():
             if self.membership.epoch.number != managed.epoch:
-                return  # a later routine may use the same attempt number
+                return  # the routine of a later epoch may use the same attempt number
             if owner == self.membership.label:
                 self.machines.stop(part)
                 for machine in dict.fromkeys(item[0] for item in part):
@@ -200,7 +201,7 @@
 
 
 def _is_unsettled(managed: ManagedJob, item: LaunchRow) -> bool:
-    """Return whether a start is still assigned, and its task has not been reported."""
+    """Return whether a start is still assigned and no owner has reported its task."""
     machine, task, attempt = item
     number = split_task(task)[1]
     return (
--- a/clayport/jobs/prerequisite_check.py
+++ b/clayport/jobs/prerequisite_check.py
@@ -15,7 +15,7 @@
 
 
 class PrerequisiteCheck:
-    """Finds prerequisites that were never accepted, or that are services and never done."""
+    """Finds prerequisites that were never accepted, and services, which are never done."""
 
     def __init__(self, *, jobs: JobRegistry, store: StateStore, upgrade: UpgradeState) -> None:
         self.jobs = jobs
@@ -39,8 +39,8 @@
                 unknown.append(name)
             elif known is not None and known[0].kind == SERVICE:
                 return f"{name} is a service"
-        # A transaction that requires the absence of many records checks them in one request:
-        # the conflict names those that exist.
+        # A transaction that requires the absence of many records checks all of them in one
+        # request, because the conflict names the records that exist.
         batch_size = max(1, self.upgrade.limits.txn_ops * 2 - self.store.anchor_conditions)
         for first in range(0, len(unknown), batch_size):
             fault = await self._find_fault_in_records(unknown[first : first + batch_size], deadline)
@@ -49,7 +49,7 @@
         return ""
 
     async def _find_fault_in_records(self, names: list[str], deadline: Deadline) -> str:
-        """Return the fault of one batch of jobs by their records in the state service."""
+        """Return the fault that the records of one batch of jobs show; empty if there is none."""
         txn = Txn()
         for name in names:
             txn.require(live_key(name), 0).require(end_key(name), 0)
--- a/clayport/jobs/prerequisites.py
+++ b/clayport/jobs/prerequisites.py
@@ -46,9 +46,9 @@
     async def keep_prereqs(self) -> None:
         """Look up prerequisites for as long as the process runs.
 
-        Unknown prerequisites are looked up as soon as there is one, and periodically. Those
-        believed to be live are checked less often, so that a lost notification delays the jobs
-        that wait for them only for a bounded time.
+        An unknown prerequisite is looked up as soon as a job names it, and periodically.
+        Prerequisites believed to be live are checked less often, so that a lost notification delays
+        the jobs that wait for them only for a bounded time.
         """
         next_check_at = 0.0
         while True:
@@ -68,7 +68,7 @@
             await self._check_awaited()
 
     async def _look_up_unknown(self) -> None:
-        """Look up unknown prerequisites: they may have ended before this process started."""
+        """Look up unknown prerequisites, which may have ended before this process started."""
         for name in list(self.jobs.dependencies.unknown_prerequisites):
             if name in self.jobs.ended:
                 self.lifecycle.update_dependents(name, self.jobs.ended[name], time.monotonic())
@@ -81,7 +81,7 @@
                 self.lifecycle.note_end_record(name, entry.value, entry.rev)
 
     async def _check_awaited(self) -> None:
-        """Check, in batched requests, whether prerequisites believed to be live still are."""
+        """Check in batched requests whether prerequisites believed to be live are still live."""
         for name in sorted(self._awaited_prerequisites()):
             known = self.jobs.live.get(name)
             try:
--- a/clayport/jobs/quota_charges.py
+++ b/clayport/jobs/quota_charges.py
@@ -27,8 +27,8 @@
     rev: int
 
 
-# The decimal places to which quota usage is rounded, and by how much rounding may make it exceed a
-# limit.
+# Quota usage is rounded to `DECIMALS` places, and may exceed a limit by `TOLERANCE` because of the
+# rounding.
 DECIMALS = 6
 TOLERANCE = 1e-6
 
--- a/clayport/jobs/registry.py
+++ b/clayport/jobs/registry.py
@@ -41,7 +41,7 @@
         self.quota_usage.clear()
 
     def description(self, job: str) -> Job | None:
-        """Return the description of a live job, or of an ended one that may be on machines."""
+        """Return the description of a live job, or of an ended job that may have tasks left."""
         known = self.live.get(job)
         return known[0] if known else self.ended_descriptions.get(job)
 
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -59,7 +59,7 @@
         self.counts_timeout_s = counts_timeout_s
 
     async def find(self, job: str, deadline: Deadline) -> str | None:
-        """Return the job's current state by the state service; None if there is no record of it.
+        """Return the job's state according to the state service; None if the job has no record.
 
         The live record is read before the final one. A live record can only be replaced by a
         final record, so if neither is found, the job was never accepted.
@@ -74,8 +74,8 @@
         if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
             return LIVE
         if not valid_id(job):
-            # Early versions accepted ids that can't be part of a request's path, so there is no
-            # read for such a job.
+            # Early versions accepted ids that can't be part of a request's path, so the records
+            # of such a job can't be read.
             if live is not None:
                 raise UnavailableError("the record is just changing")
             return None
@@ -102,8 +102,8 @@
     async def _confirm_revisions(self, revs: dict[str, int], deadline: Deadline) -> None:
         """Confirm that records were read from the history that this controller acts on.
 
-        A plain read is not checked against the history, but a transaction is, so the revisions
-        are confirmed by a transaction without writes.
+        Plain reads are not checked against the history, but transactions are. Therefore a
+        transaction without writes confirms the revisions.
 
         Raises:
             UnavailableError: A record has changed since it was read.
--- a/clayport/jobs/transactions.py
+++ b/clayport/jobs/transactions.py
@@ -1,8 +1,8 @@
 """Builds the transactions by which a job's leader commits starts, outcomes and splits of chunks.
 
 `jobs.commits` sends them. Each transaction is conditional on the record of the epoch and on the
-revision of every chunk that it changes, so that it fails if another controller has written to
-them in the meantime. After a commit, the chunks are passed to `ManagedJob.apply_commit`.
+revision of every chunk that it changes, so that it fails if another controller has changed one of
+these records in the meantime. After a commit, the chunks are passed to `ManagedJob.apply_commit`.
 """
 
 from __future__ import annotations
--- a/clayport/leases/__init__.py
+++ b/clayport/leases/__init__.py
@@ -9,10 +9,10 @@
 
 * The records. A controller that has read the records as of a time knows all cancellations
   that were committed before.
-* Promises. With a promise, one controller undertakes towards another not to disclose any
-  cancellation to users that the other has not acknowledged. A promise expires, and is renewed
-  with the controllers' heartbeats. It binds its giver until it expires, also across a restart:
-  a controller that starts assumes that its predecessor has just renewed its promises to all
+* Promises. A controller gives a promise to a peer. Until the promise expires, that controller
+  tells users of a cancellation only if the peer has acknowledged the cancellation. Promises are
+  renewed with the controllers' heartbeats. A promise stays binding across a restart, because a
+  controller that starts assumes that its predecessor has just renewed its promises to all
   peers.
 
 `promises` implements the side of the controller that tells users, and `watermark` the side of
--- a/clayport/leases/disclosure.py
+++ b/clayport/leases/disclosure.py
@@ -18,7 +18,7 @@
 
 
 class CancellationDisclosure:
-    """Has peers acknowledge cancellations, which `Promises` requires before users are told.
+    """Obtains the acknowledgements that `Promises` requires before users are told.
 
     Args:
         membership: Gives the lease's lifetime, from which the polling interval is derived.
@@ -42,7 +42,7 @@
         self.promises = promises
         self.routines = routines
         self.cancel_s = cancel_s
-        # The notifications in flight, by the peer's label and the job; a set in order.
+        # The notifications in flight: (peer's label, job). The dict serves as an ordered set.
         self.in_flight: dict[tuple[str, str], None] = {}
 
     async def announced(self, job: str, deadline: Deadline) -> None:
--- a/clayport/leases/promises.py
+++ b/clayport/leases/promises.py
@@ -9,12 +9,11 @@
 from collections.abc import Iterable
 from typing import TypeVar
 
-# A promise is not renewed while a user has been waiting for the peer's acknowledgement for more
-# than this share of a promise's duration.
+# A promise is not renewed once a user has been waiting for the peer's acknowledgement for more than
+# this share of a promise's duration.
 ACKNOWLEDGEMENT_SHARE = 0.1
-# The most cancellations per peer that are kept by job after they were disclosed without the peer's
-# acknowledgement. For older ones, only the revision is kept up to which the peer has to read the
-# records.
+# The most jobs per peer in `Promises.unacknowledged`. Older ones are evicted, and
+# `Promises.required_rev` keeps the revision up to which the peer has to read the records for them.
 MAX_MISSED_CANCELLATIONS = 2000
 # The most jobs in each of the other tables; the oldest entry is evicted.
 MAX_NOTED_JOBS = 20_000
@@ -35,7 +34,7 @@
         acknowledged_by: By job whose cancellation is not disclosed yet, the peers that have
             acknowledged it.
         end_revs: By cancelled job, the revision of its final record.
-        disclosed: The jobs whose cancellation may be disclosed to users (a set in order).
+        disclosed: The jobs whose cancellation may be disclosed to users (an ordered set).
         waiting_since: By job, since when a user has been waiting for the disclosure.
     """
 
@@ -109,7 +108,7 @@
         """Return the time in seconds until the cancellation of a job may be disclosed.
 
         The time assumes that no further peer acknowledges the cancellation. 0 or less means that
-        users may be told now. Only valid for a job that is not in `disclosed`.
+        users may be told now. The job must not be in `disclosed`.
         """
         return max(
             (self.expires_at[peer] - now for peer in self.unacknowledged_peers(job)), default=0.0
@@ -118,8 +117,9 @@
     def try_disclose(self, job: str, now: float) -> bool:
         """Return whether users may be told that the job is cancelled, and record the disclosure.
 
-        A disclosure stays permitted: a peer that has not acknowledged the cancellation holds no
-        valid promise, and gets no new one before it has acknowledged.
+        Once permitted, a disclosure stays permitted, because a peer that has not acknowledged the
+        cancellation holds no valid promise, and gets no new promise before it has acknowledged
+        the cancellation.
         """
         if job in self.disclosed:
             return True
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -1,4 +1,4 @@
-"""Decides whether this controller may renew workers' leases, and reports its health."""
+"""Decides whether this controller may renew workers' leases, and whether it is healthy."""
 
 from __future__ import annotations
 
@@ -42,7 +42,8 @@
     def healthy(self) -> bool:
         """Return whether users should send requests to this controller.
 
-        In an outage of the state service that affects all controllers, they should.
+        A controller that has lost the state service is still healthy if no peer reaches the
+        state service either.
         """
         now, membership = time.monotonic(), self.membership
         if not membership.records_loaded or not membership.is_member or membership.away:
@@ -57,9 +58,9 @@
     def superseded(self, now: float) -> bool:
         """Return whether a peer that reaches the state service is in a newer epoch.
 
-        A controller that alone lost the state service does not see its own removal from the
-        members in the watch. If it kept answering its workers, their new owners would never
-        receive their reports.
+        If only this controller has lost the state service, it does not learn from the watch that
+        it has been removed from the members. If it kept answering its workers, the new owners of
+        their machines would never receive their reports.
         """
         membership = self.membership
         return any(
@@ -73,9 +74,9 @@
         """Return whether workers' leases may be renewed.
 
         A controller that doesn't know of a cancellation must not keep the job's tasks alive past
-        the deadline of the cancellation. That no peer reaches the state service does not prove
-        that no cancellation was disclosed: a peer may have told a user and crashed right after.
-        Only the watermark counts.
+        the deadline of the cancellation. Therefore only the watermark decides. Even if no peer
+        reaches the state service, a peer may have told a user of a cancellation and crashed right
+        after.
         """
         if self.state_lost(now) and self.superseded(now):
             return False
--- a/clayport/leases/watermark.py
+++ b/clayport/leases/watermark.py
@@ -1,4 +1,4 @@
-"""The time up to which this controller knows every cancellation that was disclosed to users.
+"""Tracks the time up to which this controller knows all cancellations disclosed to users.
 
 The package's docstring defines promises and their purpose.
 """
@@ -18,7 +18,8 @@
 
     Attributes:
         duration_s: How long a promise is relied on.
-        records_read_at: The time as of which the records are known here at least.
+        records_read_at: All changes of the records that were committed before this time are known
+            here.
         valid_until: By peer, until when its promises are relied on.
         incarnations: By peer, the process that gave the last promise.
         promise_requested_at: By peer, when the request for its last promise was sent.
@@ -27,7 +28,7 @@
     """
 
     def __init__(self, peers: Iterable[str], duration_s: float) -> None:
-        """Start without any knowledge; `duration_s` is the promises' duration at their givers."""
+        """Start without promises or reads; a promise lasts `duration_s` on its giver's clock."""
         self.duration_s = duration_s * PROMISE_CERTAINTY
         self.records_read_at = -math.inf
         self.valid_until = dict.fromkeys(peers, -math.inf)
@@ -42,8 +43,8 @@
     def note_promise(self, peer: str, incarnation: str, sent: float, received: float) -> None:
         """Record a promise that a process of the peer gave in answer to a request.
 
-        The promise covers the time before it too if the previous promise is still valid, or if
-        the same process gave it: a process renews a promise only after the receiver has
+        The promise also covers the time before it if the previous promise is still valid or was
+        given by the same process: a process renews a promise only after the receiver has
         acknowledged all disclosed cancellations. A new process doesn't know what its predecessor
         disclosed after the last promise had expired, so then the records have to be read.
 
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -36,7 +36,7 @@
         if machine is not None and name not in rooms:
             rooms[name] = table.room(machine)
         key = (f"{job.id}/{number}", attempt)
-        # A reservation never replaces a task that is desired or reported already. Otherwise
+        # A reservation never replaces a task that is already desired or reported. Otherwise
         # dropping the reservation would settle a task whose launch may have been sent.
         fits = (
             machine is not None
@@ -106,7 +106,7 @@
         key = (task, attempt)
         desired = machine.desired.get(key)
         if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.launch_sent:
-            # No launch has been sent, so the task cannot run: it is gone without any report.
+            # No launch has been sent, so the task cannot run and is gone without a report.
             del machine.desired[key]
             table.touch(name)
             table.emit_gone(name, key)
--- a/clayport/machines/changes.py
+++ b/clayport/machines/changes.py
@@ -4,7 +4,8 @@
 
 from collections import OrderedDict
 
-# Machines no longer in the table whose removal is still known as a change.
+# The log may have this many entries more than the table has machines, so that it also covers
+# removed machines.
 MAX_TABLE_CHANGES = 1000
 
 
@@ -46,7 +47,7 @@
         self._revisions.clear()
 
     def since(self, revision: int) -> list[str] | None:
-        """Return the machines changed after a revision, the latest first; None if any may be."""
+        """Return the machines changed after a revision, latest first; None if that is unknown."""
         if revision < self.complete_since or revision > self.revision:
             return None
         found = []
--- a/clayport/machines/command_sender.py
+++ b/clayport/machines/command_sender.py
@@ -49,7 +49,7 @@
             try:
                 host, port = endpoint(address, "address")
             except ConfigError as exc:
-                log.error("machine address dropped: %s", exc)
+                log.error("malformed worker address dropped: %s", exc)
                 return None
             found = self.clients[address] = http.Client(host, port, keep=1)
             if len(self.clients) > self.max_clients:
@@ -160,7 +160,7 @@
         try:
             report = msgspec.json.decode(raw, type=WorkerHeartbeat)
         except msgspec.MsgspecError as exc:
-            log.error("machine=%s malformed answer dropped: %s", machine.name, exc)
+            log.error("machine=%s malformed answer to a command dropped: %s", machine.name, exc)
             return
         if report.machine != machine.name:
             return
--- a/clayport/machines/commands.py
+++ b/clayport/machines/commands.py
@@ -11,7 +11,7 @@
 from clayport.machines.reports import settle_launches
 from clayport.machines.table_parts import CommandTable
 
-# Commands of each kind in one request, so that a request always fits into 64 KiB.
+# The most commands of each kind in one request, so that a request always fits into 64 KiB.
 MAX_COMMANDS = 300
 
 Order = dict[str, Any]  # a command in its wire format
@@ -43,7 +43,8 @@
     queued = [key for key, desired in machine.desired.items() if desired.phase is QUEUED]
     for key in queued[:MAX_COMMANDS]:
         if table.is_cancelled(job_id(key)):
-            # The job's leader may be unavailable and unable to withdraw the launch.
+            # The task is stopped here, because the job's leader may be unavailable and unable
+            # to withdraw the launch.
             table.stop([(machine.name, *key, 0.0, False)])
             continue
         launches.append(key)
--- a/clayport/machines/event_delivery.py
+++ b/clayport/machines/event_delivery.py
@@ -17,10 +17,11 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# Events in one request to a leader.
+# The most events in one request to a leader.
 MAX_EVENTS = 500
 
-# Undelivered events for a leader by (machine, task, attempt), only the newest of each.
+# The undelivered events for a leader, by (machine, task, attempt); only the newest is kept for each
+# key.
 Outbox = OrderedDict[tuple[str, str, int], TaskEvent]
 
 
@@ -66,7 +67,7 @@
         self.outboxes: dict[str, Outbox] = {}
 
     def connect(self, *, dispatcher: EventHandler, routing: Routing) -> None:
-        """Set the parts that are built after this object."""
+        """Set the components that are built after this object."""
         self.dispatcher = dispatcher
         self.routing = routing
 
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -1,8 +1,9 @@
 """Returns silent and failed machines to the cloud, many machines in one request.
 
-With one request for each machine, the loss of 320 machines at once takes over a hundred seconds
-at the cloud's limit of three requests per second. Tasks of the last machine cannot be restarted
-before that, and no machine can be rented, because renting shares the same request limit.
+With one request for each machine, the return of 320 machines that are lost at once takes over a
+hundred seconds at the cloud's limit of three requests per second. Until then, tasks of the last
+machine cannot be restarted, and no machine can be rented, because renting shares the same request
+limit.
 """
 
 from __future__ import annotations
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -24,15 +24,15 @@
 from clayport.settings import Settings
 from clayport.transport.peers import Peer
 
-# Durations as fractions of the worker's lease. A worker whose report is not answered needs 4 s
-# to time out and another second to reach the next controller, so silence of up to 0.6 leases
-# is normal.
+# Durations as fractions of the worker's lease. If a worker's report is not answered, the worker
+# times out after 4 s and needs another second to reach the next controller, so silence of up to
+# 0.6 leases is normal.
 SILENCE_LEASE_FRACTION = 0.6
 COMMAND_LEASE_FRACTION = 0.2
 
 
 class Fleet:
-    """Builds the parts that answer, command and monitor machines, and exposes their methods.
+    """Builds the components that answer, command and monitor machines; exposes their methods.
 
     The methods are bound to attributes of this object, so that a call needs no extra step.
 
@@ -155,7 +155,7 @@
         provisioner: CloudListing,
         routing: Routing,
     ) -> None:
-        """Set the parts that are built after this object."""
+        """Set the components that are built after this object."""
         self.event_delivery.connect(dispatcher=dispatcher, routing=routing)
         self.evacuation.connect(placer=placer)
         self.silence.connect(provisioner=provisioner)
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -20,7 +20,7 @@
     """The progress of the launch of a desired task."""
 
     RESERVED = 0  # room is reserved for the task
-    QUEUED = 1  # the launch goes with the next commands
+    QUEUED = 1  # the launch is sent with the next commands
     SENT = 2  # a launch is in flight, and may or may not arrive
     LIVE = 3  # the machine has the task, or may have it; reports show which
 
@@ -99,8 +99,9 @@
         self.pending_clears: dict[TaskKey, None] = {}
         self.images: OrderedDict[str, float] = OrderedDict()
         self.idle_since = now
-        self.direct_paused_until = NEVER  # after a failed /do: use responses to reports
-        self.launches_in_response: list[TaskKey] = []  # in the response to the last report
+        # Until when commands are sent only in responses to reports, because a /do request failed.
+        self.direct_paused_until = NEVER
+        self.launches_in_response: list[TaskKey] = []  # sent in the last response to a report
         self.errors: dict[str, int] = {}  # by job, since a task last succeeded here
         self.unhealthy_checks = 0  # consecutive checks with an unhealthy result
         self.request_in_flight = False  # whether a /do request is in flight
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -12,7 +12,7 @@
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
 
-# Attempts to announce a return to a peer that does not acknowledge it.
+# The most attempts to announce a return to a peer that does not acknowledge the announcement.
 MAX_ANNOUNCEMENTS = 3
 
 
--- a/clayport/machines/report_answers.py
+++ b/clayport/machines/report_answers.py
@@ -1,4 +1,4 @@
-"""Answers workers' reports: as the owner, on behalf of another owner, or without the owner."""
+"""Answers workers' reports as the owner, by forwarding to the owner, or without the owner."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def void_token(epoch: Epoch, token: int) -> int:
-    """Return a token above all that an owner issued in an epoch, and below the next epoch's.
+    """Return a token above all tokens issued in an epoch, and below those of the next epoch.
 
     The token fences a machine whose owner has ended. During an outage of the state service no
     new epoch begins, and the other controllers keep renewing the machine's lease. Without the
@@ -123,8 +123,8 @@
     def own_report(self, report: WorkerHeartbeat, now: float) -> Answer:
         """Answer a report of a machine that this controller owns."""
         if report.machine in self.machines.gone:
-            # The report was delayed in the network. Applying it would open a returned machine
-            # for work again, until its silence is detected.
+            # The machine has been returned, and its report was delayed in the network. If the
+            # report were applied, the machine would take new tasks until its silence is detected.
             return 503, {}
         if not self.machines.accepts_token(report):
             self.membership.request_rescan()
@@ -162,7 +162,7 @@
         )
 
     async def _answer(self, report: WorkerHeartbeat, body: bytes) -> Answer:
-        """Answer a report as the owner, through the owner, or without the owner."""
+        """Answer a report as the owner, by way of the owner, or without the owner."""
         now = time.monotonic()
         epoch = self.membership.epoch
         owner = epoch.member_for(report.machine)
@@ -216,7 +216,7 @@
         """Add kills for the reported tasks of jobs that are known to be cancelled.
 
         Any controller that answers the worker adds them. The job's leader may be unavailable,
-        or the epoch cannot be loaded, and killing such a task is right under any token.
+        or unable to load the epoch, and killing such a task is right under any token.
         """
         ordered = {(order["piece"], order["try"]) for order in orders if order["verb"] == "kill"}
         orders += [
@@ -230,7 +230,7 @@
     def _known_to_be_over(self, report: WorkerHeartbeat, job: str) -> bool:
         """Return whether a job with a task on a machine is known to be over.
 
-        A job that is absent from the records is over, too, if the machine has had no commands
+        A job that is absent from the records is also over if the machine has had no commands
         of a later owner than this controller. The records were read after every launch on the
         machine, so a live job would be among them.
         """
--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -1,7 +1,8 @@
 """Applies a worker's report to the table of machines.
 
-A task counts as gone only after a report that carries the newest token, because only then can no
-older command still start it. Silence of a machine never makes a task count as gone.
+A task counts as gone only after a report that carries the newest token, because from then on the
+worker rejects older commands that could start the task. Silence of a machine never makes a task
+count as gone.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
 
 
 def emit_status(table: StatusTable, machine: Machine, key: TaskKey, status: TaskStatus) -> None:
-    """Send a task's status to its leader, and update the machine's errors by it."""
+    """Send a task's status to its leader, and count or reset the machine's errors."""
     machine.emitted[key] = status
     job = job_id(key)
     if status.cause == "error":
@@ -86,7 +87,7 @@
 
 
 def settle_launches(machine: Machine, launches: list[TaskKey]) -> None:
-    """Queue launches again that are not known to have arrived.
+    """Queue again the launches that are not known to have arrived.
 
     A worker has one report in flight. A task launched by the response to one report is listed
     in the next report, unless that response was lost.
@@ -172,7 +173,7 @@
 
 
 def _emit_missing(table: ReportTable, machine: Machine) -> None:
-    """Emit as gone the desired tasks that a report under the current token does not list."""
+    """Emit that desired tasks are gone if a report under the current token omits them."""
     for key, desired in machine.desired.items():
         if desired.phase is LIVE and key not in machine.reported_tasks:
             emitted = machine.emitted.get(key)
@@ -181,7 +182,7 @@
 
 
 def _note_change(table: ReportTable, machine: Machine, now: float) -> None:
-    """Record a change of the room; `idle_since` moves unless only backfill work is there."""
+    """Record a change of the room; set `idle_since` unless only backfill tasks are left."""
     table.touch(machine.name)
     for key in (*machine.desired, *machine.occupying()):
         job = table.job_of(job_id(key))
--- a/clayport/machines/room.py
+++ b/clayport/machines/room.py
@@ -16,7 +16,7 @@
     accepts_work: bool,
     job_of: Callable[[str], Job | None],
 ) -> tuple[Room, bool]:
-    """Build the free room of a machine; all desired or reported tasks take room.
+    """Build the free room of a machine, from which all desired and reported tasks take room.
 
     Args:
         machine: The machine.
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -93,7 +93,7 @@
         self.provisioner = provisioner
 
     async def watch_silence(self) -> None:
-        """Fence silent machines, because only that shows whether their tasks can still run."""
+        """Fence silent machines, because only a fence ensures that their tasks cannot run."""
         while True:
             await curio.sleep(self.workers.report_s)
             now = time.monotonic()
@@ -101,7 +101,7 @@
                 continue
             self.machines.expire(now)
             if self.membership.away or self.renewal.state_lost(now):
-                continue  # possibly evicted from the epoch: see `Provisioner.run`
+                continue  # a newer epoch may exclude this controller: see `Provisioner.run`
             owned = list(self.machines.machines.values())
             self._evacuate_unhealthy(owned)
             self._fence_silent(owned, now)
@@ -109,7 +109,7 @@
     def _evacuate_unhealthy(self, owned: list[Machine]) -> None:
         """Start moving replicas off machines that stay unhealthy."""
         for machine in owned:
-            # Several checks are required, because the failed job may yet prove to be at fault.
+            # Several checks are required, because the failed job may still turn out to be at fault.
             unhealthy = self.machines.is_unhealthy(machine)
             machine.unhealthy_checks = machine.unhealthy_checks + 1 if unhealthy else 0
             if machine.unhealthy_checks >= UNHEALTHY_CHECKS and machine.known:
@@ -183,7 +183,7 @@
         )
 
     def _lease_long_expired(self, machine: Machine) -> bool:
-        """Return whether a machine answers commands, but its lease expired long ago."""
+        """Return whether a machine answers commands although its lease expired long ago."""
         return machine.lease_expired and (
             time.monotonic() - machine.reported_at > self.workers.cancel_s / 2
         )
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -31,7 +31,8 @@
 
 Key = TaskKey
 
-# Returned machines that are kept, so that a late report of one does not add it again.
+# The most names of returned machines that are kept, so that a late report does not add the machine
+# again.
 MAX_GONE_MACHINES = 5000
 
 
@@ -159,8 +160,8 @@
     def accepts_token(self, report: WorkerHeartbeat) -> bool:
         """Return whether the report's token is not one of a later epoch.
 
-        A peer may have issued a higher token of the current epoch, because it took this
-        controller for ended.
+        A higher token of the current epoch is accepted, because a peer that considered this
+        controller ended may have issued it.
         """
         assert self.epoch is not None
         return report.token >> TOKEN_COUNTER_BITS <= self.epoch.number
@@ -298,8 +299,8 @@
     def drain(self, name: str) -> bool:
         """Close an idle machine permanently; return False if a task is or may be on it.
 
-        Backfill tasks, those without an objective, must not keep a machine rented. The ones
-        that can save a checkpoint are stopped and continue on another machine.
+        Backfill tasks (tasks without an objective) must not keep a machine rented. Those that
+        can save a checkpoint are stopped and continue on another machine.
         """
         machine = self.machines.get(name)
         return machine is None or eviction.drain(self, machine)
@@ -319,7 +320,7 @@
         commands.note_answered(machine, orders, launches)
 
     def unanswered(self, machine: Machine, launches: list[TaskKey], sent: bool, now: float) -> None:
-        """Record that no answer came; `sent` tells whether the commands may still arrive."""
+        """Record that the worker did not answer; if `sent`, the commands may still arrive."""
         commands.note_unanswered(machine, launches, sent, now + self.direct_pause_s)
 
     # -- room ------------------------------------------------------------
@@ -336,12 +337,13 @@
         )
 
     def room(self, machine: Machine, owner: str = "", now: float | None = None) -> Room:
-        """Return the machine's free room; all desired or reported tasks take room.
+        """Return the machine's free room, from which all desired and reported tasks take room.
 
         Args:
             machine: The machine.
             owner: The label of the owner to set in the room.
-            now: The current time, for the job that the room is held for; None leaves it out.
+            now: The current time, which decides whether the room is still held for a job; None
+                if the result need not name that job.
 
         Returns:
             A copy that the caller may modify.
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -116,7 +116,7 @@
         if self.rebuild.recovery is not None and not self.rebuild.recovery.history.check_prefix(
             "run/", [entry.key for entry in entries]
         ):
-            return  # records are missing: the rebuild restores them
+            return  # records are missing, and the rebuild restores them
         loaded = self._parse_chunks(entries, epoch)
         ended = await self._ended_jobs(loaded.chunks)
         if self.membership.epoch is not epoch or self.rebuild.in_doubt:
@@ -156,7 +156,7 @@
         return loaded
 
     async def _ended_jobs(self, chunks: dict[str, Chunks]) -> dict[str, EndedJob]:
-        """Return the jobs that have ended and still have chunks.
+        """Return the jobs among `chunks` that have ended.
 
         Raises:
             UnavailableError: The state service does not answer.
@@ -179,7 +179,7 @@
         Args:
             job: The job's description.
             rev: The revision of the job's live record, or 0 if there is none.
-            chunks: The job's chunks as read.
+            chunks: The job's chunks as recorded.
             ended: The status in the job's final record, or "" if the job has not ended.
         """
         cluster = self.settings.cluster
--- a/clayport/membership/flap_damping.py
+++ b/clayport/membership/flap_damping.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Mapping
 
-# Restarts within the window after which a controller rejoins at once, as in a rolling upgrade.
+# The most restarts within the window after which a controller still rejoins at once, for
+# example in a rolling upgrade.
 RESTARTS_WITHOUT_PAUSE = 2
 
 
@@ -34,7 +35,7 @@
         self.paused_until: dict[str, float] = {}
 
     def observe(self, present: Mapping[str, str], now: float) -> list[str]:
-        """Record the incarnations of those present; return the controllers excluded from now on."""
+        """Record the controllers present; return those that are excluded from now on."""
         excluded = []
         for label, incarnation in present.items():
             previous = self.last_incarnations.get(label)
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -31,8 +31,9 @@
 
 # Heartbeats during one TTL of a controller's lease.
 HEARTBEATS_PER_LEASE = 4
-# The silence after which a peer counts as unreachable, and the age of this process up to which it
-# never leaves the members on account of unreachable peers, in TTLs of a controller's lease.
+# A peer that is silent for `ISOLATION_LEASES` counts as unreachable. A process younger than
+# `STARTUP_LEASES` never leaves the members because of unreachable peers. Both are in TTLs of a
+# controller's lease.
 ISOLATION_LEASES = 1.5
 STARTUP_LEASES = 2
 
--- a/clayport/membership/isolation.py
+++ b/clayport/membership/isolation.py
@@ -13,7 +13,7 @@
 
     The key of a crashed peer expires with its lease. If most of the peers whose keys remain are
     silent, this controller is the one that is cut off. Of two controllers that cannot reach each
-    other, the one whose label sorts first stays a member, so that exactly one of them does.
+    other, the one whose label sorts first stays a member, so that exactly one of them leaves.
 
     Args:
         now: The time in seconds, on the clock of `heard_at`.
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -29,13 +29,13 @@
 
 log = logging.getLogger(__name__)
 
-# During one TTL of this controller's lease: renewals, retries after an error, and checks whether
-# an epoch must be proposed.
+# How often, during one TTL of this controller's lease, the lease is renewed, a failed request is
+# retried, and this controller checks whether an epoch must be proposed.
 RENEWALS_PER_LEASE = 3
 RETRIES_PER_LEASE = 8
 CHECKS_PER_LEASE = 2
-# How many pauses fit into one TTL: the pause before a proposal and after a conflict, and the pause
-# after a proposal that the state service did not answer.
+# Two pauses as fractions of the TTL, each given by its divisor: the pause before a proposal and
+# after a conflict, and the pause after a proposal that the state service did not answer.
 PROPOSAL_PAUSES_PER_LEASE = 20
 UNANSWERED_PAUSES_PER_LEASE = 10
 # The shortest pause between two attempts to obtain or renew the lease, in seconds.
@@ -107,7 +107,7 @@
         log.info("event=stepped-aside lease=%d", lease)
 
     async def _register(self, lease: int) -> None:
-        """Write this controller's key under `lease`, and its version record if that is outdated.
+        """Write this controller's key under `lease`, and its version record if it is outdated.
 
         Both are written in one transaction, so that the epoch that admits this controller is later
         than its version record. The version record must not be written a second time: controllers
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -1,4 +1,4 @@
-"""Stall detection: finds out that this process did not run for a while."""
+"""Detects stalls, which are times in which this process did not run."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 log = logging.getLogger(__name__)
 
-# The pause between two checks, and the least delay that counts as a stall, in the interval of the
-# workers' reports.
+# The pause between two checks, and the least delay that counts as a stall, as multiples of the
+# workers' report interval.
 CHECK_INTERVALS = 0.25
 STALL_INTERVALS = 1.5
 
@@ -35,7 +35,7 @@
 
 
 class StallDetector:
-    """Detects stalls, and whether the records have been read again since the last one.
+    """Detects stalls, and tracks whether the records have been read since the last stall.
 
     After a stall, all peers and machines look silent or late, and the other controllers may have
     removed this one. So no decision is based on elapsed time until the records have been read
@@ -44,9 +44,9 @@
     Attributes:
         count: The number of stalls so far.
         confirmed_count: The value of `count` when the latest complete read of the records began.
-        timer_delay_s: How late the latest timer fired, in seconds. A task that is ready now waits
-            about as long for the processor. The value is at most the least delay that counts as
-            a stall, because the length of a stall does not predict later delays.
+        timer_delay_s: How late the latest timer fired, in seconds. A routine that is ready now
+            waits about as long for the processor. The value is at most the least delay that counts
+            as a stall, because the length of a stall does not predict later delays.
     """
 
     def __init__(
--- a/clayport/membership/state.py
+++ b/clayport/membership/state.py
@@ -6,7 +6,9 @@
 
 
 class MembershipState:
-    """Holds the current epoch, the controllers present and whether this process serves. No I/O.
+    """Holds the current epoch, the present controllers and whether this process serves.
+
+    Its methods do no I/O.
 
     Attributes:
         label: This controller's name in the settings.
--- a/clayport/records/chunk.py
+++ b/clayport/records/chunk.py
@@ -7,7 +7,7 @@
 # The longest JSON text of one assignment, and of one run of done tasks, in bytes.
 ASSIGNED_BYTES = 36
 DONE_RUN_BYTES = 14
-# The total size of a transaction's values, in bytes. A transaction may have 64 KiB in all.
+# The most bytes that the values of a transaction take. The whole transaction may have 64 KiB.
 TXN_BYTES = 50_000
 # The longest JSON text of one task in a chunk, in bytes: an assignment such as
 # `[99999,4294967296,"i-0000000000"],` and, in the worst case, a separate run in the done list.
--- a/clayport/records/lookups.py
+++ b/clayport/records/lookups.py
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     from clayport.records.store import StateStore
 
-# The pause between two batches, in requests at this controller's rate. The batches take at most a
-# fifth of the controller's requests.
+# The pause between two batches lasts as long as this many requests at this controller's rate, so
+# that the batches take at most a fifth of the controller's requests.
 PAUSE_REQUESTS = 5.0
 
 
--- a/clayport/records/messages.py
+++ b/clayport/records/messages.py
@@ -47,7 +47,7 @@
 
 
 class WatchAnswer(msgspec.Struct):
-    """The changes since a revision, and the revision to watch from next."""
+    """The changes after a revision, and the revision from which the next watch starts."""
 
     rev: int = msgspec.field(name="store_rev")
     events: list[Change] = msgspec.field(name="log", default_factory=list)
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -40,13 +40,14 @@
 RETRY_RATE_SHARE = 0.2
 # The first pause before a retry, as a share of the request timeout. The longest is the timeout.
 FIRST_RETRY_PAUSE_SHARE = 1 / 8
-# The limit of requests in flight: at first the number of requests sent in these seconds at the full
-# rate, at most the number sent in one second, and never below the minimum that keeps work moving.
+# The limit of requests in flight starts at the number of requests that the full rate allows in
+# `INITIAL_IN_FLIGHT_S`. It is at most the number for one second, or twice `MIN_IN_FLIGHT` if that
+# is more. It never falls below `MIN_IN_FLIGHT`, so that work always continues.
 INITIAL_IN_FLIGHT_S = 0.05
 MIN_IN_FLIGHT = 4
 # Keep-alive connections for requests. Each of the two watches has a separate connection.
 KEPT_CONNECTIONS = 8
-# At the start, the service counts as having last answered this long ago.
+# When this process starts, the service is taken to have last answered this many seconds ago.
 INITIAL_SILENCE_S = 3600.0
 
 RECORDS_IN_DOUBT = "the records are in doubt"
@@ -146,7 +147,7 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the service served the request whose outcome is the latest known."""
+        """Whether no failure is more recent than the last request that the service served."""
         return self.last_served_at >= self.last_failed_at
 
     def set_rates(self, rps: float, write_rps: float) -> None:
@@ -155,7 +156,7 @@
         self.shared_by(self.controllers)
 
     def shared_by(self, controllers: int) -> None:
-        """Divide the service's rates by this number: 1 during a rebuild, when the others wait."""
+        """Divide the service's rates by the number of active controllers (1 during a rebuild)."""
         self.requests.rate, self.changes.rate = (
             r * RATE_SHARE / controllers for r in self.service_rates
         )
@@ -212,8 +213,8 @@
         if writes:
             wait = max(wait, self.changes.delay(writes, now, priority_s))
         if wait > 0 and not deadline.allows(now, wait):
-            # The client will have given up by then. Refusing the request now keeps the queue
-            # from growing without bound when clients retry.
+            # The caller will have given up before the turn comes. Refusing the request now keeps
+            # the queue from growing without bound when callers retry.
             self.requests.refund(1)
             self.changes.refund(writes)
             raise UnavailableError("too much is asked", wait)
@@ -286,7 +287,7 @@
             raise OutcomeUnknownError(RECORDS_IN_DOUBT)
 
     async def _note_failure(self) -> None:
-        """Record a failure, after which the service may come back with lost commits."""
+        """Record a failure; the service may have lost commits when it answers again."""
         self.last_failed_at = time.monotonic()
         if self.history is not None:
             self.history.needs_check_in = True
--- a/clayport/records/progress.py
+++ b/clayport/records/progress.py
@@ -1,4 +1,4 @@
-"""How far this controller has read the records: up to which time and which revision."""
+"""Tracks the time and the revision up to which this controller has read the records."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ReadProgress:
-    """Tracks how far the records under `c/` have been read. No I/O.
+    """Tracks how far the records under `c/` have been read; does no I/O.
 
     A job whose live record has been deleted holds the progress back until the job's final record
     has been read.
@@ -43,5 +43,5 @@
         self.unresolved_ends.setdefault(job, (self.watermark.records_read_at, self.known_rev))
 
     def note_resolved(self, job: str) -> None:
-        """Record that a job's final record has been read, or is no longer looked for."""
+        """Record that a job's final record has been read or is no longer searched for."""
         self.unresolved_ends.pop(job, None)
--- a/clayport/records/rate_limit.py
+++ b/clayport/records/rate_limit.py
@@ -1,14 +1,16 @@
-"""Rate limits, and the priorities of requests. Pure: no I/O, no clock."""
+"""Rate limits and the priorities of requests, without I/O or access to a clock."""
 
 from __future__ import annotations
 
 # Priorities are given in seconds: a request with priority p is sent up to p seconds before its turn
 # under the rate limit, and precedes requests of lower priority at the gate for requests in flight.
-# Submissions, and outcomes that users wait for. The service allows bursts of one second's requests.
+# The priority of submissions, and of outcomes that users wait for. Requests may be sent ahead of
+# their turn because the service allows bursts of one second's requests.
 URGENT_PRIORITY_S = 0.5
-# Cancellations, which have a separate limit.
+# The priority of cancellations, which have a separate limit.
 CANCEL_PRIORITY_S = 1.0
-# Requests that maintain this controller's lease and the epoch. They also bypass the gate.
+# The priority of requests that maintain this controller's lease and the epoch. These requests also
+# bypass the gate.
 LEASE_PRIORITY_S = 5.0
 
 
@@ -16,7 +18,7 @@
     """A token bucket for this controller's share of a rate limit, with one second's capacity.
 
     Pacing requests with the bucket keeps the service from answering 429. The level may fall below
-    zero; the deficit is what the waiting requests have taken in advance.
+    zero. The deficit is the tokens that waiting requests have taken in advance.
 
     Attributes:
         rate: Tokens that are added each second, and the capacity of the bucket.
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -1,6 +1,6 @@
 """The client of the state service, the consensus-backed key-value store that holds all records.
 
-The client makes no decisions: it passes outcomes on as results or as errors of `records.errors`.
+The client only passes outcomes on, as results or as errors of `records.errors`.
 `records.paced_client` paces and sends the requests.
 """
 
@@ -202,8 +202,8 @@
             UnavailableError: The request was refused.
             OutcomeUnknownError: There was no answer.
         """
-        # Renewals precede users' reads, because a controller under many reads would otherwise
-        # lose its lease.
+        # Renewals precede users' reads, because a controller with many reads to send would
+        # otherwise lose its lease.
         status, _ = await self.call(
             "POST", f"/leases/{lease}/touch", {}, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True
         )
@@ -218,8 +218,8 @@
         connection of the recorder.
 
         Returns:
-            The changes, none if there were none within `wait_s`, and the revision to watch from
-            next.
+            The changes (empty if there were none within `wait_s`), and the revision from which to
+            watch next.
 
         Raises:
             CompactedError: The changes after `since` have been compacted.
@@ -243,7 +243,7 @@
     async def _read(
         self, path: str, deadline: Deadline | None = None, allow_in_doubt: bool = False
     ) -> tuple[int, bytes]:
-        """Send a read request and retry it once without an answer; return status and payload."""
+        """Send a read request, and once more if unanswered; return status and payload."""
         try:
             return await self.call(
                 "GET",
--- a/clayport/records/upgrade.py
+++ b/clayport/records/upgrade.py
@@ -15,8 +15,8 @@
         complete: Whether every controller in the settings understands the current format.
         promises_enabled: Whether every controller supports promises on cancellations.
         limits: The limits of the state service that this controller observes now.
-        chunk_size: The number of tasks in a chunk once all controllers observe the lower of the
-            present and the announced limits.
+        chunk_size: The number of tasks in a chunk that fits the lower of the present and the
+            announced limits; used once `complete` is set.
     """
 
     def __init__(self, limits: StateSettings) -> None:
--- a/clayport/records/values.py
+++ b/clayport/records/values.py
@@ -48,7 +48,7 @@
     """
     status = value["s"]
     if status not in END_STATUSES:
-        raise ValueError(f"status {status!r}")
+        raise ValueError(f"unknown status {status!r} in a final record")
     return status, float(value["t"]) if "t" in value else None
 
 
--- a/clayport/records/versions.py
+++ b/clayport/records/versions.py
@@ -23,11 +23,11 @@
 
     Args:
         jobs: The managed jobs, whose routines are woken once the upgrade is complete.
-        lookups: Its batch size follows the limits of the state service.
+        lookups: The lookups, whose batch size follows the limits of the state service.
         membership: The current epoch.
         routines: The signals of this process.
         settings: The labels of all controllers, and the limits of the state service.
-        store: Its request rates follow the limits of the state service.
+        store: The client, whose request rates follow the limits of the state service.
         upgrade: The state that is updated.
     """
 
