--- a/clayport/machines/commands.py
+++ b/clayport/machines/commands.py
@@ -77,8 +77,7 @@
         machine: The machine.
         launches: The tasks whose launches were in the request.
         sent: Whether any part of the request may have been sent.
-        paused_until: The end of the time in which commands go into the responses to reports
-            instead.
+        paused_until: Until when commands are sent only in the responses to reports.
     """
     settle_launches(machine, launches)
     if sent:
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -8,8 +8,8 @@
 
 from clayport.scheduling.room import Room
 
-# A task's id and the number of the attempt. A plain tuple is cheap: each report makes one for
-# every task that it lists.
+# A task's id and the number of the attempt. It is a plain tuple, because each report creates
+# one for every task that it lists.
 TaskKey: TypeAlias = tuple[str, int]
 
 # A time before every other, in seconds of the monotonic clock.
@@ -25,7 +25,7 @@
     LIVE = 3  # the machine has the task, or may have it; reports show which
 
 
-# Bound once, because access to an enum member needs a function call in Python 3.11.
+# Names for the members, because access to an enum member needs a function call in Python 3.11.
 RESERVED, QUEUED, SENT, LIVE = Phase
 
 
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -191,9 +191,9 @@
     async def _is_reachable(self, name: str, address: str, members: Container[str]) -> bool:
         """Return whether the worker answers this controller or a peer.
 
-        Both requests are sent at the same time. Sent one after the other, they would delay the
-        return of a failed machine beyond its lease, and its replicas would be missing for
-        longer.
+        Both requests are sent at the same time. If they were sent one after the other, the return
+        of a failed machine would be delayed beyond its lease, and its replicas would be missing
+        for longer.
         """
         async with curio.TaskGroup(wait=all) as group:
             found = [
--- a/clayport/membership/epoch.py
+++ b/clayport/membership/epoch.py
@@ -65,8 +65,8 @@
         Returns:
             The member's label, or "" if the epoch has no members.
         """
-        # Cached, because every worker report looks its machine up. Users may ask for jobs that
-        # do not exist, so the cache is bounded: it is cleared when it is full.
+        # The member is cached, because every worker report looks its machine up. The cache is
+        # cleared when it is full, because users may ask for any number of jobs that do not exist.
         member = self._member_by_key.get(key)
         if member is None:
             if len(self._member_by_key) >= MAX_CACHED_KEYS:
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -124,8 +124,8 @@
         node_key = NODE_PREFIX + self.membership.label
         node_rev = self.membership.present_revs.get(self.membership.label, 0)
         while True:
-            # Conditional on the known revision of the key: otherwise a delayed write of a process
-            # that has ended could overwrite the key of its successor.
+            # The write is conditional on the known revision of the key. Otherwise a delayed write
+            # of a process that has ended could overwrite the key of its successor.
             txn = (
                 Txn()
                 .require(node_key, node_rev)
--- a/clayport/records/chunk.py
+++ b/clayport/records/chunk.py
@@ -15,7 +15,8 @@
 # The share of the value size limit that a full chunk may take.
 VALUE_SHARE = 0.9
 
-# A task's attempt number and machine. A plain tuple, because one is created for every started task.
+# A task's attempt number and machine. It is a plain tuple, because one is created for every started
+# task.
 Assignment: TypeAlias = tuple[int, str]
 
 
--- a/clayport/records/formats.py
+++ b/clayport/records/formats.py
@@ -1,11 +1,11 @@
-"""Format numbers of records and frames. Each controller records the newest it understands."""
+"""Format numbers of records and frames; a controller records the newest that it understands."""
 
 from __future__ import annotations
 
-# Format 2: job dependencies (`prereqs`), times in records, chunk sizes in chunk keys.
+# Format 2 adds job dependencies (`prereqs`), times in records and chunk sizes in chunk keys.
 FORMAT = 2
-# Format 3: histories of the records, used if rebuilding is enabled.
-# Format 4: promises on cancellations. Format 5: both.
+# Format 3 adds histories of the records, which are used if rebuilding is enabled. Format 4 adds
+# promises on cancellations instead, and format 5 adds both.
 PROMISES_FORMAT = 4
 
 
--- a/clayport/records/keys.py
+++ b/clayport/records/keys.py
@@ -48,7 +48,8 @@
         job: The job's identifier.
         index: The chunk's index within the job, from 0.
         size: The number of tasks in a chunk; 0 if it is the number that the first versions of
-            the software derive from `value_kb`. They write and expect the short form.
+            the software derive from `value_kb`. These versions write and expect the short
+            form without a size.
     """
     return f"run/{job}/{size}.{index:05d}" if size else f"run/{job}/{index:05d}"
 
