--- a/clayport/records/chunk.py
+++ b/clayport/records/chunk.py
@@ -7,7 +7,7 @@
 # The longest JSON text of one assignment, and of one run of done tasks, in bytes.
 ASSIGNED_BYTES = 36
 DONE_RUN_BYTES = 14
-# The total size of a transaction's values, in bytes. A transaction may have 64 KiB in all.
+# The most bytes that the values of a transaction take. The whole transaction may have 64 KiB.
 TXN_BYTES = 50_000
 # The longest JSON text of one task in a chunk, in bytes: an assignment such as
 # `[99999,4294967296,"i-0000000000"],` and, in the worst case, a separate run in the done list.
@@ -15,7 +15,8 @@
 # The share of the value size limit that a full chunk may take.
 VALUE_SHARE = 0.9
 
-# A task's attempt number and machine. A plain tuple, because one is created for every started task.
+# A task's attempt number and machine. It is a plain tuple, because one is created for every started
+# task.
 Assignment: TypeAlias = tuple[int, str]
 
 
