--- a/bench/capacity/fixtures.py
+++ b/bench/capacity/fixtures.py
@@ -21,7 +21,7 @@
     """
     controller = passes.build_controller()
     controller.membership.serving = controller.membership.records_loaded = True
-    controller.watermark.known_until = time.monotonic  # type: ignore[method-assign]
+    controller.watermark.disclosures_known_until = time.monotonic  # type: ignore[method-assign]
     return controller
 
 
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -172,7 +172,7 @@
         watermark.note_records_read(2.0)
         figures[f"may_renew.{controllers}_controllers.seconds"] = repeat(
             lambda watermark=watermark: processor_seconds(
-                lambda: [watermark.known_until() for _ in range(3000)], 3000
+                lambda: [watermark.disclosures_known_until() for _ in range(3000)], 3000
             )
         )
     return figures
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -86,9 +86,9 @@
     controller.placer._pass(time.monotonic())
     elapsed = clock() - started
     for managed in controller.jobs.managed.values():
-        if managed.starts:
+        if managed.placed_starts:
             controller.queue.touch(managed.job.id)
-        managed.starts.clear()
+        managed.placed_starts.clear()
         managed.being_placed.clear()
         managed.requeued.clear()
         managed.cursor = 0
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -448,7 +448,7 @@
         """Give parts that were built early the parts that were built after them."""
         self.stalls.connect(provisioner=self.provisioner)
         self.fleet.connect(
-            dispatcher=self.task_events,
+            event_handler=self.task_events,
             placer=self.placer,
             provisioner=self.provisioner,
             routing=self.routing,
@@ -472,7 +472,7 @@
             self.record_replica.follow,
             self.registration.maintain_lease,
             self.registration.propose_epochs,
-            self.prerequisites.keep_prereqs,
+            self.prerequisites.run_lookups,
             self.catalogue.keep_current,
             self.cached_state.refresh,
             self.placer.place_all,
@@ -503,7 +503,7 @@
             for peer in self.peers.values():
                 await group.spawn(duty, self.heartbeats.exchange_heartbeats, peer)
             for label in settings.labels:
-                await group.spawn(duty, self.fleet.tell, label)
+                await group.spawn(duty, self.fleet.deliver_events, label)
             for routine in self.duties():
                 await group.spawn(duty, routine)
             log.info(
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -89,7 +89,7 @@
         self.view = view
 
     @property
-    def start_chunks(self) -> int:
+    def max_start_chunks(self) -> int:
         """The most chunks that a transaction of starts may change beside the quota's record."""
         ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(3, ops - 1))
@@ -104,7 +104,7 @@
         ops = self.upgrade.limits.txn_ops
         return max(ops - 4, min(2, ops - 3))
 
-    async def drive(self, managed: ManagedJob) -> None:
+    async def run_job(self, managed: ManagedJob) -> None:
         """Lead one job until the current epoch ends."""
         # The signal's name contains the epoch, because the routine of an earlier epoch may still
         # be running. With a shared name it could consume this routine's signals or remove its
@@ -179,7 +179,7 @@
         if not managed.ended and managed.job.id in self.jobs.dependencies.to_cancel:
             await self.records.cancel_for_prerequisite(managed)
             return True
-        if managed.starts:
+        if managed.placed_starts:
             await self._start_placed(managed)
             return True
         now = time.monotonic()
@@ -195,7 +195,7 @@
 
     async def _start_placed(self, managed: ManagedJob) -> None:
         """Start the tasks that the placer has chosen machines for, and requeue the others."""
-        starts, managed.starts = managed.starts, []
+        starts, managed.placed_starts = managed.placed_starts, []
         try:
             await self._start(managed, starts)
         finally:
@@ -373,7 +373,7 @@
         )
         self.routines.signal("place")
 
-    def counts(self, job: str) -> tuple[int, int] | None:
+    def task_counts(self, job: str) -> tuple[int, int] | None:
         """Return how many tasks of a job are done and running.
 
         None means that this controller doesn't lead the job. A service never has done tasks.
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -50,7 +50,7 @@
 class JobListener(Protocol):
     """Is informed of accepted jobs, because the placement policy depends on them."""
 
-    def learn(self, job: Job) -> None:
+    def note_accepted(self, job: Job) -> None:
         """Note that a job has been accepted."""
         ...
 
@@ -115,7 +115,7 @@
         self.failover = failover
         self.placer = placer
 
-    def since(self, at: float | None) -> float:
+    def to_monotonic(self, at: float | None) -> float:
         """Convert a recorded wall-clock time to this process's monotonic clock.
 
         The nodes' clocks differ by up to the bound in the settings, so a time within that bound
@@ -149,7 +149,7 @@
             self.jobs.dependencies.effective_job(job.id, self.objectives.finish_limits),
             rev,
         )
-        self.placer.learn(self.jobs.live[job.id][0])
+        self.placer.note_accepted(self.jobs.live[job.id][0])
         self._update_urgency(changed)
         if self.jobs.dependencies.is_waiting(job.id):
             self.routines.signal("prereqs")
@@ -209,13 +209,13 @@
         except (ConflictError, UnavailableError, OutcomeUnknownError):
             pass  # the example is only a hint for placement
 
-    def note_gone(self, job: str) -> None:
+    def handle_live_record_deleted(self, job: str) -> None:
         """Start to read how a job ended, because its live record has been deleted."""
         if job in self.jobs.live and job not in self.jobs.ended:
             self.progress.note_unresolved(job)
-            self.routines.spawn(self.learn(job))
+            self.routines.spawn(self.read_end(job))
 
-    async def learn(self, job: str) -> None:
+    async def read_end(self, job: str) -> None:
         """Read the final record of a job whose live record has been deleted."""
         try:
             await self._read_end(job)
@@ -272,11 +272,11 @@
         """
         if status == "cancelled":
             self.promises.note_end(job, rev)
-        self.update_dependents(job, status, self.since(at))
+        self.update_dependents(job, status, self.to_monotonic(at))
         self.jobs.ended[job] = status
         while len(self.jobs.ended) > MAX_ENDED_JOBS:
             self.jobs.ended.popitem(last=False)
-        self.machines.ended(job, status)
+        self.machines.job_ended(job, status)
         known = self.jobs.live.pop(job, None)
         managed = self.jobs.managed.get(job)
         if known is not None:
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -76,7 +76,7 @@
         self.cursor = 0
         self.requeued: deque[int] = deque()
         self.being_placed: set[int] = set()
-        self.starts: list[tuple[int, str]] = []  # placed, but not reserved and committed yet
+        self.placed_starts: list[tuple[int, str]] = []  # placed, but not reserved and committed yet
         self.waiting_since = now  # when the job began to wait
         self.not_before = 0.0  # the earliest time of the next placement
         self.next_preempt_at = 0.0  # the earliest time of the next preemption
@@ -94,12 +94,12 @@
 
         self.errors: dict[str, int] = {}  # failures by machine, the latest last
         self.has_completed_task = False
-        self.suspected = False  # whether it was found at fault under an earlier epoch
+        self.found_at_fault_before = False  # whether it was found at fault under an earlier epoch
         self.failed_retries = 0  # failed retries since it was found at fault
         self.pause_s, self.max_pause_s = pause_s, max_pause_s
 
     @property
-    def group(self) -> tuple[Any, ...]:
+    def placement_key(self) -> tuple[Any, ...]:
         """A key that is equal for jobs with the same placement requirements.
 
         If one job finds no room, no other job with an equal key does. A job whose placement
@@ -312,7 +312,7 @@
         tasks, and has completed no task.
         """
         return not self.has_completed_task and (
-            self.suspected
+            self.found_at_fault_before
             or (len(self.errors) >= FAULT_MACHINES and sum(self.errors.values()) > self.running)
         )
 
@@ -334,7 +334,7 @@
             return Verdict.MACHINE_AT_FAULT
         return Verdict.OK
 
-    def avoided(self) -> Collection[str]:
+    def avoided_machines(self) -> Collection[str]:
         """Return the machines that the job is not placed on, because it failed there.
 
         If the job is at fault itself, this is only the machine of its last failure.
--- a/clayport/jobs/owner_requests.py
+++ b/clayport/jobs/owner_requests.py
@@ -130,7 +130,7 @@
         if owner == self.membership.label:
             answers = self.machines.launch(items)
             for machine in dict.fromkeys(item[0] for item in items):
-                self.fleet.poke(machine)
+                self.fleet.send_queued_commands(machine)
             return answers
         try:
             ok, rows = await self.peers[owner].call(
@@ -152,7 +152,7 @@
             if owner == self.membership.label:
                 self.machines.stop(part)
                 for machine in dict.fromkeys(item[0] for item in part):
-                    self.fleet.poke(machine)
+                    self.fleet.send_queued_commands(machine)
                 continue
             try:
                 await self.peers[owner].call(frames.STOP, (self.membership.epoch.number, part))
--- a/clayport/jobs/prerequisite_check.py
+++ b/clayport/jobs/prerequisite_check.py
@@ -22,7 +22,7 @@
         self.store = store
         self.upgrade = upgrade
 
-    async def find_fault(self, names: Sequence[str], deadline: Deadline) -> str:
+    async def find_rejection_reason(self, names: Sequence[str], deadline: Deadline) -> str:
         """Return why a job can't wait for the jobs `names`; empty if it can.
 
         The state service is asked about jobs that are not known here, because another controller
--- a/clayport/jobs/prerequisites.py
+++ b/clayport/jobs/prerequisites.py
@@ -43,7 +43,7 @@
         self.routines = routines
         self.store = store
 
-    async def keep_prereqs(self) -> None:
+    async def run_lookups(self) -> None:
         """Look up prerequisites for as long as the process runs.
 
         An unknown prerequisite is looked up as soon as a job names it, and periodically.
@@ -90,7 +90,7 @@
                     and known[1]
                     and not await self.lookups.unchanged(live_key(name), known[1])
                 ):
-                    self.lifecycle.note_gone(name)
+                    self.lifecycle.handle_live_record_deleted(name)
             except UnavailableError:
                 break
 
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -128,7 +128,7 @@
             known = self.jobs.live.get(job)
             done = known[0].tasks if status == "done" and known else 0
             return {**await self.describe_end(job, status, deadline), "done": done, "running": 0}
-        counts = self.dispatcher.counts(job)
+        counts = self.dispatcher.task_counts(job)
         leader = self.membership.epoch.member_for(job)
         if counts is None and leader in self.peers and self.membership.is_member:
             counts = await self._ask_counts(self.peers[leader], job)
@@ -162,5 +162,5 @@
             UnavailableError: The job is cancelled, and users may not be told before the deadline.
         """
         if status == "cancelled":
-            await self.disclosure.announced(job, deadline)
+            await self.disclosure.wait_until_disclosable(job, deadline)
         return {"id": job, "status": status}
--- a/clayport/jobs/task_events.py
+++ b/clayport/jobs/task_events.py
@@ -23,7 +23,7 @@
         self.queue = queue
         self.routines = routines
 
-    def told(self, events: Iterable[EventRow]) -> list[Verdict]:
+    def handle_task_events(self, events: Iterable[EventRow]) -> list[Verdict]:
         """Apply an owner's events in order, and return a verdict for each."""
         verdicts = []
         now = time.monotonic()
--- a/clayport/leases/disclosure.py
+++ b/clayport/leases/disclosure.py
@@ -45,7 +45,7 @@
         # The notifications in flight: (peer's label, job). The dict serves as an ordered set.
         self.in_flight: dict[tuple[str, str], None] = {}
 
-    async def announced(self, job: str, deadline: Deadline) -> None:
+    async def wait_until_disclosable(self, job: str, deadline: Deadline) -> None:
         """Wait until users may be told that a job is cancelled (see `leases.promises`).
 
         Args:
@@ -57,7 +57,7 @@
         """
         name = f"told {job}"
         while not self.promises.try_disclose(job, time.monotonic()):
-            self.tell_cancelled(job)
+            self.announce_cancellation(job)
             now = time.monotonic()
             wait_s = self.promises.disclosure_delay_s(job, now)
             if not deadline.allows(now):
@@ -78,7 +78,7 @@
             )
         self.routines.events.pop(name, None)
 
-    def tell_cancelled(self, job: str) -> None:
+    def announce_cancellation(self, job: str) -> None:
         """Notify all peers that have not acknowledged a cancellation."""
         for label in self.promises.unacknowledged_peers(job):
             self._start_notification(label, job)
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -35,7 +35,7 @@
         self.watermark = watermark
         self.max_watermark_age_s = workers.cancel_s - workers.lease_s - workers.report_s
 
-    def state_lost(self, now: float) -> bool:
+    def state_service_lost(self, now: float) -> bool:
         """Return whether the state service has not answered for longer than a key's lease lasts."""
         return not self.store.ok and now - self.store.last_served_at > self.membership.lease_ttl_s
 
@@ -48,9 +48,9 @@
         now, membership = time.monotonic(), self.membership
         if not membership.records_loaded or not membership.is_member or membership.away:
             return False
-        if self.state_lost(now):
+        if self.state_service_lost(now):
             return not any(
-                peer.state_ok and now - peer.heard < membership.lease_ttl_s
+                peer.state_ok and now - peer.last_heard_at < membership.lease_ttl_s
                 for peer in self.peers.values()
             )
         return True
@@ -66,7 +66,7 @@
         return any(
             peer.state_ok
             and peer.epoch > membership.epoch.number
-            and now - peer.heard < membership.lease_ttl_s
+            and now - peer.last_heard_at < membership.lease_ttl_s
             for peer in self.peers.values()
         )
 
@@ -78,6 +78,6 @@
         reaches the state service, a peer may have told a user of a cancellation and crashed right
         after.
         """
-        if self.state_lost(now) and self.superseded(now):
+        if self.state_service_lost(now) and self.superseded(now):
             return False
-        return now - self.watermark.known_until() < self.max_watermark_age_s
+        return now - self.watermark.disclosures_known_until() < self.max_watermark_age_s
--- a/clayport/leases/watermark.py
+++ b/clayport/leases/watermark.py
@@ -59,7 +59,7 @@
         self.incarnations[peer], self.promise_requested_at[peer] = incarnation, sent
         self.valid_until[peer] = max(self.valid_until[peer], sent + self.duration_s)
 
-    def known_until(self) -> float:
+    def disclosures_known_until(self) -> float:
         """Return the time up to which every cancellation disclosed to users is known here."""
         # Clocks advance in steps, so a read with the same timestamp as the requirement may have
         # happened before it. The time of the read has to be strictly later.
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -50,7 +50,7 @@
             rooms[name].take(job)
             if job.standing >= 0:
                 machine.idle_since = now
-            table.touch(name)
+            table.mark_room_changed(name)
         granted.append(fits)
     return granted
 
@@ -60,14 +60,14 @@
     for machine in table.machines.values():
         if machine.held_for_job and now >= machine.held_until:
             machine.held_for_job = ""
-            table.touch(machine.name)
+            table.mark_room_changed(machine.name)
         for key in [
             key
             for key, desired in machine.desired.items()
             if desired.phase is RESERVED and now - desired.since > table.reservation_s
         ]:
             del machine.desired[key]
-            table.touch(machine.name)
+            table.mark_room_changed(machine.name)
 
 
 def launch(table: AssignmentTable, items: Iterable[tuple[str, str, int]]) -> list[int]:
@@ -108,11 +108,11 @@
         if desired is not None and desired.phase in (RESERVED, QUEUED) and not desired.launch_sent:
             # No launch has been sent, so the task cannot run and is gone without a report.
             del machine.desired[key]
-            table.touch(name)
+            table.mark_room_changed(name)
             table.emit_gone(name, key)
         elif clear:
             machine.desired.pop(key, None)
-            table.touch(name)
+            table.mark_room_changed(name)
             if machine.has_exited(key):
                 machine.pending_clears[key] = None
         else:
@@ -133,7 +133,7 @@
         key = (task, attempt)
         if key not in machine.desired:
             machine.desired[key] = DesiredTask(LIVE, now)
-            table.touch(name)
+            table.mark_room_changed(name)
         elif machine.desired[key].phase is RESERVED:
             machine.desired[key].phase = LIVE
         machine.emitted.pop(key, None)
--- a/clayport/machines/command_sender.py
+++ b/clayport/machines/command_sender.py
@@ -91,7 +91,7 @@
         self.renewal = renewal
         self.routines = routines
 
-    def poke(self, name: str) -> None:
+    def send_queued_commands(self, name: str) -> None:
         """Start sending the queued commands of a machine, unless a request to it is in flight."""
         machine = self.machines.machines.get(name)
         if (
@@ -102,9 +102,9 @@
             and time.monotonic() >= machine.direct_paused_until
         ):
             machine.request_in_flight = True
-            self.routines.spawn(self.pump(machine, True))
+            self.routines.spawn(self.send_until_empty(machine, True))
 
-    async def pump(self, machine: Machine, already_marked: bool = False) -> None:
+    async def send_until_empty(self, machine: Machine, already_marked: bool = False) -> None:
         """Send one request at a time to a machine, until no command is queued for it.
 
         Args:
@@ -131,7 +131,7 @@
 
     async def _send(self, machine: Machine, client: http.Client, epoch_number: int) -> bool:
         """Send the commands queued now, and return whether the worker has executed them."""
-        orders, launches = self.machines.orders(machine)
+        orders, launches = self.machines.commands_to_send(machine)
         body = msgspec.json.encode(
             {"epoch": machine.token, "tenure": machine.session, "orders": orders}
         )
@@ -165,9 +165,9 @@
         if report.machine != machine.name:
             return
         if self.machines.accepts_token(report):
-            heard = machine.heard
+            heard = machine.last_heard_at
             self.machines.take_report(report, time.monotonic(), False)
-            machine.heard = max(heard, machine.heard)
+            machine.last_heard_at = max(heard, machine.last_heard_at)
         else:
             self.membership.request_rescan()
 
--- a/clayport/machines/evacuation.py
+++ b/clayport/machines/evacuation.py
@@ -41,7 +41,7 @@
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        poke: Starts sending the queued commands of a machine.
+        send_queued_commands: Starts sending the queued commands of a machine.
         routines: Runs the evacuations.
         settings: Supplies the workers' lease and the interval of their reports.
     """
@@ -52,14 +52,14 @@
         machines: MachineTable,
         membership: MembershipState,
         peers: Mapping[str, Peer],
-        poke: Callable[[str], None],
+        send_queued_commands: Callable[[str], None],
         routines: Routines,
         settings: Settings,
     ) -> None:
         self.machines = machines
         self.membership = membership
         self.peers = peers
-        self.poke = poke
+        self.send_queued_commands = send_queued_commands
         self.routines = routines
         self.settings = settings
 
@@ -85,7 +85,7 @@
             or machine.evacuating
             or not self.machines.replicas(machine)
             or now - machine.evacuation_started_at < self.settings.cluster.workers.lease_s / 2
-            or not (self.machines.open(machine) or self.machines.is_unhealthy(machine))
+            or not (self.machines.accepts_work(machine) or self.machines.is_unhealthy(machine))
         ):
             return False
         log.info(
@@ -96,7 +96,7 @@
         )
         machine.evacuating, machine.evacuation_started_at = True, now
         machine.draining = drain
-        self.machines.touch(name)
+        self.machines.mark_room_changed(name)
         self.routines.spawn(self._evacuate(machine, drain))
         return True
 
@@ -123,12 +123,12 @@
                 for key, job in replicas:
                     if await self._movable(machine, key, job, drain):
                         machine.pending_kills.setdefault(key, 0.0)
-                        self.poke(machine.name)
+                        self.send_queued_commands(machine.name)
                         await self.routines.flush()
                         break
                 else:
                     machine.draining = False
-                    self.machines.touch(machine.name)
+                    self.machines.mark_room_changed(machine.name)
                     return
                 await curio.sleep(self.settings.cluster.workers.report_s / 2)
         finally:
--- a/clayport/machines/event_delivery.py
+++ b/clayport/machines/event_delivery.py
@@ -28,7 +28,7 @@
 class EventHandler(Protocol):
     """Handles task events of the jobs that this controller leads itself."""
 
-    def told(self, events: Iterable[TaskEvent]) -> list[Verdict]:
+    def handle_task_events(self, events: Iterable[TaskEvent]) -> list[Verdict]:
         """Handle the events in order, and return a verdict for each."""
         ...
 
@@ -41,7 +41,7 @@
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        poke: Starts sending the queued commands of a machine.
+        send_queued_commands: Starts sending the queued commands of a machine.
         routines: Wakes the delivery when there is an event.
 
     Attributes:
@@ -55,20 +55,20 @@
         machines: MachineTable,
         membership: MembershipState,
         peers: Mapping[str, Peer],
-        poke: Callable[[str], None],
+        send_queued_commands: Callable[[str], None],
         routines: Routines,
     ) -> None:
         self.cached_state = cached_state
         self.machines = machines
         self.membership = membership
         self.peers = peers
-        self.poke = poke
+        self.send_queued_commands = send_queued_commands
         self.routines = routines
         self.outboxes: dict[str, Outbox] = {}
 
-    def connect(self, *, dispatcher: EventHandler, routing: Routing) -> None:
+    def connect(self, *, event_handler: EventHandler, routing: Routing) -> None:
         """Set the components that are built after this object."""
-        self.dispatcher = dispatcher
+        self.event_handler = event_handler
         self.routing = routing
 
     def emit(self, job: str, event: TaskEvent) -> None:
@@ -78,7 +78,7 @@
         outbox[event[:3]] = event
         self.routines.signal(f"outbox {leader}")
 
-    async def tell(self, leader: str) -> None:
+    async def deliver_events(self, leader: str) -> None:
         """Deliver events to one leader, with retries until it accepts them; runs forever."""
         while True:
             await self.routines.wait(f"outbox {leader}")
@@ -100,14 +100,14 @@
                     self._apply_verdict(event, verdict)
                     touched[event[0]] = None
                 for machine in touched:
-                    self.poke(machine)
+                    self.send_queued_commands(machine)
                 self.cached_state.note_own_room()
 
     async def _deliver(self, leader: str, batch: list[TaskEvent]) -> tuple[bool, Sequence[int]]:
         """Send a batch to the leader; return whether it is accepted, and a verdict per event."""
         try:
             if leader == self.membership.label:
-                return True, self.dispatcher.told(batch)
+                return True, self.event_handler.handle_task_events(batch)
             accepted, packed = await self.peers[leader].call(
                 frames.TASK_STATES, (self.membership.epoch.number, batch)
             )
@@ -122,9 +122,11 @@
         if verdict == Verdict.LATER:
             self.machines.emit_again(machine, key)
         elif verdict in (Verdict.JOB_AT_FAULT, Verdict.MACHINE_AT_FAULT):
-            self.machines.judge(machine, task.partition("/")[0], verdict == Verdict.JOB_AT_FAULT)
+            self.machines.record_verdict(
+                machine, task.partition("/")[0], verdict == Verdict.JOB_AT_FAULT
+            )
         elif state == GONE:
-            self.machines.settled(machine, key)
+            self.machines.confirm_gone(machine, key)
         elif verdict == Verdict.KILL:
             self.machines.stop([(machine, task, attempt, 0.0, False)])
         elif verdict == Verdict.CLEAR:
--- a/clayport/machines/eviction.py
+++ b/clayport/machines/eviction.py
@@ -23,7 +23,7 @@
     count: int,
 ) -> bool:
     """Stop tasks of lower rank until `count` tasks of `job` fit; see `MachineTable.preempt`."""
-    if not table.open(machine) or machine.held_for_other(job.id, now):
+    if not table.accepts_work(machine) or machine.held_for_other(job.id, now):
         return False
     room = table.room(machine)
     chosen: list[tuple[TaskKey, Job]] = []
@@ -40,7 +40,7 @@
         machine.pending_kills[key] = victim.save_s if saves else 0.0
         longest_s = max(longest_s, machine.pending_kills[key])
     if machine.held_for_job != job.id:
-        table.touch(machine.name)
+        table.mark_room_changed(machine.name)
     machine.held_for_job = job.id
     machine.held_until = now + longest_s + table.direct_pause_s
     log.info("machine=%s job=%s event=preempt tasks=%d", machine.name, job.id, len(chosen))
@@ -77,7 +77,7 @@
             job = table.job_of(job_id(key))
             if job is not None and job.checkpoint_s > 0 and status.state == "running":
                 machine.pending_kills.setdefault(key, job.save_s)
-        table.touch(machine.name)
+        table.mark_room_changed(machine.name)
         return False
     if machine.desired or machine.occupying():
         # The events of exited tasks are emitted again. If the leader's answer to such an event
@@ -87,7 +87,7 @@
                 machine.emitted.pop(key, None)
         return False
     machine.draining = True
-    table.touch(machine.name)
+    table.mark_room_changed(machine.name)
     return True
 
 
--- a/clayport/machines/fleet.py
+++ b/clayport/machines/fleet.py
@@ -41,12 +41,12 @@
         command_s: The timeout of a request to a worker, in seconds.
         fencing: Returns machines, if this controller is the provisioner.
         client: Finds the client for a worker's address; the tests' simulation replaces it.
-        poke: Starts sending the queued commands of a machine.
+        send_queued_commands: Starts sending the queued commands of a machine.
         inspect: Asks a worker, by name and address, whether it works.
-        report: Answers a worker's report.
-        own_report: Answers a report of a machine that this controller owns.
+        answer_report: Answers a worker's report.
+        answer_owned_machine: Answers a report of a machine that this controller owns.
         emit: Adds a task event to the outbox of the job's leader.
-        tell: Delivers events to one leader; a routine for each controller.
+        deliver_events: Delivers events to one leader; a routine for each controller.
         outboxes: The undelivered events, by the label of the leader.
         evacuate: Starts moving replicas off a machine.
         watch_silence: Fences silent machines; a routine.
@@ -88,7 +88,7 @@
             renewal=renewal,
             routines=routines,
         )
-        self.poke = self.sender.poke
+        self.send_queued_commands = self.sender.send_queued_commands
         self.inspect = self.sender.inspect
 
         self.report_answers = ReportAnswers(
@@ -97,7 +97,7 @@
             machines=machines,
             membership=membership,
             peers=peers,
-            pump=self.sender.pump,
+            send_until_empty=self.sender.send_until_empty,
             rebuild=rebuild,
             renewal=renewal,
             routines=routines,
@@ -105,26 +105,26 @@
             view=view,
             watermark=watermark,
         )
-        self.report = self.report_answers.report
-        self.own_report = self.report_answers.own_report
+        self.answer_report = self.report_answers.answer_report
+        self.answer_owned_machine = self.report_answers.answer_owned_machine
 
         self.event_delivery = EventDelivery(
             cached_state=cached_state,
             machines=machines,
             membership=membership,
             peers=peers,
-            poke=self.poke,
+            send_queued_commands=self.send_queued_commands,
             routines=routines,
         )
         self.emit = self.event_delivery.emit
-        self.tell = self.event_delivery.tell
+        self.deliver_events = self.event_delivery.deliver_events
         self.outboxes = self.event_delivery.outboxes
 
         self.evacuation = ReplicaEvacuation(
             machines=machines,
             membership=membership,
             peers=peers,
-            poke=self.poke,
+            send_queued_commands=self.send_queued_commands,
             routines=routines,
             settings=settings,
         )
@@ -150,12 +150,12 @@
     def connect(
         self,
         *,
-        dispatcher: EventHandler,
+        event_handler: EventHandler,
         placer: ReplicaPlacement,
         provisioner: CloudListing,
         routing: Routing,
     ) -> None:
         """Set the components that are built after this object."""
-        self.event_delivery.connect(dispatcher=dispatcher, routing=routing)
+        self.event_delivery.connect(event_handler=event_handler, routing=routing)
         self.evacuation.connect(placer=placer)
         self.silence.connect(provisioner=provisioner)
--- a/clayport/machines/health.py
+++ b/clayport/machines/health.py
@@ -19,20 +19,20 @@
     """The verdicts of the jobs' leaders on the causes of errors.
 
     Attributes:
-        failing_jobs: Jobs that cause their own errors, the oldest verdict first.
+        jobs_at_fault: Jobs that cause their own errors, the oldest verdict first.
         healthy_jobs: Jobs that run well on other machines, the oldest verdict first.
     """
 
     def __init__(self) -> None:
-        self.failing_jobs: dict[str, None] = {}
+        self.jobs_at_fault: dict[str, None] = {}
         self.healthy_jobs: dict[str, None] = {}
 
     def record(self, job: str, at_fault: bool) -> bool:
         """Record a verdict, and return whether the job is at fault for the first time."""
         same_verdict, other_verdict = (
-            (self.failing_jobs, self.healthy_jobs)
+            (self.jobs_at_fault, self.healthy_jobs)
             if at_fault
-            else (self.healthy_jobs, self.failing_jobs)
+            else (self.healthy_jobs, self.jobs_at_fault)
         )
         other_verdict.pop(job, None)
         already_recorded = job in same_verdict
@@ -44,7 +44,7 @@
     def forget(self, job: str) -> None:
         """Drop the verdict on a job that has ended."""
         self.healthy_jobs.pop(job, None)
-        self.failing_jobs.pop(job, None)
+        self.jobs_at_fault.pop(job, None)
 
     def is_unhealthy(self, machine: Machine) -> bool:
         """Return whether the errors since a task last succeeded on a machine make it unhealthy.
@@ -62,7 +62,7 @@
 
     def count_error(self, machine: Machine, job: str) -> None:
         """Count an error on a machine, unless the job is known to be at fault."""
-        if job not in self.failing_jobs:
+        if job not in self.jobs_at_fault:
             machine.errors[job] = machine.errors.get(job, 0) + 1
         if self.is_unhealthy(machine):
             log_unhealthy(machine, job)
--- a/clayport/machines/machine.py
+++ b/clayport/machines/machine.py
@@ -79,7 +79,7 @@
         # The incarnation of the worker, and the number of the newest report within it.
         self.session = self.seq = 0
         self.fenced = False  # whether the newest report carries the current token
-        self.heard = now  # time of the newest report, or the start of the ownership
+        self.last_heard_at = now  # time of the newest report, or the start of the ownership
         self.known = False  # whether a report has arrived under this ownership
         self.reported_at = now  # time of the newest report that is not a command's answer
         # Whether the lease has expired and the worker has only answered commands since. The
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -47,7 +47,7 @@
     def apply(self, names: Iterable[str]) -> None:
         """Remove the machines, and mark the tasks that ran on them as gone."""
         removed = dict.fromkeys(names)
-        self.machines.removed(removed)
+        self.machines.remove_machines(removed)
         for name in removed:
             self.view.index.remove(name)
             self.view.zones.pop(name, None)
--- a/clayport/machines/report_answers.py
+++ b/clayport/machines/report_answers.py
@@ -58,7 +58,7 @@
         machines: The machines owned here.
         membership: The epoch, and whether this controller serves in it.
         peers: The other controllers, by label.
-        pump: Sends the queued commands of a machine.
+        send_until_empty: Sends the queued commands of a machine.
         rebuild: Tells whether the records are being rebuilt.
         renewal: Tells whether the leases of workers may be renewed.
         routines: Runs the sending of commands.
@@ -79,7 +79,7 @@
         machines: MachineTable,
         membership: MembershipState,
         peers: Mapping[str, Peer],
-        pump: Callable[[Machine], Coroutine[Any, Any, None]],
+        send_until_empty: Callable[[Machine], Coroutine[Any, Any, None]],
         rebuild: RebuildSupport,
         renewal: LeaseRenewal,
         routines: Routines,
@@ -92,7 +92,7 @@
         self.machines = machines
         self.membership = membership
         self.peers = peers
-        self.pump = pump
+        self.send_until_empty = send_until_empty
         self.rebuild = rebuild
         self.renewal = renewal
         self.routines = routines
@@ -101,7 +101,7 @@
         self.watermark = watermark
         self.forwarded: dict[str, float] = {}
 
-    async def report(self, body: bytes) -> Answer:
+    async def answer_report(self, body: bytes) -> Answer:
         """Answer a worker's report.
 
         Args:
@@ -120,9 +120,9 @@
             self._kill_cancelled(report, answer["orders"])
         return status, answer
 
-    def own_report(self, report: WorkerHeartbeat, now: float) -> Answer:
+    def answer_owned_machine(self, report: WorkerHeartbeat, now: float) -> Answer:
         """Answer a report of a machine that this controller owns."""
-        if report.machine in self.machines.gone:
+        if report.machine in self.machines.returned_machines:
             # The machine has been returned, and its report was delayed in the network. If the
             # report were applied, the machine would take new tasks until its silence is detected.
             return 503, {}
@@ -141,9 +141,11 @@
             # That needs no extra request, and the command is repeated until the tasks are no
             # longer listed.
             if now < machine.direct_paused_until or not machine.has_urgent_commands:
-                answer["orders"], machine.launches_in_response = self.machines.orders(machine)
+                answer["orders"], machine.launches_in_response = self.machines.commands_to_send(
+                    machine
+                )
             else:
-                self.routines.spawn(self.pump(machine))
+                self.routines.spawn(self.send_until_empty(machine))
         self.cached_state.note_own_room()
         return 200, answer
 
@@ -166,14 +168,14 @@
         now = time.monotonic()
         epoch = self.membership.epoch
         owner = epoch.member_for(report.machine)
-        if self.renewal.superseded(now) and self.renewal.state_lost(now):
+        if self.renewal.superseded(now) and self.renewal.state_service_lost(now):
             return 421, {}
         if not self.renewal.may_renew(now):
             # Users may have been told of cancellations that are unknown here. Renewing the lease
             # could let a cancelled task run past its deadline.
             return 503, {}
         if owner == self.membership.label and self.membership.serving:
-            return self.own_report(report, now)
+            return self.answer_owned_machine(report, now)
         if owner and owner != self.membership.label and self.membership.records_loaded:
             answer = await self._refer_to_owner(epoch, owner, report, body, now)
             if answer is not None:
@@ -198,7 +200,7 @@
         self.forwarded[report.machine] = now
         if len(self.forwarded) > MAX_FORWARDED:
             self.forwarded.clear()
-        reachable = peer is not None and now - peer.heard < self.membership.lease_ttl_s
+        reachable = peer is not None and now - peer.last_heard_at < self.membership.lease_ttl_s
         if reachable and now - last > self.silent_s:
             return 421, {"upstream": owner}
         # The worker was redirected to the owner and reports here again. It cannot reach the
--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -41,7 +41,7 @@
             machine.lease_expired = not renews_lease
     # A machine that is new, or that opens or closes, changes the room although its tasks stay
     # the same. Peers fetch a table only if its revision has changed.
-    state_before = (machine.known, table.open(machine))
+    state_before = (machine.known, table.accepts_work(machine))
     _copy_fields(machine, report, now, renews_lease)
     before = machine.reported_tasks
     reported = machine.reported_tasks = _build_statuses(report.tasks, before)
@@ -69,7 +69,7 @@
         machine.pending_clears = dict.fromkeys(
             key for key in machine.pending_clears if key in reported
         )
-    if changed or state_before != (True, table.open(machine)):
+    if changed or state_before != (True, table.accepts_work(machine)):
         _note_change(table, machine, now)
     return machine
 
@@ -103,7 +103,7 @@
 def _copy_fields(machine: Machine, report: WorkerHeartbeat, now: float, renews_lease: bool) -> None:
     """Copy the fields that describe the machine itself from a report."""
     machine.known = True
-    machine.session, machine.seq, machine.heard = report.session, report.seq, now
+    machine.session, machine.seq, machine.last_heard_at = report.session, report.seq, now
     if renews_lease:
         machine.reported_at, machine.lease_expired = now, False
     machine.address, machine.type = report.address, report.type
@@ -183,7 +183,7 @@
 
 def _note_change(table: ReportTable, machine: Machine, now: float) -> None:
     """Record a change of the room; set `idle_since` unless only backfill tasks are left."""
-    table.touch(machine.name)
+    table.mark_room_changed(machine.name)
     for key in (*machine.desired, *machine.occupying()):
         job = table.job_of(job_id(key))
         if job is None or job.standing >= 0:
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -100,7 +100,7 @@
             if not self.stalls.check(now) or not self.membership.serving:
                 continue
             self.machines.expire(now)
-            if self.membership.away or self.renewal.state_lost(now):
+            if self.membership.away or self.renewal.state_service_lost(now):
                 continue  # a newer epoch may exclude this controller: see `Provisioner.run`
             owned = list(self.machines.machines.values())
             self._evacuate_unhealthy(owned)
@@ -120,7 +120,7 @@
         silent = [
             machine
             for machine in owned
-            if now - machine.heard > self.silent_s
+            if now - machine.last_heard_at > self.silent_s
             and not machine.fencing
             and (machine.known or machine.desired)
         ]
@@ -128,9 +128,9 @@
         # disconnected. Returning all of them would destroy machines that still work.
         cut_off = len(silent) > 2 and len(silent) * 2 > len(owned)
         for machine in silent:
-            if not cut_off or now - machine.heard > self.workers.cancel_s / 2:
+            if not cut_off or now - machine.last_heard_at > self.workers.cancel_s / 2:
                 machine.fencing = True
-                self.machines.touch(machine.name)
+                self.machines.mark_room_changed(machine.name)
                 self.routines.spawn(self._fence(machine))
 
     async def _fence(self, machine: Machine) -> None:
@@ -138,7 +138,7 @@
         epoch = self.membership.epoch
         try:
             address = self._address(machine)
-            if not address and time.monotonic() - machine.heard < self.workers.cancel_s / 2:
+            if not address and time.monotonic() - machine.last_heard_at < self.workers.cancel_s / 2:
                 return
             answers = bool(address) and await self._is_reachable(
                 machine.name, address, epoch.members
@@ -146,7 +146,7 @@
             if self.membership.epoch is not epoch or not self.membership.serving:
                 return
             if not self._lease_long_expired(machine) and (
-                answers or time.monotonic() - machine.heard < self.silent_s
+                answers or time.monotonic() - machine.last_heard_at < self.silent_s
             ):
                 return
             log.info(
@@ -166,7 +166,7 @@
         finally:
             machine.fencing = False
             if machine.name in self.machines.machines:
-                self.machines.touch(machine.name)
+                self.machines.mark_room_changed(machine.name)
 
     def _address(self, machine: Machine) -> str:
         """Return the worker's address, or an empty string if it is unknown.
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -49,7 +49,7 @@
 
     Attributes:
         machines: The machines, by name.
-        gone: Machines whose return is confirmed; their names are not used again.
+        returned_machines: Machines whose return is confirmed; their names are not used again.
         types: The catalogue of machine types, by name.
         epoch: The epoch under which the machines are owned.
         changes: The log of changes to rooms, so that a refresh of a cached state builds only
@@ -68,7 +68,7 @@
         self.job_of, self.is_cancelled, self.emit = job_of, is_cancelled, emit
         self.reservation_s, self.direct_pause_s = reservation_s, direct_pause_s
         self.machines: dict[str, Machine] = {}
-        self.gone: OrderedDict[str, None] = OrderedDict()
+        self.returned_machines: OrderedDict[str, None] = OrderedDict()
         self.types: dict[str, MachineType] = {}
         self.epoch: Epoch | None = None
         self.changes = ChangeLog()
@@ -92,13 +92,13 @@
             machine.reset_for_epoch()
         self.mark_all_changed()
 
-    def discount_stall(self, gap_s: float) -> None:
+    def exclude_stall(self, gap_s: float) -> None:
         """Exclude a stall of this process from the silence of the machines.
 
         Reports that arrived during the stall have not been read yet.
         """
         for machine in self.machines.values():
-            machine.heard += gap_s
+            machine.last_heard_at += gap_s
             machine.reported_at += gap_s
 
     def machine(self, name: str, now: float) -> Machine:
@@ -109,15 +109,15 @@
             found = self.machines[name] = Machine(name, self.epoch.first_token + 1, now)
         return found
 
-    def removed(self, names: Iterable[str]) -> None:
+    def remove_machines(self, names: Iterable[str]) -> None:
         """Remove machines whose return the cloud has confirmed."""
         for name in names:
-            self.gone[name] = None
-            if len(self.gone) > MAX_GONE_MACHINES:
-                self.gone.popitem(last=False)
+            self.returned_machines[name] = None
+            if len(self.returned_machines) > MAX_GONE_MACHINES:
+                self.returned_machines.popitem(last=False)
             machine = self.machines.pop(name, None)
             if machine is not None:
-                self.touch(name)
+                self.mark_room_changed(name)
                 # The leaders get an event for each task. A new leader may have adopted tasks
                 # here after it learned of the return, and would otherwise wait forever.
                 for key, desired in machine.desired.items():
@@ -138,7 +138,7 @@
         """The revision of the table of rooms."""
         return self.changes.revision
 
-    def touch(self, name: str) -> None:
+    def mark_room_changed(self, name: str) -> None:
         """Record that the machine's room has changed, or that the machine has been removed."""
         machine = self.machines.get(name)
         if machine is not None:
@@ -188,14 +188,14 @@
         if found is not None:
             found.emitted.pop(key, None)
 
-    def settled(self, machine: str, key: TaskKey) -> None:
+    def confirm_gone(self, machine: str, key: TaskKey) -> None:
         """Drop a desired task after its leader has learned that it is gone."""
         found = self.machines.get(machine)
         if found is not None and key not in found.reported_tasks:
             desired = found.desired.get(key)
             if desired is not None and desired.phase is LIVE:
                 del found.desired[key]
-                self.touch(machine)
+                self.mark_room_changed(machine)
 
     def emit_gone(self, name: str, key: TaskKey) -> None:
         """Emit that a task is not on a machine and can no longer be started there."""
@@ -204,15 +204,15 @@
     # -- health ----------------------------------------------------------
 
     @property
-    def failing_jobs(self) -> dict[str, None]:
+    def jobs_at_fault(self) -> dict[str, None]:
         """Jobs that cause their own errors."""
-        return self.faults.failing_jobs
+        return self.faults.jobs_at_fault
 
     def is_unhealthy(self, machine: Machine) -> bool:
         """Return whether the errors on a machine make it unhealthy."""
         return self.faults.is_unhealthy(machine)
 
-    def judge(self, name: str, job: str, at_fault: bool) -> None:
+    def record_verdict(self, name: str, job: str, at_fault: bool) -> None:
         """Record the verdict of a job's leader on whether the job or the machine is at fault.
 
         Errors of a job at fault count against no machine. Otherwise a few such jobs could close
@@ -229,9 +229,9 @@
             and self.is_unhealthy(machine)
         ):
             log_unhealthy(machine, job)
-            self.touch(name)
+            self.mark_room_changed(name)
 
-    def ended(self, job: str, status: str) -> None:
+    def job_ended(self, job: str, status: str) -> None:
         """Drop the verdict on a job that has ended.
 
         The errors of a cancelled job no longer count against machines, because users often
@@ -245,7 +245,7 @@
         """Remove a job's errors from all machines."""
         for machine in self.machines.values():
             if machine.errors.pop(job, 0):
-                self.touch(machine.name)
+                self.mark_room_changed(machine.name)
 
     # -- requests of leaders ---------------------------------------------
 
@@ -311,7 +311,7 @@
 
     # -- commands --------------------------------------------------------
 
-    def orders(self, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
+    def commands_to_send(self, machine: Machine) -> tuple[list[Order], list[TaskKey]]:
         """Return the commands to send now and the launches among them, whose tasks become SENT."""
         return commands.take_orders(self, machine)
 
@@ -325,7 +325,7 @@
 
     # -- room ------------------------------------------------------------
 
-    def open(self, machine: Machine) -> bool:
+    def accepts_work(self, machine: Machine) -> bool:
         """Return whether the machine takes new tasks."""
         return (
             machine.known
@@ -349,11 +349,13 @@
             A copy that the caller may modify.
         """
         built = machine.cached_room
-        if built is None or built.open != (self.open(machine) and machine.type in self.types):
+        if built is None or built.open != (
+            self.accepts_work(machine) and machine.type in self.types
+        ):
             built, all_known = build_room(
-                machine, self.types.get(machine.type), self.open(machine), self.job_of
+                machine, self.types.get(machine.type), self.accepts_work(machine), self.job_of
             )
-            # A job that is unknown now may become known without a call of `touch`.
+            # A job that is unknown now may become known without a call of `mark_room_changed`.
             machine.cached_room = built if all_known else None
         room = built.copy()
         room.owner = owner
--- a/clayport/machines/table_parts.py
+++ b/clayport/machines/table_parts.py
@@ -28,7 +28,7 @@
     job_of: Callable[[str], Job | None]
     direct_pause_s: float
 
-    def open(self, machine: Machine) -> bool:
+    def accepts_work(self, machine: Machine) -> bool:
         """Return whether the machine takes new tasks."""
         ...
 
@@ -36,7 +36,7 @@
         """Return a copy of the machine's free room, which the caller may modify."""
         ...
 
-    def touch(self, name: str) -> None:
+    def mark_room_changed(self, name: str) -> None:
         """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
@@ -68,11 +68,11 @@
         """Return the machine of that name, and add it if it is unknown."""
         ...
 
-    def open(self, machine: Machine) -> bool:
+    def accepts_work(self, machine: Machine) -> bool:
         """Return whether the machine takes new tasks."""
         ...
 
-    def touch(self, name: str) -> None:
+    def mark_room_changed(self, name: str) -> None:
         """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
@@ -96,7 +96,7 @@
         """Return a copy of the machine's free room, which the caller may modify."""
         ...
 
-    def touch(self, name: str) -> None:
+    def mark_room_changed(self, name: str) -> None:
         """Record that the machine's room has changed, or that the machine has been removed."""
         ...
 
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -193,7 +193,7 @@
             cluster.workers.report_s,
             6 * cluster.workers.lease_s,
         )
-        managed.suspected = job.id in self.machines.failing_jobs
+        managed.found_at_fault_before = job.id in self.machines.jobs_at_fault
         managed.load_all(chunks)
         node = self.jobs.dependencies.nodes.get(job.id)
         if node is not None:
@@ -201,4 +201,4 @@
             managed.waiting_since = node.ready_at
         self.jobs.managed[job.id] = managed
         self.queue.touch(job.id)
-        self.routines.spawn(self.dispatcher.drive(managed))
+        self.routines.spawn(self.dispatcher.run_job(managed))
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -130,7 +130,7 @@
             and should_leave(
                 now,
                 self.membership.label,
-                {peer.label: peer.heard for peer in self.peers.values()},
+                {peer.label: peer.last_heard_at for peer in self.peers.values()},
                 self.membership.present,
                 ISOLATION_LEASES * self.membership.lease_ttl_s,
             )
@@ -168,7 +168,7 @@
 
     def _note_heard(self, peer: Peer, epoch: int, state_ok: bool, room_rev: int) -> None:
         """Record the status that a peer has just sent."""
-        peer.heard = time.monotonic()
+        peer.last_heard_at = time.monotonic()
         peer.state_ok, peer.epoch = state_ok, epoch
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
@@ -182,7 +182,7 @@
         return HeartbeatStatus(
             self.membership.label,
             self.membership.epoch.number,
-            not self.renewal.state_lost(now),
+            not self.renewal.state_service_lost(now),
             self.machines.room_rev,
         )
 
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -112,7 +112,7 @@
         # expired meanwhile.
         self.store.last_failed_at = now
         for peer in self.peers.values():
-            peer.heard += gap_s
-        self.machines.discount_stall(gap_s)
+            peer.last_heard_at += gap_s
+        self.machines.exclude_stall(gap_s)
         self.provisioner.began_at = now
         self.routines.signal("lease")
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -186,19 +186,19 @@
             or not self.renewal.may_renew(now)
         ):
             return frames.REPORTED, (503, b"{}")
-        status, value = self.fleet.own_report(report, now)
+        status, value = self.fleet.answer_owned_machine(report, now)
         return frames.REPORTED, (status, msgspec.json.encode(value))
 
     # -- requests to the leader of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
         """COUNTS: how many tasks of a job are done and how many are running."""
-        counts = self.dispatcher.counts(job)
+        counts = self.dispatcher.task_counts(job)
         return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
     async def task_states(self, _epoch: int, events: list[TaskStateRecord]) -> Answer:
         """TASK_STATES: return verdicts on the task states that the owners of machines report."""
-        verdicts = self.dispatcher.task_events.told(events)
+        verdicts = self.dispatcher.task_events.handle_task_events(events)
         return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
@@ -252,7 +252,7 @@
         freed = description is not None and self.machines.preempt(
             description, machine, grace_s, time.monotonic(), [team for (team,) in borrowers], count
         )
-        self.fleet.poke(machine)
+        self.fleet.send_queued_commands(machine)
         return frames.ACK, (freed,)
 
     async def evacuate(self, _epoch: int, machine: str, drain: bool) -> Answer:
@@ -279,7 +279,7 @@
     def _send_commands(self, tasks: Iterable[TaskRecord | StopRecord]) -> None:
         """Send the queued commands of the tasks' machines without waiting for their reports."""
         for machine in dict.fromkeys(task[0] for task in tasks):
-            self.fleet.poke(machine)
+            self.fleet.send_queued_commands(machine)
 
 
 class Handler(NamedTuple):
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -44,7 +44,7 @@
                     txn = Txn().require(live_key(name), 0).require(end_key(name), 0)
                     txn.put(live_key(name), {"j": description, "t": at})
                     if not await self._write_if_absent(txn, "job", name):
-                        await controller.lifecycle.learn(name)
+                        await controller.lifecycle.read_end(name)
                     live_jobs.pop()
                 else:
                     name, (status, at, description) = final_records[-1]
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -107,7 +107,7 @@
             async with curio.TaskGroup(wait=all) as group:
                 for label, peer in controller.peers.items():
                     if (
-                        now - peer.heard < controller.membership.lease_ttl_s
+                        now - peer.last_heard_at < controller.membership.lease_ttl_s
                         and self._supports_histories(label)
                     ):
                         await group.spawn(self._exchange_histories, label)
@@ -158,7 +158,7 @@
         while deadline.allows(time.monotonic(), pause_s):
             if self.recorder is not None and self.recorder.synced_revision >= rev:
                 return
-            for label in sorted(controller.peers, key=lambda x: -controller.peers[x].heard):
+            for label in sorted(controller.peers, key=lambda x: -controller.peers[x].last_heard_at):
                 if self._supports_histories(label):
                     reply = await self._exchange_histories(label)
                     if reply is not None and reply.name == name and reply.read_revision >= rev:
@@ -348,7 +348,7 @@
         reachable = [
             p.label
             for p in controller.peers.values()
-            if now - p.heard < controller.membership.lease_ttl_s
+            if now - p.last_heard_at < controller.membership.lease_ttl_s
         ]
         if (
             head is not None
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -153,7 +153,7 @@
             self._put(entry.key, entry.value, entry.rev)
         for job, (_, since) in list(self.jobs.live.items()):
             if LIVE_PREFIX + job not in keys and 0 < since <= rev:
-                self.lifecycle.note_gone(job)
+                self.lifecycle.handle_live_record_deleted(job)
         self.membership.records_loaded = True
         self.progress.note_read(asked_at, rev)
         self.versions.count_versions()
@@ -176,7 +176,7 @@
                     self.routines.signal("lease")
                 self.routines.signal("members")
             elif change.delete.startswith(LIVE_PREFIX):
-                self.lifecycle.note_gone(change.delete[len(LIVE_PREFIX) :])
+                self.lifecycle.handle_live_record_deleted(change.delete[len(LIVE_PREFIX) :])
 
     def _put(self, key: str, value: Any, rev: int) -> None:
         """Apply a written record; a malformed record is logged and skipped."""
@@ -200,7 +200,7 @@
                 self.lifecycle.note_live(
                     self.objectives.with_objectives(msgspec.convert(value["j"], Job)),
                     rev,
-                    self.lifecycle.since(value.get("t")),
+                    self.lifecycle.to_monotonic(value.get("t")),
                 )
         except (msgspec.MsgspecError, KeyError, TypeError, ValueError) as exc:
             log.error("key=%s event=malformed-value cause=%r", key, exc)
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -136,7 +136,11 @@
             ):
                 continue
             now = time.monotonic()
-            if not self.stalls.check(now) or self.membership.away or self.renewal.state_lost(now):
+            if (
+                not self.stalls.check(now)
+                or self.membership.away
+                or self.renewal.state_service_lost(now)
+            ):
                 # This controller may have been removed from the epoch, or has just resumed
                 # after a stall. A return sent now could be delayed in the network and destroy
                 # machines minutes later that run tasks by then.
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -57,7 +57,7 @@
     """Provides the bounds of one transaction."""
 
     @property
-    def start_chunks(self) -> int:
+    def max_start_chunks(self) -> int:
         """The number of chunks that a transaction of starts may change besides the quota."""
         ...
 
@@ -145,9 +145,9 @@
         """Return the placement policy, as `PolicyCache.current` does."""
         return self.policy_cache.current()
 
-    def learn(self, job: Job) -> None:
+    def note_accepted(self, job: Job) -> None:
         """Invalidate the policy if it does not cover an accepted job (see `PolicyCache.learn`)."""
-        self.policy_cache.learn(job)
+        self.policy_cache.note_accepted(job)
 
     def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
         """Return whether a replica may move, as `ReplicaMigration.movable` does."""
@@ -256,7 +256,7 @@
         while heap:
             _, _, managed, rest = heappop(heap)
             yield managed
-            if managed.group in current.unsatisfied:
+            if managed.placement_key in current.unsatisfied:
                 current.starved = current.starved or not managed.job.backfill
             else:
                 push(rest)
@@ -286,7 +286,7 @@
                 and not managed.errors
                 and not managed.lost_machines
             ):
-                current.unsatisfied.setdefault(managed.group, current.index.rev)
+                current.unsatisfied.setdefault(managed.placement_key, current.index.rev)
         else:
             self.reserves.note_placed(job)
         current.work += len(chosen)
@@ -299,7 +299,7 @@
         wanted = min(
             managed.pending,
             managed.chunk_size
-            * max(self.upgrade.limits.txn_ops // 4, min(3, self.dispatcher.start_chunks)),
+            * max(self.upgrade.limits.txn_ops // 4, min(3, self.dispatcher.max_start_chunks)),
         )
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
@@ -320,16 +320,16 @@
             if room.machine in managed.preempted_room:
                 left, until = managed.preempted_room[room.machine]
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
-        numbers = managed.take_pending(len(chosen), self.dispatcher.start_chunks)
+        numbers = managed.take_pending(len(chosen), self.dispatcher.max_start_chunks)
         for account in account_keys(managed.job):
             current.granted_cpus[account] = (
                 current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
             )
         for room in chosen[len(numbers) :]:
             room.take(managed.job, -1)  # the task is left for the next transaction
-        managed.starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
+        managed.placed_starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
         self.queue.touch(managed.job.id)
-        for number, machine in managed.starts:
+        for number, machine in managed.placed_starts:
             self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
         self.routines.signal(managed.name)
 
--- a/clayport/scheduling/policy_cache.py
+++ b/clayport/scheduling/policy_cache.py
@@ -50,7 +50,7 @@
         self._valid_until = now + self.settings.cluster.workers.report_s
         return self._policy
 
-    def learn(self, job: Job) -> None:
+    def note_accepted(self, job: Job) -> None:
         """Invalidate the cached policy if it does not cover an accepted job."""
         if self._policy is not None and not self._policy.covers(job):
             self._valid_until = -1e9
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -181,7 +181,7 @@
             return
         pending = managed.pending
         in_flight_entry = self.in_flight.pop(name, None)
-        if managed.starts or managed.being_placed:
+        if managed.placed_starts or managed.being_placed:
             self.in_flight[name] = (managed, pending)
         if managed.job.kind != SERVICE:
             self.shares.update_job(
@@ -191,7 +191,7 @@
                 pending,
                 managed.waiting_since,
             )
-        if pending <= 0 or managed.starts or managed.being_placed:
+        if pending <= 0 or managed.placed_starts or managed.being_placed:
             self._remove(name, known)
             return
         if now < managed.not_before:
@@ -199,7 +199,7 @@
             heappush(self.timers, (managed.not_before, name))
             return
         position = self.standing(managed, now)
-        group_key = managed.group
+        group_key = managed.placement_key
         group = self.groups.get(group_key)
         if (
             known is not None
--- a/clayport/scheduling/room_finder.py
+++ b/clayport/scheduling/room_finder.py
@@ -119,7 +119,7 @@
         """Return the conditions of the search for room for the job in this pass."""
         job = managed.job
         without: Collection[str] = (
-            {*managed.avoided(), *managed.lost_machines}
+            {*managed.avoided_machines(), *managed.lost_machines}
             if managed.errors or managed.lost_machines
             else ()
         )
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -143,7 +143,7 @@
             done = self.machines.preempt(
                 job, machine, grace_s, time.monotonic(), borrowing_teams, count
             )
-            self.fleet.poke(machine)
+            self.fleet.send_queued_commands(machine)
             return done
         try:
             done = bool(
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -86,7 +86,7 @@
         uniform: Draws the jitter of pauses between retries.
 
     Attributes:
-        heard: When the peer last answered or sent a heartbeat, on the monotonic clock.
+        last_heard_at: When the peer last answered or sent a heartbeat, on the monotonic clock.
         state_ok: Whether the state service answers the peer, by its latest heartbeat.
         epoch: The epoch in which the peer acts, by its latest heartbeat.
         room_rev: The revision of the peer's table of free room, by its latest heartbeat.
@@ -101,7 +101,7 @@
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
         self.label, self.host, self.port, self.timeout_s = label, host, port, timeout_s
-        self.heard = DISTANT_PAST_S
+        self.last_heard_at = DISTANT_PAST_S
         self.state_ok = False
         self.epoch = 0
         self.room_rev = 0
@@ -149,7 +149,7 @@
             self._pending.pop(number, None)
         if request.answer is None:
             raise PeerError(f"{self.label}: connection lost")
-        self.heard = time.monotonic()
+        self.last_heard_at = time.monotonic()
         await self.circuit.record(True)
         return request.answer
 
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -155,11 +155,11 @@
             headers.append(("Retry-After", str(retry_after_s)))
         return status, msgspec.json.encode(value), headers
 
-    # Returns a tuple, because `Fleet.report` answers a worker's report with a plain pair.
+    # Returns a tuple, because `Fleet.answer_report` answers a worker's report with a plain pair.
     async def _route(self, method: str, path: str, body: bytes) -> tuple[int, dict[str, Any]]:
         """Dispatch the request by path and method."""
         if path == "/v1/report":
-            return await self.fleet.report(body) if method == "POST" else METHOD_NOT_ALLOWED
+            return await self.fleet.answer_report(body) if method == "POST" else METHOD_NOT_ALLOWED
         if path == "/up":
             return self._health() if method == "GET" else METHOD_NOT_ALLOWED
         if path == "/api/jobs":
@@ -212,7 +212,7 @@
             return repeated
         self._admit(URGENT_PRIORITY_S)
         if job.prereqs:
-            cause = await self.prerequisites.find_fault(job.prereqs, deadline)
+            cause = await self.prerequisites.find_rejection_reason(job.prereqs, deadline)
             if cause:
                 return await self._refuse(job, 422, cause, deadline)
             if not self.upgrade.complete:
@@ -290,7 +290,7 @@
             job.kind,
             job.tasks,
         )
-        self.lifecycle.note_live(job, rev, self.lifecycle.since(submitted))
+        self.lifecycle.note_live(job, rev, self.lifecycle.to_monotonic(submitted))
         if self.rebuild.recovery is not None:
             await self.rebuild.recovery.second(rev, deadline)
         return Response(201, {"id": job.id, "status": "queued"})
--- a/tests/jobs/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -33,7 +33,7 @@
 )
 
 
-class Home:
+class SingleController:
     """One controller that leads every job and owns every machine, with a clock set by the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -48,9 +48,9 @@
         self.c.machines.begin(self.c.membership.epoch, "c0")
         self.seq = 0
 
-    def wait(self, job: Job) -> ManagedJob:
+    def add_job(self, job: Job) -> ManagedJob:
         self.c.jobs.live[job.id] = (job, 1)
-        self.c.placer.learn(job)
+        self.c.placer.note_accepted(job)
         managed = self.c.jobs.managed[job.id] = ManagedJob(job, 1, 50, self.now)
         self.c.queue.touch(job.id)
         return managed
@@ -71,7 +71,7 @@
             managed, SchedulingPass(self.now, self.c.view.index, placer.policy(), {}, None, {})
         )
 
-    def look(self) -> None:
+    def run_pass(self) -> None:
         """Run one scheduling pass and its preemption requests; no task is started."""
         self.c.queue.sweep()
         self.c.placer._pass(self.now)
@@ -89,7 +89,7 @@
 
 
 def test_room_held_after_preemption_expires(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.c.jobs.live[LOW.id] = (LOW, 1)
     harness.report("m1", "north", "accel", f"{LOW.id}/0")
     owner = harness.c.machines
@@ -115,7 +115,7 @@
     monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, grace: float
 ) -> None:
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert min(10.0, Home(monkeypatch).c.placer.room_maker.grace_s(job, age)) == grace
+    assert min(10.0, SingleController(monkeypatch).c.placer.room_maker.grace_s(job, age)) == grace
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
     monkeypatch: pytest.MonkeyPatch, fields: dict[str, Any], age: float, can_wait: bool
 ) -> None:
     """Jobs without an objective must not count as late and rent machines at 18 times the price."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
     assert harness.c.objectives.can_wait(harness.c.objectives.with_objectives(job), age) == can_wait
 
@@ -142,21 +142,21 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Otherwise urgent jobs run on expensive machines while cheap ones run jobs that can wait."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.c.jobs.live[LOW.id] = (LOW, 1)
     harness.report("m1", "north", "plain", *(f"{LOW.id}/{n}" for n in range(4)))
     harness.report("m2", "north", "accel")
-    urgent = harness.wait(msgspec.convert(wire_job(4, pieces=3, loaners=False, due_s=12.0), Job))
-    harness.look()
+    urgent = harness.add_job(msgspec.convert(wire_job(4, pieces=3, loaners=False, due_s=12.0), Job))
+    harness.run_pass()
     kills = harness.c.machines.machines["m1"].pending_kills
-    assert len(kills) == 3 and not urgent.starts
+    assert len(kills) == 3 and not urgent.placed_starts
     harness.now += 30.0  # preemption didn't help, so the expensive machine is used
     harness.report("m1", "north", "plain", *(f"{n}/0" for n in ("j-9", "j-8", "j-7", "j-6")))
     for n in ("j-9", "j-8", "j-7", "j-6"):
         harness.c.jobs.live[n] = (msgspec.convert(wire_job(9, rank="normal"), Job), 1)
     harness.report("m2", "north", "accel")
-    harness.look()
-    assert [m for _, m in urgent.starts] == ["m2"] * 3
+    harness.run_pass()
+    assert [m for _, m in urgent.placed_starts] == ["m2"] * 3
 
 
 def test_a_replica_preempts_the_next_rank_if_there_are_no_tasks_of_the_lowest(
@@ -164,25 +164,25 @@
 ) -> None:
     """An unsuccessful search for tasks of the lowest rank must not delay the search among higher
     ranks. Repeated delays of half a second made the start late."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     normal = msgspec.convert(wire_job(5, pieces=4), Job)
     harness.c.jobs.live[normal.id] = (normal, 1)
     harness.report("m1", "north", "plain", *(f"{normal.id}/{n}" for n in range(4)))
     harness.c.machines.machines["m1"].images["img-1"] = 1.0
-    harness.wait(
+    harness.add_job(
         msgspec.convert(
             wire_job(6, pieces=2, shape="daemon", jobclass="web", rank="production", loaners=False),
             Job,
         )
     )
-    harness.look()
+    harness.run_pass()
     assert len(harness.c.machines.machines["m1"].pending_kills) == 2
 
 
 def test_a_guarantee_is_claimed_if_no_lower_rank_can_be_preempted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     claims: list[str] = []
 
     async def claim(job: Job, machines: list[str]) -> None:
@@ -194,8 +194,8 @@
     gang = msgspec.convert(
         wire_job(7, pieces=1, cards=1.0, owner="tight", shape="ensemble", loaners=False), Job
     )
-    harness.wait(gang)
-    harness.look()
+    harness.add_job(gang)
+    harness.run_pass()
     assert claims == [gang.id]
 
 
@@ -221,9 +221,9 @@
 def test_jobs_that_missed_their_start_limit_come_after_those_that_can_meet_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.c.objectives.wait_limits["batch"] = 30.0
-    late, early = harness.wait(PAIR), harness.wait(SMALL)
+    late, early = harness.add_job(PAIR), harness.add_job(SMALL)
     late.waiting_since -= 40.0
     assert harness.order(early) < harness.order(late)
     late.waiting_since += 20.0
@@ -233,11 +233,11 @@
 def test_a_truncated_demand_report_keeps_the_most_urgent_jobs(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     caplog.set_level("INFO")
     for number in range(MAX_DEMAND_ROWS + 50):
         rank = "production" if number >= MAX_DEMAND_ROWS else "normal"
-        harness.wait(msgspec.convert(wire_job(number, rank=rank), Job))
+        harness.add_job(msgspec.convert(wire_job(number, rank=rank), Job))
     reported = {row[0] for row in harness.c.placer.demand_report.own_rows()}
     assert len(reported) == MAX_DEMAND_ROWS
     assert {f"j-{n:06d}" for n in range(MAX_DEMAND_ROWS, MAX_DEMAND_ROWS + 50)} <= reported
@@ -251,7 +251,7 @@
 ) -> None:
     """A peer pulls the changes since its last pull, and no change may be missing."""
     rng = random.Random(seed)
-    owner_side, harness = Home(monkeypatch), Home(monkeypatch)
+    owner_side, harness = SingleController(monkeypatch), SingleController(monkeypatch)
     owner, cached_state = owner_side.c.machines, harness.c.cached_state
     harness.c.jobs.live[LOW.id] = owner_side.c.jobs.live[LOW.id] = (LOW, 1)
     harness.c.membership.epoch = owner_side.c.membership.epoch = Epoch(1, {"c1": "y"}, 1)
@@ -275,7 +275,7 @@
         elif action == "reserve":
             owner.reserve(LOW, [(name, step)], 1, harness.now)
         elif action == "remove":
-            owner.removed([name])
+            owner.remove_machines([name])
         elif action == "drain":
             owner.drain(name)
         elif action == "hold":
@@ -301,13 +301,13 @@
 def test_changes_older_than_the_change_log_require_the_whole_table() -> None:
     owner = MachineTable(lambda _: None, lambda _: False, lambda *_: None, 5.0, 3.0)
     for number in range(5000):
-        owner.touch(f"m{number}")
+        owner.mark_room_changed(f"m{number}")
     assert len(owner.changes) <= 1000
     assert owner.changed(4999) == ["m4999"] and owner.changed(10) is None
     assert owner.changed(owner.room_rev + 1) is None  # a revision of the owner's previous process
 
 
-def record_searched_jobs(harness: Home, monkeypatch: pytest.MonkeyPatch) -> list[str]:
+def record_searched_jobs(harness: SingleController, monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Record the jobs for which room is searched from now on, in order."""
     found: list[str] = []
     room_finder = harness.c.placer.room_finder
@@ -340,22 +340,22 @@
 ) -> None:
     """Without postponement, each pass searches room for each of hundreds of waiting jobs, whatever
     has changed. But a change that lets a job be placed must never be missed."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     big: dict[str, Any] = {"vcpus": 8.0, "pieces": 3, "due_s": 1000.0}
     busy = msgspec.convert(wire_job(7, pieces=9, rank="production"), Job)
     harness.c.jobs.live[busy.id] = (busy, 1)
     harness.report("m1", "north", "plain", f"{busy.id}/0")
-    first = harness.wait(msgspec.convert(wire_job(1, **big), Job))
-    second = harness.wait(msgspec.convert(wire_job(2, **big), Job))
-    harness.look()
-    assert not first.starts and not second.starts
+    first = harness.add_job(msgspec.convert(wire_job(1, **big), Job))
+    second = harness.add_job(msgspec.convert(wire_job(2, **big), Job))
+    harness.run_pass()
+    assert not first.placed_starts and not second.placed_starts
     found = record_searched_jobs(harness, monkeypatch)
     if event != "a machine has room, a moment ago":
         harness.now += GATHER_SHARE * harness.c.settings.cluster.workers.report_s
     if event == "an equal job":
-        harness.wait(msgspec.convert(wire_job(3, **big), Job))
+        harness.add_job(msgspec.convert(wire_job(3, **big), Job))
     elif event == "another job":
-        harness.wait(msgspec.convert(wire_job(9, vcpus=16.0, due_s=1000.0), Job))
+        harness.add_job(msgspec.convert(wire_job(9, vcpus=16.0, due_s=1000.0), Job))
     elif event == "a full machine reports":
         harness.report("m1", "north", "plain", f"{busy.id}/0", f"{busy.id}/1")
     elif event.startswith("a machine has room"):
@@ -370,41 +370,41 @@
         harness.c.catalogue.types = [
             msgspec.structs.replace(t, price=t.price * 2) for t in harness.c.catalogue.types
         ]
-    harness.look()
+    harness.run_pass()
     assert [name for name in found if name in searched] == searched and (searched or not found)
     if event == "room kept for it":
-        assert [m for _, m in second.starts] == ["m2"] and not first.starts
+        assert [m for _, m in second.placed_starts] == ["m2"] and not first.placed_starts
 
 
 def test_a_pass_is_bounded_and_the_next_pass_continues(monkeypatch: pytest.MonkeyPatch) -> None:
     """After a restart of all controllers, an unbounded pass over all waiting jobs delays the
     answers to reports."""
     monkeypatch.setattr("clayport.scheduling.placer.MAX_PASS_WORK", 6)
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     for number in range(4):
         harness.report(f"m{number}", "north", "plain")
     jobs = [
-        harness.wait(msgspec.convert(wire_job(n, pieces=4, due_s=100.0 + n), Job))
+        harness.add_job(msgspec.convert(wire_job(n, pieces=4, due_s=100.0 + n), Job))
         for n in range(1, 5)
     ]
     signalled = []
     monkeypatch.setattr(harness.c.routines, "signal", lambda name: signalled.append(name))
     harness.c.placer._pass(harness.now)
-    assert [bool(managed.starts) for managed in jobs] == [
+    assert [bool(managed.placed_starts) for managed in jobs] == [
         True,
         True,
         False,
         False,
     ] and "place" in signalled
     harness.c.placer._pass(harness.now)
-    assert all(len(managed.starts) == 4 for managed in jobs)
-    assert len({m for managed in jobs for _, m in managed.starts}) == 4
+    assert all(len(managed.placed_starts) == 4 for managed in jobs)
+    assert len({m for managed in jobs for _, m in managed.placed_starts}) == 4
 
 
 def test_the_cached_room_of_a_machine_follows_every_change(monkeypatch: pytest.MonkeyPatch) -> None:
     """The free room of a machine is cached between reports. If a reserved, launched, ended, closed
     or unknown task doesn't invalidate it, the machine is filled twice."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     owner = harness.c.machines
     job = msgspec.convert(wire_job(4, pieces=4), Job)
     harness.c.jobs.live[job.id] = (job, 1)
@@ -445,8 +445,8 @@
 ) -> None:
     """Batching saves a commit for each task. It must not delay anything else, and new outcomes must
     not extend the wait."""
-    harness = Home(monkeypatch)
-    managed = harness.wait(msgspec.convert(wire_job(4, **fields), Job))
+    harness = SingleController(monkeypatch)
+    managed = harness.add_job(msgspec.convert(wire_job(4, **fields), Job))
     managed.outcomes = {n: (1, done) for n, done in ended}
     dispatch = harness.c.dispatcher
     assert dispatch._waits_for_more_outcomes(managed, harness.now) == waits
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -24,7 +24,7 @@
 from clayport.scheduling.dependencies import DependencyGraph
 from clayport.settings import ConfigError, parse
 from clayport.transport import frames
-from tests.jobs.test_dispatch import Home
+from tests.jobs.test_dispatch import SingleController
 from tests.world import SETTINGS, Clock, World, job, simulate
 
 
@@ -651,7 +651,7 @@
 ) -> None:
     """Without this rule, a tenth of all tasks on a saturated fleet were preempted for jobs with
     time to spare."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c = harness.c
     for description in (make_job(1, rank="best_effort"), make_job(2, 1, rank="high", due_s=100.0)):
         c.jobs.dependencies.add(description, harness.now)
@@ -682,7 +682,7 @@
     monkeypatch: pytest.MonkeyPatch, reported: dict[str, tuple[int, int]], rev: int, upgraded: bool
 ) -> None:
     """All configured controllers have reported the new version before the epoch began."""
-    c = Home(monkeypatch).c
+    c = SingleController(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
     c.upgrade.formats, c.membership.epoch = reported, Epoch(9, {"c0": "x"}, rev)
     c.versions.count_versions()
--- a/tests/leases/test_cancellations.py
+++ b/tests/leases/test_cancellations.py
@@ -119,7 +119,7 @@
         return all(
             job in self.known_to_renewer
             for job, at in self.disclosed_at.items()
-            if at < self.watermark.known_until()
+            if at < self.watermark.disclosures_known_until()
         )
 
 
@@ -173,7 +173,7 @@
 def promises_count_without_reading_the_records(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
         CancellationWatermark,
-        "known_until",
+        "disclosures_known_until",
         lambda self: max(self.records_read_at, *self.valid_until.values()),
     )
 
--- a/tests/machines/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -19,7 +19,7 @@
 KEY = ("j-000001/0", 1)
 
 
-class Bench:
+class OwnerHarness:
     """A table of machines with one machine, whose reports the test supplies."""
 
     def __init__(self) -> None:
@@ -105,7 +105,7 @@
     ],
 )
 def test_task_is_gone_only_by_proof(steps: list[str], gone: bool) -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.report()
     sent: tuple[list[Any], list[Any]] = ([], [])
@@ -118,7 +118,7 @@
             bench.machine.fenced = False
             bench.owner.adopt([("m1", *KEY)], 0.0)
         elif step == "send":
-            sent = bench.owner.orders(bench.machine)
+            sent = bench.owner.commands_to_send(bench.machine)
         elif step == "answer":
             bench.owner.answered(bench.machine, *sent)
         elif step == "lost":
@@ -140,11 +140,11 @@
 
 def test_unanswered_command_raises_the_token() -> None:
     """A command in flight is void once the worker has seen a higher token."""
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.launch()
     token = bench.machine.token
-    _, launches = bench.owner.orders(bench.machine)
+    _, launches = bench.owner.commands_to_send(bench.machine)
     bench.owner.unanswered(bench.machine, launches, True, 0.0)
     assert bench.machine.token > token and not bench.machine.fenced
     # A request that was never sent leaves no command in flight.
@@ -154,7 +154,7 @@
 
 def test_launch_needs_an_existing_reservation() -> None:
     """A launch request delayed in the network must not start a settled attempt again."""
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     assert bench.owner.launch([("m1", *KEY)]) == [0]
     bench.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
@@ -164,16 +164,16 @@
 
 
 def test_launch_is_idempotent() -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.launch()
-    bench.owner.answered(bench.machine, *bench.owner.orders(bench.machine))
+    bench.owner.answered(bench.machine, *bench.owner.commands_to_send(bench.machine))
     assert bench.owner.launch([("m1", *KEY)]) == [1]
-    assert bench.owner.orders(bench.machine) == ([], [])
+    assert bench.owner.commands_to_send(bench.machine) == ([], [])
 
 
 def test_room_counts_everything_that_may_run() -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     assert bench.owner.reserve(JOB, [("m1", n) for n in range(5)], 1, 0.0) == [True] * 4 + [False]
     assert bench.owner.room(bench.machine).cpus == 0.0
@@ -181,7 +181,7 @@
 
 def test_new_idle_machine_raises_the_room_revision() -> None:
     """Peers fetch a table only if its revision has changed, or they miss new machines."""
-    bench = Bench()
+    bench = OwnerHarness()
     before = bench.owner.room_rev
     bench.report()
     assert bench.owner.room_rev > before
@@ -189,7 +189,7 @@
     bench.report()
     assert bench.owner.room_rev == before
     bench.report(notice=10.0)
-    assert bench.owner.room_rev > before and not bench.owner.open(bench.machine)
+    assert bench.owner.room_rev > before and not bench.owner.accepts_work(bench.machine)
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
     Commands under the previous token are void, but a report under the new token does not prove
     that a queued task is gone.
     """
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.launch()
     token = bench.machine.token + raised_by
@@ -232,15 +232,19 @@
 def test_machine_with_expired_lease_takes_no_work(
     reports: list[tuple[int, bool]], accepts_work: bool
 ) -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     for seq, (session, reported) in enumerate(reports, 1):
         report = WorkerHeartbeat("m1", "m1:1", "plain", "north", False, session, seq, 1, [])
         bench.owner.take_report(report, float(seq), reported)
-    assert bench.owner.open(bench.machine) == accepts_work == bench.owner.room(bench.machine).open
+    assert (
+        bench.owner.accepts_work(bench.machine)
+        == accepts_work
+        == bench.owner.room(bench.machine).open
+    )
 
 
 def test_new_epoch_keeps_machines_and_clears_their_tasks() -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.report(RUN)
     token = bench.machine.token
@@ -251,17 +255,17 @@
 
 
 def test_unhealthy_machine_takes_no_work() -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.report((KEY, "exited", "error"))
-    assert bench.owner.open(bench.machine)
+    assert bench.owner.accepts_work(bench.machine)
     bench.report((KEY, "exited", "error"), (("j-000002/0", 1), "exited", "error"))
-    assert not bench.owner.open(bench.machine)
+    assert not bench.owner.accepts_work(bench.machine)
 
 
 def test_preemption_saves_checkpoints_within_the_grace_period() -> None:
     for grace, expected in ((10.0, 4.0), (1.0, 0.0)):
-        bench = Bench()
+        bench = OwnerHarness()
         low = msgspec.convert(
             wire_job(1, pieces=9, rank="best_effort", snapshot_every_s=15.0, snapshot_s=4.0), Job
         )
@@ -278,7 +282,7 @@
 
 @pytest.mark.parametrize("borrowers, stopped", [([], False), (["free"], True), (["tight"], False)])
 def test_guaranteed_quota_preempts_borrowing_teams(borrowers: list[str], stopped: bool) -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.report(*(((f"j-000001/{n}", 1), "running", "") for n in range(4)))
     claim = msgspec.convert(wire_job(2, owner="tight"), Job)
@@ -292,7 +296,7 @@
 )
 def test_leaders_get_events_of_a_returned_machine(steps: list[str], emitted: bool) -> None:
     """A leader that takes over after the return is announced would otherwise wait forever."""
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     if "reserve" in steps:
         bench.owner.reserve(JOB, [("m1", 0)], 1, 0.0)
@@ -301,7 +305,7 @@
     if "adopt" in steps:
         bench.owner.machine("m1", 0.0).known = False
         bench.owner.adopt([("m1", *KEY)], 0.0)
-    bench.owner.removed(["m1"])
+    bench.owner.remove_machines(["m1"])
     assert bench.gone() == emitted and "m1" not in bench.owner.machines
 
 
@@ -352,10 +356,10 @@
 
 def test_uncleared_exit_is_emitted_again() -> None:
     """If the leader's answer is lost, the machine would stay rented until the next epoch."""
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.launch()
-    bench.owner.answered(bench.machine, *bench.owner.orders(bench.machine))
+    bench.owner.answered(bench.machine, *bench.owner.commands_to_send(bench.machine))
     done = (KEY, "exited", "done")
     bench.report(done)
     emitted = len(bench.events)
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -18,7 +18,7 @@
 from clayport.scheduling.queueing.queue import IN_TIME, LATE, LATE_STEP, STARTS_LATE
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
-from tests.jobs.test_dispatch import Home
+from tests.jobs.test_dispatch import SingleController
 from tests.world import job as wire_job
 
 
@@ -136,7 +136,7 @@
     group = harness.queue.entries[managed.job.id].group
     group.has_new_demand = False
     if event == "starts":
-        managed.starts = [(0, "m1")]
+        managed.placed_starts = [(0, "m1")]
     elif event in ("ended", "blocked"):
         setattr(managed, event, "done" if event == "ended" else True)
     elif event == "paused":
@@ -154,16 +154,16 @@
         # The job returns with as many waiting tasks as before, or with one more that found no
         # room.
         for pending, new_demand in ((6, False), (7, True)):
-            managed.starts, managed.done = [], 8 - pending
+            managed.placed_starts, managed.done = [], 8 - pending
             harness.queue.touch(managed.job.id)
             other = harness.add(make_job(2, pieces=8))
             harness.order(1.0)
             group = harness.queue.entries[other.job.id].group
             group.has_new_demand = False
-            managed.starts = [(0, "m1")]
+            managed.placed_starts = [(0, "m1")]
             harness.queue.touch(managed.job.id)
             harness.order(1.0)
-            managed.starts, managed.done = [], 8 - pending - int(new_demand)
+            managed.placed_starts, managed.done = [], 8 - pending - int(new_demand)
             harness.queue.touch(managed.job.id)
             harness.order(1.0)
             assert group.has_new_demand == new_demand
@@ -194,7 +194,7 @@
             managed = harness.managed_jobs[rng.choice(sorted(harness.managed_jobs))]
             action = rng.random()
             if action < 0.3:
-                managed.starts = [] if managed.starts else [(0, "m")]
+                managed.placed_starts = [] if managed.placed_starts else [(0, "m")]
             elif action < 0.5:
                 managed.done = min(managed.job.tasks, managed.done + 1)
             elif action < 0.6:
@@ -210,12 +210,12 @@
         expected = {
             n
             for n, managed in harness.managed_jobs.items()
-            if managed.pending > 0 and not managed.starts and managed.not_before <= now
+            if managed.pending > 0 and not managed.placed_starts and managed.not_before <= now
         }
         assert len(found) == len(set(found)) and set(found) == expected
         for name, entry in harness.queue.entries.items():
             assert entry.band == harness.queue.standing(harness.managed_jobs[name], now)[0]
-            assert entry.group is harness.queue.groups[harness.managed_jobs[name].group]
+            assert entry.group is harness.queue.groups[harness.managed_jobs[name].placement_key]
         running = sum(
             account.waiting_cpus
             for (kind, _, _), account in harness.queue.shares.accounts.items()
@@ -231,13 +231,13 @@
     monkeypatch: pytest.MonkeyPatch, jobs: int
 ) -> None:
     """A pass took ten times as long with ten times as many waiting jobs and no changes."""
-    home = Home(monkeypatch)
+    home = SingleController(monkeypatch)
     busy = make_job(9999, pieces=9, rank="production")
     home.c.jobs.live[busy.id] = (busy, 1)
     home.report("m1", "north", "plain", f"{busy.id}/0")
     for number in range(jobs):
-        home.wait(make_job(number, vcpus=8.0, due_s=1000.0))
-    home.look()
+        home.add_job(make_job(number, vcpus=8.0, due_s=1000.0))
+    home.run_pass()
     visited = []
     update_entry = home.c.queue._update_entry
     monkeypatch.setattr(
@@ -314,13 +314,15 @@
     assert 0 < shares.owed(50.0)["class", False, "low"].share_cpus <= most + 1e-6
 
 
-def overloaded_fleet(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, ManagedJob]:
+def overloaded_fleet(
+    monkeypatch: pytest.MonkeyPatch, machines: int = 9
+) -> tuple[SingleController, ManagedJob]:
     """A fleet that is full with tasks of one job of rank normal, of which more tasks wait."""
-    home = Home(monkeypatch)
+    home = SingleController(monkeypatch)
     home.c.objectives.finish_limits["low"] = 60.0
     home.c.queue.shares.tolerated_wait_s = {"low": 30.0}
     home.c.objectives.classes.add("low")
-    flood = home.wait(make_job(1, pieces=400, due_s=1000.0, guess_s=50.0))
+    flood = home.add_job(make_job(1, pieces=400, due_s=1000.0, guess_s=50.0))
     flood.load({})
     chunk = Chunk()
     for n in range(4 * machines):
@@ -328,7 +330,7 @@
     flood.load({0: chunk})
     for m in range(machines):
         home.report(f"m{m}", "north", "plain", *(f"{flood.job.id}/{4 * m + n}" for n in range(4)))
-    home.look()
+    home.run_pass()
     home.now += 1.0
     return home, flood
 
@@ -347,21 +349,21 @@
 ) -> None:
     """While a higher rank overloaded the fleet, the lowest rank got no room at all."""
     home, flood = overloaded_fleet(monkeypatch)
-    low = home.wait(
+    low = home.add_job(
         make_job(2, jobclass="low", rank=rank, pieces=4, vcpus=free and 4.0, guess_s=5.0)
     )
     low.waiting_since -= waited
     left = [f"{flood.job.id}/{n}" for n in range(free // 2, 4)]
     home.report("m0", "north", "plain", *left)
-    home.look()
-    assert bool(low.starts) == served
+    home.run_pass()
+    assert bool(low.placed_starts) == served
     assert not any(m.pending_kills for m in home.c.machines.machines.values())
 
 
 def test_tasks_within_a_share_are_not_preempted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without this protection a task would be preempted as soon as its share had started it."""
     home, flood = overloaded_fleet(monkeypatch)
-    low = home.wait(
+    low = home.add_job(
         make_job(2, jobclass="low", rank="best_effort", pieces=8, vcpus=4.0, guess_s=50.0)
     )
     chunk = Chunk()
@@ -370,11 +372,11 @@
     flood.waiting_since -= 940.0  # almost late, so it may preempt lower ranks
     home.report("m0", "north", "plain", f"{low.job.id}/0", f"{low.job.id}/1")
     low.waiting_since -= 25.0
-    home.look()
+    home.run_pass()
     assert not home.c.machines.machines["m0"].pending_kills
     home.c.queue.shares.tolerated_wait_s = {"low": 1e9}  # no shares any more
     home.now += home.c.membership.lease_ttl_s
-    home.look()
+    home.run_pass()
     assert home.c.machines.machines["m0"].pending_kills
 
 
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -31,8 +31,8 @@
 from clayport.scaling.provisioning import plan_rentals
 from clayport.scheduling.policy import NO_POLICY
 from clayport.scheduling.queueing.shares import FairShare
-from tests.jobs.test_dispatch import Home
-from tests.machines.test_workers import JOB, KEY, Bench
+from tests.jobs.test_dispatch import SingleController
+from tests.machines.test_workers import JOB, KEY, OwnerHarness
 from tests.world import TYPES, Clock, simulate
 from tests.world import job as wire_job
 
@@ -88,7 +88,7 @@
     """Failures that arrive together count as one retry, so that a fault of a few seconds delays
     the job only briefly."""
     managed, _, until = job_after_events("eeeeeeeeee")
-    assert until == 11.0 and managed.avoided() == {"m9"}
+    assert until == 11.0 and managed.avoided_machines() == {"m9"}
     for number, pause in ((10, 2.0), (11, 4.0)):
         managed.handle_event(f"m{number}", number, 1, "exited", "error", until)
         assert managed.not_before == until + pause
@@ -98,31 +98,31 @@
 def test_a_job_at_fault_is_retried_on_one_machine_and_adds_no_demand(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     for name in ("m1", "m2", "m3", "m4"):
         harness.report(name, "north", "plain")
-    managed = harness.wait(make_job(1, pieces=16))
+    managed = harness.add_job(make_job(1, pieces=16))
     managed.errors = {"m1": 2, "m2": 1, "m3": 1}
     assert harness.c.placer.demand_report.own_rows() == []
-    harness.look()
-    assert len(managed.starts) == 1 and managed.starts[0][1] != "m3"
+    harness.run_pass()
+    assert len(managed.placed_starts) == 1 and managed.placed_starts[0][1] != "m3"
 
 
 @pytest.mark.parametrize("state, starts", [("running", 1), ("pulling", 0)])
 def test_a_replica_is_retried_while_others_run_but_not_while_one_is_pulling(
     monkeypatch: pytest.MonkeyPatch, state: str, starts: int
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.report("m4", "north", "plain")
-    managed = harness.wait(make_job(1, pieces=2, shape="daemon", loaners=False))
+    managed = harness.add_job(make_job(1, pieces=2, shape="daemon", loaners=False))
     chunk = Chunk()
     chunk.assigned = {0: (1, "m9")}
     managed.load({0: chunk})
     managed.handle_event("m9", 0, 1, state, "", harness.now)
     managed.errors = {"m1": 1, "m2": 1, "m3": 1}
     assert managed.at_fault
-    harness.look()
-    assert len(managed.starts) == starts
+    harness.run_pass()
+    assert len(managed.placed_starts) == starts
 
 
 ERROR = (KEY, "exited", "error")
@@ -150,15 +150,15 @@
 def test_errors_of_a_job_at_fault_close_no_machine(
     steps: list[tuple[Any, ...]], unhealthy: bool
 ) -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     for what, *args in steps:
         if what == "report":
             bench.report(*args)
         elif what == "judge":
-            bench.owner.judge("m1", *args)
+            bench.owner.record_verdict("m1", *args)
         else:
-            bench.owner.ended(*args)
+            bench.owner.job_ended(*args)
     assert bench.owner.is_unhealthy(bench.machine) == unhealthy
 
 
@@ -181,14 +181,14 @@
     it applied beside higher ranks as well, backfill waited for most of a day while a third of
     the fleet was free.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     for number in range(8):
         harness.report(f"m{number}", "north", "plain")  # 64 CPUs
     for number in range(4):
         harness.c.machines.machines[f"m{number}"].spot = True
     harness.c.machines.mark_all_changed()
-    backfill_job = harness.wait(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
-    late = harness.wait(make_job(2, rank=rank, pieces=4, loaners=False))
+    backfill_job = harness.add_job(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
+    late = harness.add_job(make_job(2, rank=rank, pieces=4, loaners=False))
     late.waiting_since -= 500.0
     assert harness.order(late) < harness.order(backfill_job)
     if fair_share:
@@ -196,10 +196,10 @@
             ("class", False, "unnamed"): FairShare(fair_share, fair_share, 64.0, 0)
         }
         harness.c.placer.owed_until = math.inf
-    harness.look()
-    assert len(late.starts) == 4 and len(backfill_job.starts) == tasks
-    used = {m for _, m in late.starts}
-    assert {m for _, m in backfill_job.starts} <= {"m0", "m1", "m2", "m3"} | used
+    harness.run_pass()
+    assert len(late.placed_starts) == 4 and len(backfill_job.placed_starts) == tasks
+    used = {m for _, m in late.placed_starts}
+    assert {m for _, m in backfill_job.placed_starts} <= {"m0", "m1", "m2", "m3"} | used
 
 
 def test_hindered_jobs_are_looked_up_again_when_cached_ones_end(
@@ -210,7 +210,7 @@
     When the last cached job has ended, the next one is found at once and not only after the
     lookup interval of a quarter of a second.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     placer, live = harness.c.placer, harness.c.jobs.live
     jobs = [
         make_job(1, rank="best_effort"),
@@ -243,7 +243,7 @@
 ) -> None:
     """Draining kills only backfill tasks that save their progress, because these can continue on
     another machine. Other backfill tasks run to their end on the closed machine."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     backfill_job = make_job(1, jobclass="unnamed", rank="best_effort", **fields)
     harness.c.jobs.live[backfill_job.id] = (backfill_job, 1)
     harness.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
@@ -254,21 +254,24 @@
     harness.report("m1", "north", "plain", "j-000001/0", "j-000001/1")
     assert owner.room(owner.machines["m1"]).idle_since == idle_since
     assert not owner.drain("m1")  # the machine still holds both tasks
-    assert not owner.open(owner.machines["m1"]) and len(owner.machines["m1"].pending_kills) == kills
+    assert (
+        not owner.accepts_work(owner.machines["m1"])
+        and len(owner.machines["m1"].pending_kills) == kills
+    )
     harness.report("m1", "north", "plain")
     assert owner.drain("m1")
 
 
 def test_backfill_alone_takes_all_free_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.report("m1", "north", "plain")
-    backfill_job = harness.wait(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
-    harness.look()
-    assert len(backfill_job.starts) == 4
+    backfill_job = harness.add_job(make_job(1, jobclass="unnamed", rank="best_effort", pieces=32))
+    harness.run_pass()
+    assert len(backfill_job.placed_starts) == 4
 
 
 def test_backfill_is_preempted_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     objective_job, backfill_job = (
         make_job(1, rank="best_effort"),
         make_job(2, rank="best_effort", jobclass="unnamed"),
@@ -289,20 +292,20 @@
 ) -> None:
     """After a stall of a few seconds a controller must not treat its peers and machines as silent,
     because it would leave the epoch and inspect every machine."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c = harness.c
     harness.report("m1", "north", "plain")
     for label in ("c1", "c2"):
         c.membership.present[label] = label
         if label in c.peers:
-            c.peers[label].heard = harness.now
+            c.peers[label].last_heard_at = harness.now
     assert c.stalls.check(harness.now)
     harness.now += stall_s + 0.2
     known = c.stalls.check(harness.now)
     assert known == (stall_s == 0.0)
     assert c.membership.rescan and (stall_s == 0.0 or not c.store.ok)
-    assert harness.now - c.machines.machines["m1"].heard < c.fleet.silent_s
-    heard = {label: c.peers[label].heard for label in c.peers}
+    assert harness.now - c.machines.machines["m1"].last_heard_at < c.fleet.silent_s
+    heard = {label: c.peers[label].last_heard_at for label in c.peers}
     assert not should_leave(
         harness.now, c.membership.label, heard, heard, 1.5 * c.membership.lease_ttl_s
     )
@@ -315,7 +318,7 @@
 def test_a_submission_after_a_stall_is_refused_until_membership_is_confirmed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     harness.c.jobs.ended["j-000001"] = "done"  # so that no request to the state service is needed
     body = msgspec.json.encode(wire_job(1))
     found = []
@@ -343,7 +346,7 @@
 
     Without `processor_admission` the submissions of the last three rows are accepted.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c = harness.c
     c.jobs.ended["j-000002"] = "done"
     c.membership.serving = True
@@ -374,7 +377,7 @@
 def test_timer_delay_is_measured_at_the_next_timer(
     monkeypatch: pytest.MonkeyPatch, busy_s: float
 ) -> None:
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
 
     async def main(clock: Clock) -> None:
         watching = await curio.spawn(harness.c.stalls.detect_stalls)
@@ -530,7 +533,7 @@
     Both would use the same attempt number, the second reservation would replace the launch of the
     first, and its release would report running tasks as gone. Eleven tasks ran twice that way.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c = harness.c
     harness.report("m1", "north", "plain")
     job = make_job(1)
@@ -540,7 +543,7 @@
     old.load({0: Chunk()})
     for prepare in ("starts", "outcomes", "adopt"):
         if prepare == "starts":
-            old.starts = [(n, "m1") for n in old.take_pending(2)]
+            old.placed_starts = [(n, "m1") for n in old.take_pending(2)]
         elif prepare == "outcomes":
             old.chunks[0].assigned[2] = (1, "m1")
             old.handle_event("m1", 2, 1, "exited", "stopped", harness.now)
@@ -553,10 +556,10 @@
 
 
 def test_a_reservation_never_replaces_an_existing_assignment() -> None:
-    bench = Bench()
+    bench = OwnerHarness()
     bench.report()
     bench.launch()
-    bench.owner.orders(bench.machine)
+    bench.owner.commands_to_send(bench.machine)
     for _ in range(2):  # first with the launch sent, then with the task reported
         assert bench.owner.reserve(JOB, [("m1", 0)], 1, 1.0) == [False]
         bench.owner.stop([("m1", *KEY, 0.0, False)])
@@ -607,7 +610,7 @@
     If it tried the same four each time, although their owner can't drain them yet, all other idle
     machines would stay rented for minutes.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c, returned = harness.c, []
     job = make_job(1)
     c.jobs.live[job.id] = (job, 1)
@@ -649,7 +652,7 @@
     The round first evaluates all four together, because an evaluation for each machine took half
     of all processor time on a large fleet with little work.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c, returned_names, evaluated = harness.c, [], []
     for number in range(6):  # of 8 CPUs each
         harness.report(f"m{number}", "north", "plain")
@@ -690,20 +693,20 @@
     the ninth minute: the arrays held the quarter of the fleet that all jobs without an objective
     share, and no machine was rented for the gangs.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     for number in range(8):
         harness.report(f"m{number}", "north", "plain", *(f"j-000007/{number}{n}" for n in range(4)))
     backfill_job = make_job(7, jobclass="unnamed", rank="best_effort", pieces=100)
     harness.c.jobs.live[backfill_job.id] = (backfill_job, 1)
     harness.c.machines.mark_all_changed()
-    gang = harness.wait(
+    gang = harness.add_job(
         make_job(
             1, jobclass="unnamed", shape="ensemble", pieces=1, vcpus=16.0, cards=2.0, loaners=False
         )
     )
-    harness.wait(make_job(2, pieces=4))  # an array with an objective
-    harness.look()
-    assert gang.starts == []  # no machine fits yet
+    harness.add_job(make_job(2, pieces=4))  # an array with an objective
+    harness.run_pass()
+    assert gang.placed_starts == []  # no machine fits yet
     waiting = harness.c.placer.demand_report.whole_epoch()
     bought = harness.c.provisioner.planner.plan_backfill(
         waiting, 64.0, harness.c.cached_state.index(), harness.c.placer.policy()
@@ -716,14 +719,14 @@
     harness.c.jobs.live[other.id] = (other, 1)
     harness.c.machines.mark_all_changed()
     harness.now += harness.c.membership.lease_ttl_s
-    harness.look()
-    assert gang.starts == [] and harness.c.machines.machines["m10"].pending_kills == {}
+    harness.run_pass()
+    assert gang.placed_starts == [] and harness.c.machines.machines["m10"].pending_kills == {}
     assert {k[0] for k in harness.c.machines.machines["m9"].pending_kills} == {
         f"j-000007/9{n}" for n in range(4)
     }
     harness.report("m9", "north", "accel")
-    harness.look()
-    assert gang.starts == [(0, "m9")]
+    harness.run_pass()
+    assert gang.placed_starts == [(0, "m9")]
 
 
 @pytest.mark.parametrize(
@@ -750,7 +753,7 @@
     `epoch` is the epoch of the highest token that the worker has seen; this controller is in
     epoch 4.
     """
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     c = harness.c
     c.transition.begin(Epoch(4, {"c1": "first"}, 7))
     c.membership.records_loaded = True
--- a/tests/system/test_model.py
+++ b/tests/system/test_model.py
@@ -443,7 +443,7 @@
     machine = owner.machines[worker.name]
     # The reservation makes the replica move to another machine.
     machine.held_for_job, machine.held_until = "other", clock() + 25.0
-    owner.touch(worker.name)
+    owner.mark_room_changed(worker.name)
     owner.stop([(worker.name, *next(k for k in worker.on() if k[0] == key[0]), 0.0, False)])
     while machines_with_task() in ([], [worker]):
         await curio.sleep(0.5)
--- a/tests/system/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -11,7 +11,7 @@
 from clayport.model import Job
 from clayport.scaling.arrivals import Arrivals
 from clayport.transport import frames
-from tests.jobs.test_dispatch import Home
+from tests.jobs.test_dispatch import SingleController
 from tests.world import job as wire_job
 
 MACHINES = 3 * 639
@@ -22,7 +22,7 @@
 ) -> None:
     """One owner has all machines, its table is read whole and incrementally, and as many jobs are
     queued: no row is lost, and each frame is within its size limit."""
-    harness = Home(monkeypatch)
+    harness = SingleController(monkeypatch)
     rng = random.Random(1)
     busy = msgspec.convert(wire_job(1, pieces=4 * MACHINES, rank="production"), Job)
     harness.c.jobs.live[busy.id] = (busy, 1)
@@ -45,8 +45,8 @@
     assert changed is not None and len(changed) == (MACHINES + 1) // 2
     assert len(harness.c.cached_state.table(before, [])[4]) == (MACHINES + 1) // 2
     for n in range(MACHINES):
-        harness.wait(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
-    harness.look()
+        harness.add_job(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
+    harness.run_pass()
     assert len(harness.c.queue.entries) == MACHINES
     rows = harness.c.placer.demand_report.own_rows()
     assert {row[0] for row in rows} == {f"j-{10 + n:06d}" for n in range(len(rows))}
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -374,7 +374,7 @@
     c.watermark.note_records_read(now)
     assert send() == 200
     peer = c.peers["c1"]
-    peer.heard, peer.epoch, peer.state_ok = now, 4, True
+    peer.last_heard_at, peer.epoch, peer.state_ok = now, 4, True
     assert send() == 200  # the state service answers, so the watch will report the new epoch
     c.store.last_failed_at, c.store.last_served_at = now + 1, now - 100
     assert send() == 421
--- a/tests/transport/test_peers.py
+++ b/tests/transport/test_peers.py
@@ -140,9 +140,9 @@
     async def caller(peer: peers.Peer) -> Any:
         with pytest.raises(peers.PeerError, match="c1: TaskTimeout"):
             await peer.call(frames.COUNTS, COUNTS)
-        assert peer.heard == peers.DISTANT_PAST_S
+        assert peer.last_heard_at == peers.DISTANT_PAST_S
         answer = await peer.call(frames.COUNTS, COUNTS)
-        assert peer.heard > 0
+        assert peer.last_heard_at > 0
         return answer
 
     assert call_peer(handler, caller, 0.2) == (True, 1, 2)
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -99,7 +99,7 @@
                     await curio.spawn(self._deliver_late(serve), daemon=True)
             except (http.NoAnswerError, curio.TaskTimeout) as exc:
                 raise peers.PeerError(str(exc)) from None
-            peer.heard = self.clock()
+            peer.last_heard_at = self.clock()
             return answer
 
         peer.call = call  # type: ignore[method-assign]
@@ -119,7 +119,9 @@
             for peer in controller.peers.values()
         ]
         duties += [
-            await curio.spawn(controller.routines.duty, controller.fleet.tell, label, daemon=True)
+            await curio.spawn(
+                controller.routines.duty, controller.fleet.deliver_events, label, daemon=True
+            )
             for label in self.labels
         ]
         try:
