--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -143,8 +143,8 @@
             controller.peers, controller.settings.cluster.workers.lease_s, 0.0
         )
         controller.membership.epoch = Epoch(1, {"host-0": "x", "host-1": "y"}, 1)
-        controller.machines.begin(controller.membership.epoch, label)
-        controller.cached_state.begin()
+        controller.machines.begin_epoch(controller.membership.epoch, label)
+        controller.cached_state.begin_epoch()
         controllers.append(controller)
     return controllers[0], controllers[1]
 
@@ -303,7 +303,7 @@
     controller = fixtures.build_controller()
     controller.jobs.live["j-000001"] = (fixtures.build_job(1, pieces=100_000), 1)
     controller.membership.epoch = Epoch(1, {leader: "x"}, 1)
-    controller.machines.begin(controller.membership.epoch, "host-0")
+    controller.machines.begin_epoch(controller.membership.epoch, "host-0")
     make(controller, 0)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -68,7 +68,7 @@
     controller.catalogue.types = fleets.MACHINE_TYPES
     controller.machines.types = {t.name: t for t in fleets.MACHINE_TYPES}
     controller.membership.epoch = Epoch(1, {"host-0": "x"}, 1)
-    controller.machines.begin(controller.membership.epoch, "host-0")
+    controller.machines.begin_epoch(controller.membership.epoch, "host-0")
     return controller
 
 
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -41,9 +41,9 @@
 from clayport.membership.transition import EpochTransition
 from clayport.peer_requests import PeerRequests
 from clayport.rebuild.support import RebuildSupport
-from clayport.records.lookups import Lookups
 from clayport.records.progress import ReadProgress
 from clayport.records.replica import RecordReplica
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.records.versions import VersionTracker
@@ -124,7 +124,9 @@
             cluster.size,
             uniform,
         )
-        self.lookups = Lookups(self.store, 4 * cluster.state.txn_ops, POLL_TIMEOUT_S / 3)
+        self.revision_checks = RevisionChecks(
+            self.store, 4 * cluster.state.txn_ops, POLL_TIMEOUT_S / 3
+        )
         self.cloud = Cloud(
             *endpoint(services.cloud, "services.cloud"), cluster.cloud.rps, lease_s, uniform
         )
@@ -226,7 +228,7 @@
         self.progress = ReadProgress(self.watermark)
         self.versions = VersionTracker(
             jobs=self.jobs,
-            lookups=self.lookups,
+            revision_checks=self.revision_checks,
             membership=self.membership,
             routines=self.routines,
             settings=self.settings,
@@ -250,7 +252,7 @@
         self.prerequisites = PrerequisiteLookup(
             jobs=self.jobs,
             lifecycle=self.lifecycle,
-            lookups=self.lookups,
+            revision_checks=self.revision_checks,
             membership=self.membership,
             routines=self.routines,
             store=self.store,
@@ -359,7 +361,7 @@
             fleet=self.fleet,
             jobs=self.jobs,
             lifecycle=self.lifecycle,
-            lookups=self.lookups,
+            revision_checks=self.revision_checks,
             membership=self.membership,
             objectives=self.objectives,
             peers=self.peers,
--- a/clayport/jobs/commits.py
+++ b/clayport/jobs/commits.py
@@ -63,7 +63,7 @@
             UnavailableError: The transaction was never sent.
         """
         may_be_applied = False
-        attempt = self.store.begin()
+        attempt = self.store.begin_request()
         while True:
             if self.membership.epoch.rev != fence:
                 raise EpochEndedError
@@ -73,7 +73,7 @@
                 may_be_applied = True
             except TransactionTooLargeError:
                 if may_be_applied:
-                    raise ConflictError([k for k in txn.when if k != EPOCH_KEY]) from None
+                    raise ConflictError([k for k in txn.required_revs if k != EPOCH_KEY]) from None
                 raise
             except UnavailableError:
                 if not may_be_applied:
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -111,7 +111,7 @@
         # event, and the kills of a cancelled job would never be sent.
         name = managed.name
         epoch = self.membership.epoch
-        attempt = self.store.begin()
+        attempt = self.store.begin_request()
         try:
             await self.owner_requests.adopt(managed)
             while self.membership.epoch is epoch:
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -58,7 +58,9 @@
 class JobLeader(Protocol):
     """Schedules the jobs that this controller leads."""
 
-    def lead(self, job: Job, rev: int, chunks: dict[tuple[int, int], Chunk], ended: str) -> None:
+    def start_leading(
+        self, job: Job, rev: int, chunks: dict[tuple[int, int], Chunk], ended: str
+    ) -> None:
         """Start leading a job."""
         ...
 
@@ -169,7 +171,7 @@
             and self.membership.epoch.member_for(job.id) == self.membership.label
             and job.id not in self.jobs.managed
         ):
-            self.failover.lead(self.jobs.live[job.id][0], rev, {}, "")
+            self.failover.start_leading(self.jobs.live[job.id][0], rev, {}, "")
             self.routines.signal("place")
 
     def _update_urgency(self, changed: Iterable[str]) -> None:
--- a/clayport/jobs/prerequisites.py
+++ b/clayport/jobs/prerequisites.py
@@ -9,7 +9,7 @@
 from clayport.membership.state import MembershipState
 from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
-from clayport.records.lookups import Lookups
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.routines import Routines
 
@@ -20,7 +20,7 @@
     Args:
         jobs: The registry of jobs, with their dependencies.
         lifecycle: Registers the ends that are found.
-        lookups: Checks many live records in one request.
+        revision_checks: Checks many live records in one request.
         membership: Gives the lease's lifetime, from which the intervals are derived.
         routines: The signals of this process.
         store: The store from which final records are read.
@@ -31,14 +31,14 @@
         *,
         jobs: JobRegistry,
         lifecycle: JobLifecycle,
-        lookups: Lookups,
+        revision_checks: RevisionChecks,
         membership: MembershipState,
         routines: Routines,
         store: StateStore,
     ) -> None:
         self.jobs = jobs
         self.lifecycle = lifecycle
-        self.lookups = lookups
+        self.revision_checks = revision_checks
         self.membership = membership
         self.routines = routines
         self.store = store
@@ -88,7 +88,7 @@
                 if (
                     known is not None
                     and known[1]
-                    and not await self.lookups.unchanged(live_key(name), known[1])
+                    and not await self.revision_checks.unchanged(live_key(name), known[1])
                 ):
                     self.lifecycle.handle_live_record_deleted(name)
             except UnavailableError:
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -15,7 +15,7 @@
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.errors import ConflictError, UnavailableError
 from clayport.records.keys import end_key, live_key
-from clayport.records.lookups import Lookups
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.values import parse_end
@@ -38,7 +38,7 @@
         *,
         dispatcher: Dispatcher,
         jobs: JobRegistry,
-        lookups: Lookups,
+        revision_checks: RevisionChecks,
         membership: MembershipState,
         peers: Mapping[str, Peer],
         rebuild: RebuildSupport,
@@ -49,7 +49,7 @@
     ) -> None:
         self.dispatcher = dispatcher
         self.jobs = jobs
-        self.lookups = lookups
+        self.revision_checks = revision_checks
         self.membership = membership
         self.peers = peers
         self.rebuild = rebuild
@@ -71,7 +71,11 @@
         if job in self.jobs.ended:
             return self.jobs.ended[job]
         live = self.jobs.live.get(job)
-        if live is not None and live[1] and await self.lookups.unchanged(live_key(job), live[1]):
+        if (
+            live is not None
+            and live[1]
+            and await self.revision_checks.unchanged(live_key(job), live[1])
+        ):
             return LIVE
         if not valid_id(job):
             # Early versions accepted ids that can't be part of a request's path, so the records
--- a/clayport/leases/disclosure.py
+++ b/clayport/leases/disclosure.py
@@ -96,7 +96,7 @@
     async def _notify_peer(self, label: str, job: str) -> None:
         peer = self.peers[label]
         end = time.monotonic() + self.cancel_s
-        attempt = peer.begin()
+        attempt = peer.begin_request()
         try:
             while time.monotonic() < end:
                 try:
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -37,7 +37,10 @@
 
     def state_service_lost(self, now: float) -> bool:
         """Return whether the state service has not answered for longer than a key's lease lasts."""
-        return not self.store.ok and now - self.store.last_served_at > self.membership.lease_ttl_s
+        return (
+            not self.store.is_serving
+            and now - self.store.last_served_at > self.membership.lease_ttl_s
+        )
 
     def healthy(self) -> bool:
         """Return whether users should send requests to this controller.
@@ -46,7 +49,7 @@
         state service either.
         """
         now, membership = time.monotonic(), self.membership
-        if not membership.records_loaded or not membership.is_member or membership.away:
+        if not membership.records_loaded or not membership.is_member or membership.stepped_aside:
             return False
         if self.state_service_lost(now):
             return not any(
--- a/clayport/limits/__init__.py
+++ b/clayport/limits/__init__.py
@@ -8,18 +8,18 @@
 """
 
 from clayport.limits.admission import AdmissionControl
-from clayport.limits.gate import Circuit, Gate, GateClosedError
+from clayport.limits.gate import Gate, RetryCoordinator, SlotTimeoutError
 from clayport.limits.inflight import ConcurrencyLimit
 from clayport.limits.retry import Attempt, Deadline, RetryBudget, RetryPolicy
 
 __all__ = [
     "AdmissionControl",
     "Attempt",
-    "Circuit",
     "ConcurrencyLimit",
     "Deadline",
     "Gate",
-    "GateClosedError",
     "RetryBudget",
+    "RetryCoordinator",
     "RetryPolicy",
+    "SlotTimeoutError",
 ]
--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -13,11 +13,11 @@
 from clayport.limits.retry import Attempt, Deadline, RetryPolicy
 
 
-class GateClosedError(Exception):
+class SlotTimeoutError(Exception):
     """Raised for a request that was not sent because no slot became free in time."""
 
 
-class Circuit:
+class RetryCoordinator:
     """Coordinates the routines that wait to retry at one server.
 
     Each routine waits for the pause that the retry policy sets. As soon as the server serves a
@@ -36,9 +36,9 @@
         self.failing = False
         self.recovered = curio.Event()
 
-    def begin(self, deadline: Deadline | None = None) -> Attempt:
+    def begin_request(self, deadline: Deadline | None = None) -> Attempt:
         """Begin a request that may be retried until the deadline."""
-        return self.retries.begin(time.monotonic(), deadline)
+        return self.retries.begin_request(time.monotonic(), deadline)
 
     async def back_off(self, attempt: Attempt) -> bool:
         """Wait until the request may be retried; return False if the deadline comes first."""
@@ -95,7 +95,7 @@
         """Wait for a slot, and hold it until the context exits.
 
         Raises:
-            GateClosedError: No slot became free in time.
+            SlotTimeoutError: No slot became free in time.
         """
         if self.inflight.full:
             await self._wait(priority, deadline or Deadline())
@@ -128,7 +128,7 @@
                 self.queue.remove(entry)
                 heapq.heapify(self.queue)
             if isinstance(exc, curio.TaskTimeout):
-                raise GateClosedError(f"no turn in {limit:.1f} s") from None
+                raise SlotTimeoutError(f"no turn in {limit:.1f} s") from None
             raise
 
     async def _admit(self) -> None:
--- a/clayport/limits/retry.py
+++ b/clayport/limits/retry.py
@@ -105,7 +105,7 @@
         self.base_pause_s, self.max_pause_s = base_pause_s, max(base_pause_s, max_pause_s)
         self.budget, self.uniform = budget, uniform
 
-    def begin(self, now: float, deadline: Deadline | None = None) -> Attempt:
+    def begin_request(self, now: float, deadline: Deadline | None = None) -> Attempt:
         """Begin a request that may be retried until the deadline."""
         self.budget.record_request(now)
         return Attempt(self, deadline or Deadline())
--- a/clayport/machines/removal.py
+++ b/clayport/machines/removal.py
@@ -66,7 +66,7 @@
 
     async def _announce_to(self, peer: Peer, rows: list[tuple[str]]) -> None:
         """Send the names to one peer, one name in each row of the frame."""
-        attempt = peer.begin()
+        attempt = peer.begin_request()
         for _ in range(MAX_ANNOUNCEMENTS):
             try:
                 await peer.call(frames.GONE, (self.membership.epoch.number, rows))
--- a/clayport/machines/routing.py
+++ b/clayport/machines/routing.py
@@ -53,7 +53,7 @@
         read from the state service, so it uses the retry policy of the state service.
         """
         peer = self.peers.get(label)
-        return peer.begin() if peer is not None else self.store.begin()
+        return peer.begin_request() if peer is not None else self.store.begin_request()
 
     async def back_off(self, label: str, attempt: Attempt) -> None:
         """Wait until a request to the controller may be retried."""
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -97,10 +97,10 @@
         while True:
             await curio.sleep(self.workers.report_s)
             now = time.monotonic()
-            if not self.stalls.check(now) or not self.membership.serving:
+            if not self.stalls.confirm_no_stall(now) or not self.membership.serving:
                 continue
             self.machines.expire(now)
-            if self.membership.away or self.renewal.state_service_lost(now):
+            if self.membership.stepped_aside or self.renewal.state_service_lost(now):
                 continue  # a newer epoch may exclude this controller: see `Provisioner.run`
             owned = list(self.machines.machines.values())
             self._evacuate_unhealthy(owned)
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -76,7 +76,7 @@
 
     # -- ownership -------------------------------------------------------
 
-    def begin(self, epoch: Epoch, own_label: str) -> None:
+    def begin_epoch(self, epoch: Epoch, own_label: str) -> None:
         """Enter a new epoch: drop lost machines, raise the tokens and clear desired tasks.
 
         The new epoch's leaders adopt their tasks again. The last report of a machine that this
--- a/clayport/membership/epoch.py
+++ b/clayport/membership/epoch.py
@@ -95,7 +95,7 @@
     )
 
 
-def successor(current: Epoch, present: Mapping[str, str]) -> Epoch | None:
+def next_epoch(current: Epoch, present: Mapping[str, str]) -> Epoch | None:
     """Return the epoch to propose for the controllers present, or None if nothing changes.
 
     A restarted controller has a new incarnation. It has lost its reservations and counters, so
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -94,7 +94,7 @@
         The loaded records cannot change under an earlier epoch, because the commits of that
         epoch fail once the key of this epoch is written.
         """
-        attempt = self.store.begin()
+        attempt = self.store.begin_request()
         while self.membership.epoch is epoch:
             try:
                 await self._load_once(epoch)
@@ -127,10 +127,10 @@
                 and epoch.member_for(job_id) == self.membership.label
                 and job_id not in loaded.unreadable
             ):
-                self.lead(job, rev, loaded.chunks.get(job_id, {}), "")
+                self.start_leading(job, rev, loaded.chunks.get(job_id, {}), "")
         for job_id, (job, status) in ended.items():
             self.jobs.ended_descriptions[job_id] = job
-            self.lead(job, 0, loaded.chunks[job_id], status)
+            self.start_leading(job, 0, loaded.chunks[job_id], status)
         self.membership.serving = True
         log.info("epoch=%d event=serving jobs=%d", epoch.number, len(self.jobs.managed))
         for name in ("place", "starved", "demand", "prereqs"):
@@ -173,7 +173,7 @@
                 ended[job_id] = EndedJob(job, entry.value["s"])
         return ended
 
-    def lead(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
+    def start_leading(self, job: Job, rev: int, chunks: Chunks, ended: str) -> None:
         """Become the leader of a job and start its routine.
 
         Args:
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -93,7 +93,7 @@
     async def exchange_heartbeats(self, peer: Peer) -> None:
         """Exchange heartbeats with one peer, several during one TTL of a controller's lease."""
         while True:
-            self.stalls.check(time.monotonic())
+            self.stalls.confirm_no_stall(time.monotonic())
             try:
                 await self._send_heartbeat(peer)
             except PeerError as exc:
@@ -126,7 +126,7 @@
         """Leave the members while this controller is isolated, and rejoin afterwards."""
         away = (
             self.membership.records_loaded
-            and self.stalls.check(now)
+            and self.stalls.confirm_no_stall(now)
             and should_leave(
                 now,
                 self.membership.label,
@@ -136,9 +136,9 @@
             )
             and now - self.membership.started_at > STARTUP_LEASES * self.membership.lease_ttl_s
         )
-        if away != self.membership.away:
+        if away != self.membership.stepped_aside:
             log.info("event=%s cause=peers", "isolated" if away else "reachable")
-            self.membership.away = away
+            self.membership.stepped_aside = away
             self.routines.signal("lease")
 
     def receive(
@@ -174,7 +174,7 @@
             peer.room_rev = room_rev
             if self.cached_state.starved:
                 self.routines.signal("starved")
-        if epoch > self.membership.epoch.number and self.store.ok:
+        if epoch > self.membership.epoch.number and self.store.is_serving:
             self.membership.rescan = True
 
     def status(self, now: float) -> HeartbeatStatus:
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from clayport.membership.epoch import Epoch, may_propose, successor
+from clayport.membership.epoch import Epoch, may_propose, next_epoch
 from clayport.membership.flap_damping import FlapDamping
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
@@ -77,7 +77,7 @@
         while True:
             pause_s = self.membership.lease_ttl_s / RENEWALS_PER_LEASE
             try:
-                if self.membership.away:
+                if self.membership.stepped_aside:
                     await self._unregister()
                 elif self.membership.lease is None:
                     lease = await self.store.lease(self.membership.lease_ttl_s)
@@ -154,7 +154,9 @@
         """Propose the next epoch when the controllers present differ from the members."""
         while True:
             await self.routines.wait("members", self.membership.lease_ttl_s / CHECKS_PER_LEASE)
-            if not self.membership.records_loaded or not self.stalls.check(time.monotonic()):
+            if not self.membership.records_loaded or not self.stalls.confirm_no_stall(
+                time.monotonic()
+            ):
                 continue
             if self._next_epoch() is None:
                 continue
@@ -193,7 +195,7 @@
             self.membership.label, self.membership.epoch.members, self.membership.present
         ):
             return None
-        return successor(
+        return next_epoch(
             self.membership.epoch,
             self.flap_damping.admitted(self.membership.epoch.members, self.membership.present, now),
         )
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -81,12 +81,12 @@
         pause_s = CHECK_INTERVALS * self.settings.cluster.workers.report_s
         while True:
             now = time.monotonic()
-            self.check(now)
+            self.confirm_no_stall(now)
             await curio.sleep(pause_s)
             delay_s = time.monotonic() - now - pause_s
             self.timer_delay_s = min(max(0.0, delay_s), self.min_stall_s)
 
-    def check(self, now: float) -> bool:
+    def confirm_no_stall(self, now: float) -> bool:
         """Record a stall if there has been one since the last check.
 
         Args:
--- a/clayport/membership/state.py
+++ b/clayport/membership/state.py
@@ -21,7 +21,8 @@
         present: The incarnation of each controller whose key is in the state service, by label.
         present_revs: The revisions of those keys, by label.
         lease: The lease that this controller's key is under; None without one.
-        away: Whether this controller has left the members because it is cut off from its peers.
+        stepped_aside: Whether this controller has left the members because it is cut off from its
+            peers.
         records_loaded: Whether the records have been read at least once.
         rescan: Whether all records have to be read again.
         serving: Whether this controller is a member and has loaded its jobs.
@@ -37,7 +38,7 @@
         self.present: dict[str, str] = {}
         self.present_revs: dict[str, int] = {}
         self.lease: int | None = None
-        self.away = False
+        self.stepped_aside = False
         self.records_loaded = False
         self.rescan = True
         self.serving = False
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -45,7 +45,7 @@
         self.rebuild = rebuild
         self.routines = routines
 
-    def begin(self, epoch: Epoch) -> None:
+    def begin_epoch(self, epoch: Epoch) -> None:
         """Switch to a new epoch, and serve nothing until this controller's jobs are loaded."""
         self.membership.epoch, self.membership.epoch_started_at = epoch, time.monotonic()
         self.membership.serving = False
@@ -61,9 +61,9 @@
         for managed in self.jobs.managed.values():
             self.routines.signal(managed.name)
         self.jobs.begin_epoch()
-        self.placer.begin()
-        self.cached_state.begin()
+        self.placer.begin_epoch()
+        self.cached_state.begin_epoch()
         self.fleet.outboxes.clear()
-        self.machines.begin(epoch, self.membership.label)
+        self.machines.begin_epoch(epoch, self.membership.label)
         if self.membership.is_member:
             self.routines.spawn(self.failover.load(epoch))
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -23,12 +23,12 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from clayport.records.keys import HEAD_KEY as HEAD_KEY
+from clayport.records.keys import HISTORY_KEY as HISTORY_KEY
 from clayport.records.keys import is_anchor as is_anchor
 
 # The prefixes of the persistent records. Each prefix has an anchor.
 PREFIXES = ("c/", "run/", "end/", "quota/")
-# The states of a history in the record under HEAD_KEY.
+# The states of a history in the record under HISTORY_KEY.
 REBUILDING, WHOLE = "rebuilding", "whole"
 
 
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -32,7 +32,7 @@
     async def add(self, known: Evidence) -> None:
         """Write the missing records one by one; stop if the history becomes suspect."""
         controller = self.controller
-        attempt = controller.store.begin()
+        attempt = controller.store.begin_request()
         live_jobs = [
             (name, *row) for name, row in known.live.items() if name not in controller.jobs.ended
         ]
@@ -60,7 +60,9 @@
             False if the key doesn't exist, but another condition of the transaction fails.
         """
         try:
-            await self.controller.store.commit(Txn().require(*next(iter(txn.when.items()))))
+            await self.controller.store.commit(
+                Txn().require(*next(iter(txn.required_revs.items())))
+            )
         except ConflictError:
             return True  # The record exists; the check has cost no write.
         try:
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -16,7 +16,7 @@
 from clayport.rebuild import evidence, plan
 from clayport.rebuild.evidence import Evidence, Task
 from clayport.rebuild.history import (
-    HEAD_KEY,
+    HISTORY_KEY,
     PREFIXES,
     REBUILDING,
     WHOLE,
@@ -80,7 +80,7 @@
         their work.
 
         Args:
-            head: The record under `HEAD_KEY`, if there is one.
+            head: The record under `HISTORY_KEY`, if there is one.
             records: The records under `c/`.
             number: The number of the new history.
 
@@ -89,11 +89,11 @@
             UnavailableError: The state service doesn't answer.
         """
         store = self.controller.store
-        store.shared_by(1)
+        store.divide_limits(1)
         try:
             await self._rebuild_records(head, records, number)
         finally:
-            store.shared_by(store.controllers)
+            store.divide_limits(store.controllers)
 
     async def _rebuild_records(
         self, head: Entry | None, records: dict[str, Entry], number: int
@@ -177,9 +177,9 @@
                     txn.delete(key)
             return txn.put(anchor_key(prefix, name), anchor_value(name))
 
-        txn = replace_anchor(Txn().require(HEAD_KEY, head.rev if head is not None else 0), "c/")
+        txn = replace_anchor(Txn().require(HISTORY_KEY, head.rev if head is not None else 0), "c/")
         txn.put(
-            HEAD_KEY,
+            HISTORY_KEY,
             {"id": name, "n": number, "state": REBUILDING, "by": controller.membership.label},
         )
         anchor = anchor_key("c/", name), await self._write(txn)
@@ -197,7 +197,7 @@
             UnavailableError: The state service has refused the commit, which is not applied.
         """
         controller = self.controller
-        attempt = controller.store.begin()
+        attempt = controller.store.begin_request()
         may_be_applied = False
         while True:
             try:
@@ -271,11 +271,11 @@
         txn = Txn().require(*anchor).require(EPOCH_KEY, stored[1] if stored else 0)
         txn.put(EPOCH_KEY, Epoch(epoch_number, registered, 0).value())
         head = {"id": name, "n": number, "state": WHOLE, "by": controller.membership.label}
-        rev = await self._write(txn.put(HEAD_KEY, head).put(anchor[0], anchor_value(name)))
+        rev = await self._write(txn.put(HISTORY_KEY, head).put(anchor[0], anchor_value(name)))
         anchors = await read_anchors(controller.store, name)
         if len(anchors) < len(PREFIXES):
             raise ConcurrentChangeError  # Anchors were lost again meanwhile.
-        await self.join(Entry(HEAD_KEY, head, rev), anchors)
+        await self.join(Entry(HISTORY_KEY, head, rev), anchors)
 
     async def _registered(self, members: dict[str, str]) -> dict[str, str]:
         """Return the members that have registered a key under `c/node/`.
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -85,7 +85,7 @@
         Runs as long as the process.
         """
         controller = self.controller
-        attempt = controller.store.begin()
+        attempt = controller.store.begin_request()
         while True:
             recovery = controller.rebuild.recovery
             if recovery is None or recovery.history.suspicion or not recovery.history.name:
@@ -143,7 +143,7 @@
     async def _follow_changes(self, name: str, number: int) -> None:
         controller = self.controller
         changes, rev = await controller.store.watch(
-            "", self.rev, controller.membership.lease_ttl_s, apart=True
+            "", self.rev, controller.membership.lease_ttl_s, second_connection=True
         )
         rows = self.apply_changes(changes, rev)
         if rows and self.log is not None:
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -19,7 +19,7 @@
 from clayport.rebuild.evidence import Evidence
 from clayport.rebuild.gather import gather
 from clayport.rebuild.history import (
-    HEAD_KEY,
+    HISTORY_KEY,
     PREFIXES,
     REBUILDING,
     WHOLE,
@@ -69,7 +69,7 @@
         self.history = History(self._stop_serving)
         self.rebuilder = Rebuilder(controller, self.history, self._own_evidence, self._join_history)
         controller.store.history = self.history
-        controller.store.check_in = self.check_in
+        controller.store.check_for_loss = self.check_for_loss
         # Records may have been lost before the start, so the first history has to be confirmed.
         self.history.suspect("just begun")
         self.loaded = False  # whether this controller was serving when its history became suspect
@@ -88,7 +88,7 @@
         log.info("event=records-suspect cause=%r", self.history.suspicion)
         controller.routines.signal("history")
 
-    async def check_in(self) -> None:
+    async def check_for_loss(self) -> None:
         """Compare the peers' highest revisions with the state service's present revision.
 
         This happens before the first request after the state service has failed to answer, and
@@ -112,7 +112,7 @@
                     ):
                         await group.spawn(self._exchange_histories, label)
             highest_revision = history.highest_revision
-            _, rev = await controller.store.scan(HEAD_KEY, allow_in_doubt=True)
+            _, rev = await controller.store.scan(HISTORY_KEY, allow_in_doubt=True)
             history.needs_check_in = False
             history.check_revision(rev, highest_revision)
         except OutcomeUnknownError as exc:
@@ -133,7 +133,7 @@
                         history.number,
                         history.highest_revision,
                         bool(history.suspicion),
-                        controller.progress.seen,
+                        controller.progress.read_rev,
                     ),
                     controller.membership.lease_ttl_s / 4,
                 )
@@ -186,7 +186,7 @@
                 history.number,
                 history.highest_revision,
                 bool(history.suspicion),
-                self.controller.progress.seen,
+                self.controller.progress.read_rev,
             )
         name, part = values
         if self.packed_evidence[0] != name:
@@ -226,7 +226,7 @@
         No other check detects the loss of these records alone, or of a single prefix.
         """
         controller = self.controller
-        txn = Txn().require(HEAD_KEY, self.head_rev)
+        txn = Txn().require(HISTORY_KEY, self.head_rev)
         for prefix in PREFIXES:
             # No key equals a prefix. The condition adds the prefix's anchor to the commit.
             txn.require(prefix, 0)
@@ -236,7 +236,7 @@
             try:
                 await controller.store.commit(txn)
             except ConflictError as exc:
-                if HEAD_KEY in exc.failed:
+                if HISTORY_KEY in exc.failed:
                     self.history.suspect("the head has moved")
                     return
                 entry = await controller.store.get(EPOCH_KEY)
@@ -251,7 +251,7 @@
     async def _resolve_suspicion(self) -> None:
         """Join a history or rebuild the records until the history is no longer suspect."""
         controller = self.controller
-        attempt = controller.store.begin()
+        attempt = controller.store.begin_request()
         while self.history.suspicion:
             try:
                 await self._join_or_rebuild()
@@ -280,7 +280,7 @@
                 controller.versions.note_version(
                     entry.key[len("c/version/") :], entry.value, entry.rev
                 )
-        head = records.get(HEAD_KEY)
+        head = records.get(HISTORY_KEY)
         # With neither a head nor an epoch record, all peers are asked, because their formats are
         # among the lost records.
         peer_histories = [
@@ -307,7 +307,7 @@
                 await self._join_history(head, anchors)
                 return
             # The history was complete when the head was written, but has lost anchors since.
-        if controller.membership.away or self._peer_rebuilds(head):
+        if controller.membership.stepped_aside or self._peer_rebuilds(head):
             await curio.sleep(controller.membership.lease_ttl_s / 16)
             return
         await self.rebuilder.rebuild(
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -14,7 +14,7 @@
 from clayport.rebuild import plan
 from clayport.rebuild.files import Header, Snapshot
 from clayport.rebuild.history import (
-    HEAD_KEY,
+    HISTORY_KEY,
     PREFIXES,
     REBUILDING,
     anchor_key,
@@ -84,7 +84,7 @@
 
 def read_head(records: Records) -> Head | None:
     """Return the parsed head record; None if the records belong to no history."""
-    stored = records.get(HEAD_KEY)
+    stored = records.get(HISTORY_KEY)
     if stored is None:
         return None
     value, revision = stored
@@ -166,12 +166,12 @@
 async def _begin_history(store: StateStore, name: str, number: int, records: Records) -> None:
     """End the earlier history, so that no commit that was sent under it can be applied."""
     head = read_head(records)
-    txn = Txn().require(HEAD_KEY, head.revision if head else 0)
+    txn = Txn().require(HISTORY_KEY, head.revision if head else 0)
     for key, (_, revision) in records.items():
         if key.startswith("c/~") and key != anchor_key("c/", name):
             txn.require(key, revision).delete(key)
     txn.put(anchor_key("c/", name), anchor_value(name))
-    txn.put(HEAD_KEY, {"id": name, "n": number, "state": REBUILDING, "by": WRITER})
+    txn.put(HISTORY_KEY, {"id": name, "n": number, "state": REBUILDING, "by": WRITER})
     await _commit(store, txn)
 
 
@@ -181,7 +181,7 @@
     Raises:
         RecordsChangedError: A condition doesn't hold.
     """
-    attempt = store.begin()
+    attempt = store.begin_request()
     may_be_applied = False
     while True:
         try:
--- a/clayport/records/errors.py
+++ b/clayport/records/errors.py
@@ -11,12 +11,12 @@
     """The request was not executed: the service refused it, or it was never sent.
 
     Attributes:
-        after_s: Seconds after which a retry may succeed, or 0 if that is unknown.
+        retry_after_s: Seconds after which a retry may succeed, or 0 if that is unknown.
     """
 
-    def __init__(self, reason: str, after_s: float = 0.0) -> None:
+    def __init__(self, reason: str, retry_after_s: float = 0.0) -> None:
         super().__init__(reason)
-        self.after_s = after_s
+        self.retry_after_s = retry_after_s
 
 
 class OutcomeUnknownError(StateStoreError):
--- a/clayport/records/keys.py
+++ b/clayport/records/keys.py
@@ -23,7 +23,7 @@
 # versions of the software neither read nor write them.
 VERSION_PREFIX = "c/version/"
 # The key of the record that names the current history.
-HEAD_KEY = "c/lineage"
+HISTORY_KEY = "c/lineage"
 
 
 def is_anchor(key: str) -> bool:
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -1,8 +1,8 @@
 """Paced requests to the state service, with each answer checked against the records' history.
 
 A request waits for its turn under the rate limit, according to its priority, and then for a slot
-among the requests in flight. The circuit records failures and paces retries. The operations of the
-state service are in `records.store`.
+among the requests in flight. The retry coordinator records failures and paces retries. The
+operations of the state service are in `records.store`.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 import msgspec
 
 from clayport.limits import (
-    Circuit,
     ConcurrencyLimit,
     Deadline,
     Gate,
-    GateClosedError,
     RetryBudget,
+    RetryCoordinator,
     RetryPolicy,
+    SlotTimeoutError,
 )
 from clayport.records.errors import OutcomeUnknownError, UnavailableError
 from clayport.records.messages import StoreRevision, decode
@@ -65,15 +65,15 @@
     )
 
 
-def _make_circuit(
+def _make_retry_coordinator(
     rate: float, timeout_s: float, now: float, uniform: Callable[[float, float], float]
-) -> Circuit:
-    """Return the circuit of a client with this rate.
+) -> RetryCoordinator:
+    """Return the retry coordinator of a client with this rate.
 
     Routines that wait to retry are woken as soon as the service answers again.
     """
     retry_rate = max(1.0, RETRY_RATE_SHARE * rate)
-    return Circuit(
+    return RetryCoordinator(
         RetryPolicy(
             FIRST_RETRY_PAUSE_SHARE * timeout_s,
             timeout_s,
@@ -99,12 +99,12 @@
         uniform: Draws the jitter of retries.
 
     Attributes:
-        requests: The rate limit of requests.
-        changes: The rate limit of writes.
+        request_bucket: The rate limit of requests.
+        write_bucket: The rate limit of writes.
         last_served_at: When the service last served a request, in seconds on the monotonic clock.
         last_failed_at: When the service last failed to serve a request, on the same clock.
         history: The history that answers are checked against; None if rebuilding is disabled.
-        check_in: Compares the revisions that the peers and the state service have reached.
+        check_for_loss: Compares the revisions that the peers and the state service have reached.
     """
 
     def __init__(
@@ -118,22 +118,25 @@
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
         self.client = http.Client(host, port, keep=KEPT_CONNECTIONS)
-        self.watcher = http.Client(host, port, keep=1)
-        self.recorder = http.Client(host, port, keep=1)
+        self.watch_client = http.Client(host, port, keep=1)
+        self.snapshot_watch_client = http.Client(host, port, keep=1)
         self.timeout_s = timeout_s
         self.controllers = controllers
         now = time.monotonic()
         self.service_rates = rps, write_rps
-        self.requests = TokenBucket(rps * RATE_SHARE / controllers, now)
-        self.changes = TokenBucket(write_rps * RATE_SHARE / controllers, now)
+        self.request_bucket = TokenBucket(rps * RATE_SHARE / controllers, now)
+        self.write_bucket = TokenBucket(write_rps * RATE_SHARE / controllers, now)
         self.last_served_at = now - INITIAL_SILENCE_S
         self.last_failed_at = now
-        rate = self.requests.rate
+        rate = self.request_bucket.rate
         self.gate = _make_gate(rate, timeout_s)
-        self.circuit = _make_circuit(rate, timeout_s, now, uniform)
-        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
+        self.retry_coordinator = _make_retry_coordinator(rate, timeout_s, now, uniform)
+        self.begin_request, self.back_off = (
+            self.retry_coordinator.begin_request,
+            self.retry_coordinator.back_off,
+        )
         self.history: History | None = None
-        self.check_in: Callable[[], Awaitable[None]] | None = None
+        self.check_for_loss: Callable[[], Awaitable[None]] | None = None
 
     @property
     def anchor_conditions(self) -> int:
@@ -143,21 +146,23 @@
     def backlog(self, priority_s: float = 0.0) -> float:
         """Return the seconds that a write with this priority would have to wait for its turn."""
         now = time.monotonic()
-        return max(self.requests.backlog(now, priority_s), self.changes.backlog(now, priority_s))
+        return max(
+            self.request_bucket.backlog(now, priority_s), self.write_bucket.backlog(now, priority_s)
+        )
 
     @property
-    def ok(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether no failure is more recent than the last request that the service served."""
         return self.last_served_at >= self.last_failed_at
 
     def set_rates(self, rps: float, write_rps: float) -> None:
         """Apply changed limits of the service, of which each controller uses its share."""
         self.service_rates = rps, write_rps
-        self.shared_by(self.controllers)
+        self.divide_limits(self.controllers)
 
-    def shared_by(self, controllers: int) -> None:
+    def divide_limits(self, controllers: int) -> None:
         """Divide the service's rates by the number of active controllers (1 during a rebuild)."""
-        self.requests.rate, self.changes.rate = (
+        self.request_bucket.rate, self.write_bucket.rate = (
             r * RATE_SHARE / controllers for r in self.service_rates
         )
 
@@ -193,13 +198,13 @@
             async with self.gate.slot(priority_s, deadline) as slot:
                 left = deadline.left(time.monotonic(), self.timeout_s)
                 if left <= 0:
-                    raise GateClosedError("its time is over")
+                    raise SlotTimeoutError("its time is over")
                 status, payload = await self.send(
                     method, path, raw, left, self.client, allow_in_doubt, writes > 0
                 )
                 slot.served = True
                 return status, payload
-        except GateClosedError as exc:
+        except SlotTimeoutError as exc:
             raise UnavailableError(str(exc), self.timeout_s) from None
 
     def _reserve_turn(self, writes: int, deadline: Deadline, priority_s: float) -> float:
@@ -209,14 +214,14 @@
             UnavailableError: The turn would come after the deadline, and nothing was reserved.
         """
         now = time.monotonic()
-        wait = self.requests.delay(1, now, priority_s)
+        wait = self.request_bucket.take_tokens(1, now, priority_s)
         if writes:
-            wait = max(wait, self.changes.delay(writes, now, priority_s))
+            wait = max(wait, self.write_bucket.take_tokens(writes, now, priority_s))
         if wait > 0 and not deadline.allows(now, wait):
             # The caller will have given up before the turn comes. Refusing the request now keeps
             # the queue from growing without bound when callers retry.
-            self.requests.refund(1)
-            self.changes.refund(writes)
+            self.request_bucket.refund(1)
+            self.write_bucket.refund(writes)
             raise UnavailableError("too much is asked", wait)
         return wait
 
@@ -238,8 +243,8 @@
         """
         name, min_revision = "", 0
         if self.history is not None and not allow_in_doubt:
-            if self.history.needs_check_in and self.check_in is not None:
-                await self.check_in()
+            if self.history.needs_check_in and self.check_for_loss is not None:
+                await self.check_for_loss()
             if self.history.suspicion:
                 raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
             name, min_revision = self.history.name, self.history.highest_revision
@@ -256,7 +261,7 @@
                 await self._note_failure()
             raise UnavailableError(f"{status} {path}")
         self.last_served_at = time.monotonic()
-        await self.circuit.record(True)
+        await self.retry_coordinator.record(True)
         if self.history is not None and not allow_in_doubt and status in (200, 404, 409):
             self._check_history(self.history, payload, name, min_revision, wrote and status == 200)
         return status, payload
@@ -291,4 +296,4 @@
         self.last_failed_at = time.monotonic()
         if self.history is not None:
             self.history.needs_check_in = True
-        await self.circuit.record(False)
+        await self.retry_coordinator.record(False)
--- a/clayport/records/progress.py
+++ b/clayport/records/progress.py
@@ -12,7 +12,7 @@
     has been read.
 
     Attributes:
-        seen: The revision up to which all changes under `c/` have been read.
+        read_rev: The revision up to which all changes under `c/` have been read.
         unresolved_ends: Jobs whose live record has been deleted and whose final record has not
             been read yet, with the time and the revision up to which everything was known before
             the deletion.
@@ -20,20 +20,20 @@
 
     def __init__(self, watermark: CancellationWatermark) -> None:
         self.watermark = watermark
-        self.seen = 0
+        self.read_rev = 0
         self.unresolved_ends: dict[str, tuple[float, int]] = {}
 
     @property
     def known_rev(self) -> int:
         """The revision up to which the state of every job is known."""
-        return next(iter(self.unresolved_ends.values()), (0.0, self.seen))[1]
+        return next(iter(self.unresolved_ends.values()), (0.0, self.read_rev))[1]
 
     def note_read(self, asked_at: float, rev: int) -> None:
         """Record that all changes up to the revision `rev` have been read.
 
         `asked_at` is when the request was sent, in seconds on the monotonic clock.
         """
-        self.seen = rev
+        self.read_rev = rev
         self.watermark.note_records_read(
             next(iter(self.unresolved_ends.values()), (asked_at, rev))[0]
         )
--- a/clayport/records/rate_limit.py
+++ b/clayport/records/rate_limit.py
@@ -29,7 +29,7 @@
     def __init__(self, rate: float, now: float) -> None:
         self.rate, self.level, self.updated_at = rate, rate, now
 
-    def delay(self, amount: float, now: float, priority_s: float = 0.0) -> float:
+    def take_tokens(self, amount: float, now: float, priority_s: float = 0.0) -> float:
         """Take `amount` tokens; return the seconds to wait before they may be used.
 
         The priority `priority_s` shortens the wait by that many seconds.
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -24,7 +24,7 @@
 from clayport.records.keys import (
     CLASS_PREFIX,
     EPOCH_KEY,
-    HEAD_KEY,
+    HISTORY_KEY,
     LIVE_PREFIX,
     NODE_PREFIX,
     VERSION_PREFIX,
@@ -43,7 +43,7 @@
 class EpochListener(Protocol):
     """Is notified of new epochs."""
 
-    def begin(self, epoch: Epoch) -> None:
+    def begin_epoch(self, epoch: Epoch) -> None:
         """Switch to the epoch."""
         ...
 
@@ -99,7 +99,7 @@
     async def follow(self) -> None:
         """Follow the epoch, the controllers present and the live jobs until the process ends."""
         rev = 0
-        attempt = self.store.begin()
+        attempt = self.store.begin_request()
         while True:
             try:
                 if self.membership.rescan:
@@ -183,9 +183,9 @@
         try:
             if key == EPOCH_KEY:
                 if rev > self.membership.epoch.rev:
-                    self.transition.begin(Epoch.parse(value, rev))
+                    self.transition.begin_epoch(Epoch.parse(value, rev))
                 self.routines.signal("members")
-            elif key == HEAD_KEY:
+            elif key == HISTORY_KEY:
                 self.rebuild.note_head(value)
             elif key.startswith(NODE_PREFIX):
                 self.membership.present[key[len(NODE_PREFIX) :]] = str(value["inc"])
--- a/clayport/records/lookups.py
+++ b/clayport/records/revision_checks.py
@@ -29,7 +29,7 @@
         self.answered = curio.Event()
 
 
-class Lookups:
+class RevisionChecks:
     """Checks whether keys still have the revisions known here, many keys in one request.
 
     Each check joins the next batch to be sent, so that its answer is as fresh as that of a
@@ -38,13 +38,13 @@
 
     Args:
         store: The client of the state service.
-        most: The number of conditions that one transaction may have.
+        max_conditions: The number of conditions that one transaction may have.
         timeout_s: Half of the time that one comparison may take, including a retry.
     """
 
-    def __init__(self, store: StateStore, most: int, timeout_s: float) -> None:
-        self.store, self.most, self.timeout_s = store, most, timeout_s
-        self.pause_s = PAUSE_REQUESTS / store.requests.rate
+    def __init__(self, store: StateStore, max_conditions: int, timeout_s: float) -> None:
+        self.store, self.max_conditions, self.timeout_s = store, max_conditions, timeout_s
+        self.pause_s = PAUSE_REQUESTS / store.request_bucket.rate
         self.next_batch = _Batch()
         self.running = False
 
@@ -82,7 +82,7 @@
     async def _compare(self, batch: _Batch) -> None:
         """Compare a batch's keys, with as many in each request as the service allows."""
         keys = list(batch.revs)
-        keys_per_request = max(1, self.most - self.store.anchor_conditions)
+        keys_per_request = max(1, self.max_conditions - self.store.anchor_conditions)
         for first in range(0, len(keys), keys_per_request):
             txn = Txn()
             for key in keys[first : first + keys_per_request]:
--- a/clayport/records/store.py
+++ b/clayport/records/store.py
@@ -147,9 +147,9 @@
             OutcomeUnknownError: The transaction may have been executed.
         """
         conditions = (
-            txn.when
+            txn.required_revs
             if allow_in_doubt or self.history is None
-            else {**txn.when, **self.history.conditions(txn.when)}
+            else {**txn.required_revs, **self.history.conditions(txn.required_revs)}
         )
         status, payload = await self.call(
             "POST",
@@ -210,12 +210,12 @@
         return status == 200
 
     async def watch(
-        self, prefix: str, since: int, wait_s: float, apart: bool = False
+        self, prefix: str, since: int, wait_s: float, second_connection: bool = False
     ) -> tuple[list[Change], int]:
         """Wait for changes of keys with the prefix after the revision `since`.
 
-        The replica and the snapshot recorder watch over separate connections; `apart` selects the
-        connection of the recorder.
+        The replica and the snapshot recorder watch over separate connections; `second_connection`
+        selects the connection of the recorder.
 
         Returns:
             The changes (empty if there were none within `wait_s`), and the revision from which to
@@ -227,11 +227,15 @@
             OutcomeUnknownError: There was no usable answer.
         """
         path = f"/changes?prefix={prefix}&since={since}&block_ms={int(wait_s * 1000)}"
-        pause = self.requests.delay(1, time.monotonic())
+        pause = self.request_bucket.take_tokens(1, time.monotonic())
         if pause > 0:
             await curio.sleep(pause)
         status, payload = await self.send(
-            "GET", path, None, wait_s + self.timeout_s, self.recorder if apart else self.watcher
+            "GET",
+            path,
+            None,
+            wait_s + self.timeout_s,
+            self.snapshot_watch_client if second_connection else self.watch_client,
         )
         if status == 410:
             raise CompactedError
--- a/clayport/records/transaction.py
+++ b/clayport/records/transaction.py
@@ -28,17 +28,18 @@
     """A transaction under construction.
 
     Attributes:
-        when: The conditions: by key, the revision that it must have (0: the key must not exist).
+        required_revs: The conditions: by key, the revision that it must have (0: the key must not
+            exist).
         writes: The writes, in the order in which they are applied.
     """
 
     def __init__(self) -> None:
-        self.when: dict[str, int] = {}
+        self.required_revs: dict[str, int] = {}
         self.writes: list[Write] = []
 
     def require(self, key: str, rev: int) -> Txn:
         """Add the condition that the key has this revision (0: that the key does not exist)."""
-        self.when[key] = rev
+        self.required_revs[key] = rev
         return self
 
     def put(self, key: str, value: Any, lease: int | None = None) -> Txn:
--- a/clayport/records/versions.py
+++ b/clayport/records/versions.py
@@ -9,7 +9,7 @@
 from clayport.membership.state import MembershipState
 from clayport.records.formats import FORMAT, PROMISES_FORMAT
 from clayport.records.keys import VERSION_PREFIX
-from clayport.records.lookups import Lookups
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.records.upgrade import UpgradeState
 from clayport.routines import Routines
@@ -23,7 +23,7 @@
 
     Args:
         jobs: The managed jobs, whose routines are woken once the upgrade is complete.
-        lookups: The lookups, whose batch size follows the limits of the state service.
+        revision_checks: The lookups, whose batch size follows the limits of the state service.
         membership: The current epoch.
         routines: The signals of this process.
         settings: The labels of all controllers, and the limits of the state service.
@@ -35,7 +35,7 @@
         self,
         *,
         jobs: JobRegistry,
-        lookups: Lookups,
+        revision_checks: RevisionChecks,
         membership: MembershipState,
         routines: Routines,
         settings: Settings,
@@ -43,7 +43,7 @@
         upgrade: UpgradeState,
     ) -> None:
         self.jobs = jobs
-        self.lookups = lookups
+        self.revision_checks = revision_checks
         self.membership = membership
         self.routines = routines
         self.settings = settings
@@ -68,7 +68,7 @@
         self.upgrade.complete = True
         self.upgrade.limits = self.settings.cluster.state.least()
         self.store.set_rates(self.upgrade.limits.rps, self.upgrade.limits.write_rps)
-        self.lookups.most = 4 * self.upgrade.limits.txn_ops
+        self.revision_checks.max_conditions = 4 * self.upgrade.limits.txn_ops
         log.info(
             "event=upgraded format=%d value_kb=%g txn_ops=%d write_rps=%g",
             FORMAT,
--- a/clayport/scaling/catalogue.py
+++ b/clayport/scaling/catalogue.py
@@ -52,7 +52,7 @@
 
     async def keep_current(self) -> None:
         """Read the catalogue every `REFRESH_LEASES` leases, for as long as the process runs."""
-        attempt = self.cloud.begin()
+        attempt = self.cloud.begin_request()
         while True:
             try:
                 self.types = await self.cloud.catalogue()
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -10,7 +10,7 @@
 import curio
 import msgspec
 
-from clayport.limits import Circuit, RetryBudget, RetryPolicy
+from clayport.limits import RetryBudget, RetryCoordinator, RetryPolicy
 from clayport.model import CloudMachine, MachineType
 from clayport.records.rate_limit import TokenBucket
 from clayport.transport import http
@@ -85,7 +85,7 @@
         self.bucket = TokenBucket(rps * RATE_SHARE, now)
         self.timeout_s = timeout_s
         max_retries = max(1.0, MAX_RETRY_SHARE * self.bucket.rate)
-        self.circuit = Circuit(
+        self.retry_coordinator = RetryCoordinator(
             RetryPolicy(
                 MIN_PAUSE_SHARE * timeout_s,
                 MAX_PAUSE_SHARE * timeout_s,
@@ -93,11 +93,14 @@
                 uniform,
             )
         )
-        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
+        self.begin_request, self.back_off = (
+            self.retry_coordinator.begin_request,
+            self.retry_coordinator.back_off,
+        )
 
     async def turn(self) -> None:
         """Wait until the rate limit allows another request."""
-        delay_s = self.bucket.delay(1, time.monotonic())
+        delay_s = self.bucket.take_tokens(1, time.monotonic())
         if delay_s > 0:
             await curio.sleep(delay_s)
 
@@ -116,10 +119,10 @@
         try:
             status, payload = await self.client.request(method, path, raw, self.timeout_s)
         except http.NoAnswerError as exc:
-            await self.circuit.record(False)
+            await self.retry_coordinator.record(False)
             raise CloudError(str(exc)) from None
         # A refusal for lack of capacity counts as served, because the API is not overloaded.
-        await self.circuit.record(
+        await self.retry_coordinator.record(
             status != TOO_MANY_REQUESTS
             and (status != SERVICE_UNAVAILABLE or NO_CAPACITY in payload)
         )
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -125,7 +125,7 @@
 
     async def run(self) -> None:
         """Run rounds of renting and returning for as long as the process runs."""
-        attempt = self.cloud.begin()
+        attempt = self.cloud.begin_request()
         while True:
             await self.routines.wait("demand", self.membership.lease_ttl_s / 3)
             await curio.sleep(self.membership.lease_ttl_s / 12)
@@ -137,8 +137,8 @@
                 continue
             now = time.monotonic()
             if (
-                not self.stalls.check(now)
-                or self.membership.away
+                not self.stalls.confirm_no_stall(now)
+                or self.membership.stepped_aside
                 or self.renewal.state_service_lost(now)
             ):
                 # This controller may have been removed from the epoch, or has just resumed
--- a/clayport/scheduling/backfill.py
+++ b/clayport/scheduling/backfill.py
@@ -39,7 +39,7 @@
         self.hindered_jobs: dict[tuple[bool, int], str] = {}
         self.lookup_at = -math.inf
 
-    def begin(self) -> None:
+    def begin_epoch(self) -> None:
         """Start an epoch, in which this controller may lead other jobs."""
         self.lookup_at = -math.inf
 
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -142,7 +142,7 @@
         self.pulling: set[str] = set()
         self.starved = False
 
-    def begin(self) -> None:
+    def begin_epoch(self) -> None:
         """Start an epoch, in which machines have new owners and no start is in flight."""
         self.inflight.clear()
         self.pulled.clear()
--- a/clayport/scheduling/demand_report.py
+++ b/clayport/scheduling/demand_report.py
@@ -60,7 +60,7 @@
         self.peer_rows: dict[str, list[DemandRow]] = {}
         self.next_bound_log_at = -1e9
 
-    def begin(self) -> None:
+    def begin_epoch(self) -> None:
         """Start an epoch: drop the reports that peers sent in the epoch before."""
         self.peer_rows.clear()
 
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -157,13 +157,13 @@
         """Set the components that are created after this one."""
         self.dispatcher = dispatcher
 
-    def begin(self) -> None:
+    def begin_epoch(self) -> None:
         """Start an epoch, in which jobs have new leaders and no peer has reported demand yet."""
-        self.demand_report.begin()
+        self.demand_report.begin_epoch()
         self.queue.clear(time.monotonic())
         self.owed_until = -math.inf
-        self.reserves.begin()
-        self.backfill.begin()
+        self.reserves.begin_epoch()
+        self.backfill.begin_epoch()
 
     async def place_all(self) -> None:
         """Run a pass over the waiting jobs after each change, for as long as the process runs."""
--- a/clayport/scheduling/reserves.py
+++ b/clayport/scheduling/reserves.py
@@ -30,7 +30,7 @@
         self.current: LargeTaskReserve | None = None
         self.unplaced_jobs: dict[AccountKey, Job] = {}
 
-    def begin(self) -> None:
+    def begin_epoch(self) -> None:
         """Start an epoch without a reserve."""
         self.current = None
         self.unplaced_jobs = {}
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -11,7 +11,7 @@
 import curio
 from curio import socket
 
-from clayport.limits import Circuit, RetryBudget, RetryPolicy
+from clayport.limits import RetryBudget, RetryCoordinator, RetryPolicy
 from clayport.transport import TransportError, frames
 from clayport.transport.listen import open_listener
 
@@ -105,7 +105,7 @@
         self.state_ok = False
         self.epoch = 0
         self.room_rev = 0
-        self.circuit = Circuit(
+        self.retry_coordinator = RetryCoordinator(
             RetryPolicy(
                 timeout_s / 4,
                 timeout_s,
@@ -115,7 +115,10 @@
                 uniform,
             )
         )
-        self.begin, self.back_off = self.circuit.begin, self.circuit.back_off
+        self.begin_request, self.back_off = (
+            self.retry_coordinator.begin_request,
+            self.retry_coordinator.back_off,
+        )
         self._sock: Any = None
         self._reader: curio.Task | None = None
         self._lock = curio.Lock()  # held while connecting and sending
@@ -143,14 +146,14 @@
             # The connection may silently drop packets, so it is closed and the next request
             # opens a new one.
             await self._disconnect()
-            await self.circuit.record(False)
+            await self.retry_coordinator.record(False)
             raise PeerError(f"{self.label}: {type(exc).__name__} {exc}") from None
         finally:
             self._pending.pop(number, None)
         if request.answer is None:
             raise PeerError(f"{self.label}: connection lost")
         self.last_heard_at = time.monotonic()
-        await self.circuit.record(True)
+        await self.retry_coordinator.record(True)
         return request.answer
 
     def _encode(self, kind: int, number: int, values: Fields) -> bytes:
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -27,9 +27,9 @@
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
-from clayport.records.lookups import Lookups
 from clayport.records.messages import Entry
 from clayport.records.rate_limit import CANCEL_PRIORITY_S, URGENT_PRIORITY_S
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.records.upgrade import UpgradeState
@@ -83,7 +83,7 @@
         fleet: Fleet,
         jobs: JobRegistry,
         lifecycle: JobLifecycle,
-        lookups: Lookups,
+        revision_checks: RevisionChecks,
         membership: MembershipState,
         objectives: SchedulingObjectives,
         peers: Mapping[str, Peer],
@@ -119,7 +119,7 @@
         self.status = JobStatus(
             dispatcher=dispatcher,
             jobs=jobs,
-            lookups=lookups,
+            revision_checks=revision_checks,
             membership=membership,
             peers=peers,
             rebuild=rebuild,
@@ -141,7 +141,7 @@
         except UnavailableError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": str(exc)}
-            retry_after_s = max(1, math.ceil(min(exc.after_s, MAX_RETRY_AFTER_S)))
+            retry_after_s = max(1, math.ceil(min(exc.retry_after_s, MAX_RETRY_AFTER_S)))
         except OutcomeUnknownError as exc:
             log.debug("path=%s event=unavailable cause=%s", path, exc)
             status, value = 503, {"error": "state service unavailable"}
@@ -193,7 +193,7 @@
             job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return Response(400, {"error": str(exc)})
-        if not self.stalls.check(time.monotonic()):
+        if not self.stalls.confirm_no_stall(time.monotonic()):
             # The process has stalled, so the request may be so old that its user has left.
             raise UnavailableError("just awake")
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
@@ -262,7 +262,7 @@
         """
         txn = Txn().require(live_key(job), 0).require(end_key(job), 0)
         txn.put(live_key(job), value)
-        attempt = self.store.begin(deadline)
+        attempt = self.store.begin_request(deadline)
         while True:
             try:
                 return await self.store.commit(txn, deadline, URGENT_PRIORITY_S)
@@ -329,7 +329,7 @@
         if not valid_id(job):
             return NO_SUCH_JOB
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
-        attempt = self.store.begin(deadline)
+        attempt = self.store.begin_request(deadline)
         while deadline.allows(time.monotonic()):
             if job in self.jobs.ended:
                 ended = self.jobs.ended[job]
--- a/tests/jobs/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -45,7 +45,7 @@
         self.c.catalogue.types = msgspec.convert(TYPES, list[MachineType])
         self.c.machines.types = {t.name: t for t in self.c.catalogue.types}
         self.c.membership.epoch = Epoch(1, {"c0": "x"}, 1)
-        self.c.machines.begin(self.c.membership.epoch, "c0")
+        self.c.machines.begin_epoch(self.c.membership.epoch, "c0")
         self.seq = 0
 
     def add_job(self, job: Job) -> ManagedJob:
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -37,7 +37,11 @@
     """The commit fails if the job was cancelled, or the epoch ended, before it."""
     managed = make_managed_job()
     txn, _ = start_txn(managed, 7, [(0, "m1")], 1)
-    assert txn.when == {"c/generation": 7, live_key("j-000001"): 5, chunk_key("j-000001", 0): 0}
+    assert txn.required_revs == {
+        "c/generation": 7,
+        live_key("j-000001"): 5,
+        chunk_key("j-000001", 0): 0,
+    }
 
 
 def test_last_outcome_ends_the_job_in_the_same_transaction() -> None:
@@ -46,7 +50,7 @@
         assert managed.handle_event("m1", number, 1, "exited", "done", 1.0) == Verdict.OK
     txn, _, covered, ends_job = outcome_txn(managed, 7, 9)
     assert ends_job and covered == [0, 1, 2]
-    assert txn.when[live_key("j-000001")] == 5 and txn.when["c/generation"] == 7
+    assert txn.required_revs[live_key("j-000001")] == 5 and txn.required_revs["c/generation"] == 7
     assert {w.get("write") or w.get("remove") for w in txn.writes} == {
         live_key("j-000001"),
         end_key("j-000001"),
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -507,9 +507,9 @@
         self.rev, self.keys = 10, {}  # type: ignore[var-annotated]
 
     def commit(self, txn: Any, ops: int, value_kb: float) -> int:
-        for key, rev in txn.when.items():
+        for key, rev in txn.required_revs.items():
             assert key == "c/generation" or self.keys.get(key, (None, 0))[1] == rev, key
-        assert 0 < len(txn.writes) <= ops and len(txn.when) <= 4 * ops
+        assert 0 < len(txn.writes) <= ops and len(txn.required_revs) <= 4 * ops
         self.rev += 1
         for write in txn.writes:
             if "remove" in write:
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -10,13 +10,13 @@
 
 from clayport.limits import (
     AdmissionControl,
-    Circuit,
     ConcurrencyLimit,
     Deadline,
     Gate,
-    GateClosedError,
     RetryBudget,
+    RetryCoordinator,
     RetryPolicy,
+    SlotTimeoutError,
 )
 from clayport.limits.inflight import DECREASE_FACTOR
 from tests.world import Clock, simulate
@@ -44,7 +44,7 @@
 
 
 def test_pauses_grow_within_bounds_and_reset_when_served() -> None:
-    attempt = retries(RetryBudget(0.0, 1e9, 1.0, 0.0)).begin(0.0)
+    attempt = retries(RetryBudget(0.0, 1e9, 1.0, 0.0)).begin_request(0.0)
     pauses = [attempt.next_pause(0.0) for _ in range(50)]
     assert all(p is not None and 0.25 <= p <= 4.0 for p in pauses)
     assert max(p or 0.0 for p in pauses[5:]) > 2.0
@@ -55,7 +55,7 @@
 
 def test_retry_after_the_deadline_is_skipped_and_costs_no_budget() -> None:
     budget = RetryBudget(0.0, 2.0, 1.0, 0.0)
-    attempt = retries(budget).begin(0.0, Deadline.within(0.0, 0.2))
+    attempt = retries(budget).begin_request(0.0, Deadline.within(0.0, 0.2))
     assert attempt.next_pause(0.0) is None and budget.level == 2.0
 
 
@@ -173,7 +173,7 @@
                 slot.served = True
 
         async def expiring() -> None:
-            with pytest.raises(GateClosedError):
+            with pytest.raises(SlotTimeoutError):
                 async with gate.slot(0.0, Deadline.within(clock(), 1.0)):
                     raise AssertionError("admitted after the deadline")
             done.append("expiring")
@@ -196,25 +196,27 @@
     """Routines continue at the recovery, not only at the end of their own long pauses."""
 
     async def main(clock: Clock) -> None:
-        circuit = Circuit(
+        retry_coordinator = RetryCoordinator(
             RetryPolicy(8.0, 60.0, RetryBudget(0.0, 1.0, 0.01, clock()), random.Random(1).uniform)
         )
         woken: list[float] = []
 
         async def retry() -> None:
-            attempt = circuit.begin()
-            assert await circuit.back_off(attempt)
+            attempt = retry_coordinator.begin_request()
+            assert await retry_coordinator.back_off(attempt)
             woken.append(clock())
 
-        await circuit.record(False)
+        await retry_coordinator.record(False)
         tasks = [await curio.spawn(retry) for _ in range(20)]
         await curio.sleep(2.0)
         assert not woken
-        await circuit.record(True)
+        await retry_coordinator.record(True)
         for task in tasks:
             await task.join()
         assert max(woken) - min(woken) < 0.1
-        await circuit.record(True)  # the server was serving already, so no routine is woken
-        assert not circuit.recovered.is_set()
+        await retry_coordinator.record(
+            True
+        )  # the server was serving already, so no routine is woken
+        assert not retry_coordinator.recovered.is_set()
 
     simulate(monkeypatch, main)
--- a/tests/machines/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from clayport.machines.table import MachineTable
-from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, successor
+from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch, next_epoch
 from clayport.membership.isolation import should_leave
 from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job, MachineType, ReportedTask, WorkerHeartbeat
@@ -33,7 +33,7 @@
             3.0,
         )
         self.owner.types = {t.name: t for t in msgspec.convert(TYPES, list[MachineType])}
-        self.owner.begin(Epoch(3, {"c0": "x"}, 7), "c0")
+        self.owner.begin_epoch(Epoch(3, {"c0": "x"}, 7), "c0")
         self.seq = 0
 
     def report(
@@ -248,9 +248,9 @@
     bench.report()
     bench.report(RUN)
     token = bench.machine.token
-    bench.owner.begin(Epoch(4, {"c0": "x"}, 9), "c0")
+    bench.owner.begin_epoch(Epoch(4, {"c0": "x"}, 9), "c0")
     assert bench.machine.token > token and not bench.machine.fenced and not bench.machine.desired
-    bench.owner.begin(Epoch(5, {"c1": "y"}, 10), "c0")
+    bench.owner.begin_epoch(Epoch(5, {"c1": "y"}, 10), "c0")
     assert bench.owner.machines == {}
 
 
@@ -326,7 +326,7 @@
     members: dict[str, str], present: dict[str, str], proposed: dict[str, str] | None
 ) -> None:
     current = Epoch(4, members, 9)
-    found = successor(current, present)
+    found = next_epoch(current, present)
     assert (found.members if found else None) == proposed
     assert found is None or found.first_token > current.first_token
 
--- a/tests/rebuild/test_merge.py
+++ b/tests/rebuild/test_merge.py
@@ -198,10 +198,10 @@
     written = [write.get("write", write.get("remove")) for t in txns for write in t.writes]
     assert written == write_order(changes) and set(written) == set(changes)
     for txn in txns:
-        assert 0 < len(txn.writes) <= txn_ops and txn.when["c/~x"] == 5
+        assert 0 < len(txn.writes) <= txn_ops and txn.required_revs["c/~x"] == 5
         for write in txn.writes:
             key = write.get("write", write.get("remove"))
-            assert txn.when[key] == stored.get(key, (None, 0))[1]
+            assert txn.required_revs[key] == stored.get(key, (None, 0))[1]
 
 
 def test_leader_evidence_decides_and_machine_reports_count_without_it() -> None:
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -22,8 +22,8 @@
 from clayport.model import Job, MachineType
 from clayport.records.chunk import Chunk, chunk_size
 from clayport.records.errors import ConflictError, UnavailableError
-from clayport.records.lookups import Lookups
 from clayport.records.rate_limit import LEASE_PRIORITY_S, URGENT_PRIORITY_S, TokenBucket
+from clayport.records.revision_checks import RevisionChecks
 from clayport.records.store import StateStore
 from clayport.records.transaction import Txn
 from clayport.scaling.boot_times import BootingMachine, BootTimes
@@ -299,11 +299,11 @@
         c.membership.present[label] = label
         if label in c.peers:
             c.peers[label].last_heard_at = harness.now
-    assert c.stalls.check(harness.now)
+    assert c.stalls.confirm_no_stall(harness.now)
     harness.now += stall_s + 0.2
-    known = c.stalls.check(harness.now)
+    known = c.stalls.confirm_no_stall(harness.now)
     assert known == (stall_s == 0.0)
-    assert c.membership.rescan and (stall_s == 0.0 or not c.store.ok)
+    assert c.membership.rescan and (stall_s == 0.0 or not c.store.is_serving)
     assert harness.now - c.machines.machines["m1"].last_heard_at < c.fleet.silent_s
     heard = {label: c.peers[label].last_heard_at for label in c.peers}
     assert not should_leave(
@@ -312,7 +312,7 @@
     if not known:
         # The times of the last heartbeats count again once the records confirm the membership.
         c.stalls.confirmed_count = c.stalls.count
-        assert c.stalls.check(harness.now)
+        assert c.stalls.confirm_no_stall(harness.now)
 
 
 def test_a_submission_after_a_stall_is_refused_until_membership_is_confirmed(
@@ -423,29 +423,29 @@
     sent: list[set[str]] = []
 
     class Store:
-        requests = TokenBucket(1000.0, 0.0)
+        request_bucket = TokenBucket(1000.0, 0.0)
         anchor_conditions = 0
 
         async def commit(self, txn: Txn, timeout_s: float | None = None) -> int:
-            sent.append(set(txn.when))
+            sent.append(set(txn.required_revs))
             assert not txn.writes
             await curio.sleep(0)
-            if "b" in txn.when:
+            if "b" in txn.required_revs:
                 raise ConflictError(["b"])
-            if "x" in txn.when:
+            if "x" in txn.required_revs:
                 raise UnavailableError("503")
             return 1
 
     async def main() -> list[Any]:
-        lookups = Lookups(Store(), 2, 1.0)  # type: ignore[arg-type]
-        first = await curio.spawn(lookups.unchanged, "a", 1)
+        revision_checks = RevisionChecks(Store(), 2, 1.0)  # type: ignore[arg-type]
+        first = await curio.spawn(revision_checks.unchanged, "a", 1)
         await curio.sleep(0)
         while not sent:
             await curio.sleep(0)
-        later = [await curio.spawn(lookups.unchanged, k, 1) for k in "abca"]
+        later = [await curio.spawn(revision_checks.unchanged, k, 1) for k in "abca"]
         answers = [await first.join(), *[await t.join() for t in later]]
         with pytest.raises(UnavailableError):
-            await lookups.unchanged("x", 1)
+            await revision_checks.unchanged("x", 1)
         return answers
 
     assert curio.run(main) == [True, True, False, True, True]
@@ -467,20 +467,20 @@
 ) -> None:
     bucket = TokenBucket(10.0, 0.0)
     bucket.level = level
-    assert bucket.delay(1.0, 0.0, priority_s) == pytest.approx(wait)
+    assert bucket.take_tokens(1.0, 0.0, priority_s) == pytest.approx(wait)
 
 
 def test_a_read_that_would_miss_its_deadline_is_refused_at_once() -> None:
     store = StateStore("127.0.0.1", 1, 30.0, 10.0, 1.0, 3)
-    store.requests.level = -100.0
+    store.request_bucket.level = -100.0
 
     async def main() -> None:
         with pytest.raises(UnavailableError, match="too much"):
             await store.get("c/live/j-000001", Deadline.within(time.monotonic(), 0.5))
 
-    before = store.requests.level
+    before = store.request_bucket.level
     curio.run(main)
-    assert before <= store.requests.level < 0  # the refused read has used no token
+    assert before <= store.request_bucket.level < 0  # the refused read has used no token
 
 
 @pytest.mark.parametrize(
@@ -755,7 +755,7 @@
     """
     harness = SingleController(monkeypatch)
     c = harness.c
-    c.transition.begin(Epoch(4, {"c1": "first"}, 7))
+    c.transition.begin_epoch(Epoch(4, {"c1": "first"}, 7))
     c.membership.records_loaded = True
     monkeypatch.setattr(c.renewal, "may_renew", lambda now: True)
     c.watermark.note_promise("c1", answering, harness.now + answered_s, harness.now + answered_s)
--- a/tests/system/test_restarts.py
+++ b/tests/system/test_restarts.py
@@ -11,7 +11,7 @@
 import curio
 import pytest
 
-from clayport.membership.epoch import Epoch, may_propose, successor
+from clayport.membership.epoch import Epoch, may_propose, next_epoch
 from clayport.membership.flap_damping import FlapDamping
 from tests.system.test_model import JOBS, JOBS_A_DAY, held, until_over
 from tests.world import Clock, World, job, simulate
@@ -211,4 +211,4 @@
     """
     members = {"a": "a0", "b": "b0", "c": "c0"}
     assert {me: may_propose(me, members, present) for me in present} == proposes
-    assert successor(Epoch(4, members, 1), present) is not None
+    assert next_epoch(Epoch(4, members, 1), present) is not None
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -226,7 +226,7 @@
             return status, json.dumps(answer).encode()
 
     c.store.client = Client()  # type: ignore[assignment]
-    c.store.requests.rate = c.store.changes.rate = 1e9
+    c.store.request_bucket.rate = c.store.write_bucket.rate = 1e9
     return c.user_api, c
 
 
@@ -356,7 +356,7 @@
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
-    c.transition.begin(Epoch(3, {"c0": c.membership.incarnation}, 7))
+    c.transition.begin_epoch(Epoch(3, {"c0": c.membership.incarnation}, 7))
     c.membership.serving, c.membership.records_loaded = True, True
     report = dict(REPORT)
 
@@ -402,7 +402,7 @@
     from clayport.membership.epoch import Epoch
 
     handler, c = api()
-    c.transition.begin(Epoch(3, {"c0": c.membership.incarnation}, 7))
+    c.transition.begin_epoch(Epoch(3, {"c0": c.membership.incarnation}, 7))
     c.membership.serving, c.membership.records_loaded = True, True
     c.watermark.note_records_read(time.monotonic())
     raw = json.dumps(REPORT).encode()
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -42,9 +42,9 @@
             self.disks.get(label, ""),
             self.second_copy,
         )
-        controller.store.client = controller.store.watcher = controller.store.recorder = (
-            self.client(label, "state")
-        )
+        controller.store.client = controller.store.watch_client = (
+            controller.store.snapshot_watch_client
+        ) = self.client(label, "state")
         controller.cloud.client = self.client(label, "cloud")
         controller.fleet.client = lambda address: self.client(label, address.split(":")[0])  # type: ignore
         for peer in controller.peers.values():
