--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -114,7 +114,7 @@
             count = min(capacity(candidate, room), rng.randint(1, 4))
             if count == 0 or (stays_partly_free and room.cpus < machine_type.cpus / 2):
                 break
-            room.take(candidate, count)
+            room.allocate(candidate, count)
         result.append(room)
     return result
 
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -87,7 +87,7 @@
     elapsed = clock() - started
     for managed in controller.jobs.managed.values():
         if managed.placed_starts:
-            controller.queue.touch(managed.job.id)
+            controller.queue.mark_changed(managed.job.id)
         managed.placed_starts.clear()
         managed.being_placed.clear()
         managed.requeued.clear()
@@ -109,10 +109,10 @@
     for room in rooms:
         update_room(controller, room)
     for job in fleets.random_jobs(job_count, rng):
-        job = controller.objectives.with_objectives(job)
+        job = controller.objectives.job_from_description(job)
         controller.jobs.live[job.id] = (job, 1)
         controller.jobs.managed[job.id] = ManagedJob(job, 1, 500, time.monotonic())
-        controller.queue.touch(job.id)
+        controller.queue.mark_changed(job.id)
     return controller, rooms
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -68,7 +68,7 @@
                 placed = plain.place(job, job.tasks, rooms, Spread(job, ()), "host-0", policy)
             elapsed += clock() - started
             for room in placed:
-                room.take(job, -1)
+                room.allocate(job, -1)
     return elapsed / JOBS_PER_ROUND
 
 
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -54,7 +54,7 @@
 from clayport.scaling.renting import Provisioner
 from clayport.scheduling.cached_state import CachedState
 from clayport.scheduling.dependencies import DependencyGraph
-from clayport.scheduling.job_queue import job_queue
+from clayport.scheduling.job_queue import build_job_queue
 from clayport.scheduling.placer import Placer
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.urgency import SchedulingObjectives
@@ -154,7 +154,7 @@
         # acknowledged.
         self.promises = Promises(self.peers, workers.lease_s, now)
         self.watermark = CancellationWatermark(self.peers, workers.lease_s)
-        self.queue = job_queue(
+        self.queue = build_job_queue(
             lambda: self.jobs.managed, self.objectives, cluster.teams, workers.lease_s
         )
         self.machines = MachineTable(
--- a/clayport/jobs/dispatcher.py
+++ b/clayport/jobs/dispatcher.py
@@ -131,7 +131,7 @@
                     continue
                 if managed.cleaned_up:
                     self.jobs.managed.pop(managed.job.id, None)
-                    self.queue.touch(managed.job.id)
+                    self.queue.mark_changed(managed.job.id)
                     self.jobs.ended_descriptions.pop(managed.job.id, None)
                     return
                 await self.routines.flush()
@@ -167,7 +167,7 @@
             return await self._do_next(managed)
         finally:
             if self.jobs.managed.get(managed.job.id) is managed:
-                self.queue.touch(managed.job.id)
+                self.queue.mark_changed(managed.job.id)
 
     async def _do_next(self, managed: ManagedJob) -> bool:
         """Do the first due action in order of precedence; return whether there may be more."""
@@ -307,7 +307,7 @@
                 room.close()
         if declined:
             self.routines.signal("starved")
-            self.cached_state.starved = True
+            self.cached_state.lacks_room = True
 
     async def _commit_starts(
         self, managed: ManagedJob, starts: list[Start], attempt: int, fence: int
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -183,7 +183,7 @@
                 managed = self.jobs.managed.get(name)
                 if managed is not None:
                     managed.job = job
-                    self.queue.touch(name)
+                    self.queue.mark_changed(name)
                     self.routines.signal("place")
 
     def _unblock(self, name: str) -> None:
@@ -195,7 +195,7 @@
         if managed is not None and not managed.ended:
             managed.waiting_since = self.jobs.dependencies.nodes[name].ready_at
             managed.blocked = False
-            self.queue.touch(name)
+            self.queue.mark_changed(name)
             log.info("job=%s event=prerequisites-done", name)
             self.routines.signal("place")
 
@@ -254,7 +254,7 @@
             status: Its final state.
             at: When it ended, on the monotonic clock.
         """
-        ready, doomed, changed = self.jobs.dependencies.end(job, status, at)
+        ready, doomed, changed = self.jobs.dependencies.record_end(job, status, at)
         self._update_urgency(changed)
         for name in ready:
             self._unblock(name)
@@ -288,5 +288,5 @@
         if managed is not None and not managed.ended:
             managed.ended = status
             managed.next_stop_at = 0.0
-            self.queue.touch(job)
+            self.queue.mark_changed(job)
             self.routines.signal(managed.name)
--- a/clayport/jobs/managed_job.py
+++ b/clayport/jobs/managed_job.py
@@ -15,7 +15,7 @@
 from clayport.machines.events import GONE
 from clayport.model import GANG, Job
 from clayport.records.chunk import ASSIGNED_BYTES, TXN_BYTES, Chunk
-from clayport.scheduling.requirements import shape
+from clayport.scheduling.requirements import requirements_key
 
 # The number of machines on which a job must have failed to be considered at fault itself.
 FAULT_MACHINES = 3
@@ -109,7 +109,12 @@
             job = self.job
             self._placement_key = (
                 job,
-                (*shape(job), job.one_zone, job.spread, job.tasks if job.kind == GANG else 0),
+                (
+                    *requirements_key(job),
+                    job.one_zone,
+                    job.spread,
+                    job.tasks if job.kind == GANG else 0,
+                ),
             )
         if self.assigned and (self.job.one_zone or self.job.spread):
             return (self.job.id,)
--- a/clayport/jobs/task_events.py
+++ b/clayport/jobs/task_events.py
@@ -43,7 +43,7 @@
                 started = managed.started
                 verdict = managed.handle_event(machine, number, attempt, state, cause, now)
                 if managed.started != started:
-                    self.queue.touch(job)
+                    self.queue.mark_changed(job)
                 if number in managed.outcomes:
                     managed.exited_on[number] = machine if state == "exited" else ""
                     self.routines.signal(managed.name)
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -47,8 +47,8 @@
         )
         if fits and machine is not None:
             machine.desired[key] = DesiredTask(RESERVED, now)
-            rooms[name].take(job)
-            if job.standing >= 0:
+            rooms[name].allocate(job)
+            if job.preemption_rank >= 0:
                 machine.idle_since = now
             table.mark_room_changed(name)
         granted.append(fits)
--- a/clayport/machines/evacuation.py
+++ b/clayport/machines/evacuation.py
@@ -29,7 +29,7 @@
         """Return the placement policy for all known jobs."""
         ...
 
-    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+    def allow_move(self, job: str, number: int, machine: str, drain: bool) -> bool:
         """Return whether a replica can be placed on another machine and start there soon."""
         ...
 
@@ -118,7 +118,7 @@
                 if machine_type is None or not replicas:
                     return
                 room = self.machines.room(machine)
-                if not drain and self.placer.policy().blocked(room, machine_type) <= 0:
+                if not drain and self.placer.policy().excess_cpus(room, machine_type) <= 0:
                     return
                 for key, job in replicas:
                     if await self._movable(machine, key, job, drain):
@@ -140,7 +140,7 @@
         epoch = self.membership.epoch
         leader = epoch.member_for(job.id)
         if leader == self.membership.label:
-            return self.placer.movable(job.id, number, machine.name, drain)
+            return self.placer.allow_move(job.id, number, machine.name, drain)
         try:
             answer = await self.peers[leader].call(
                 frames.MOVE, (epoch.number, job.id, number, machine.name, drain)
--- a/clayport/machines/eviction.py
+++ b/clayport/machines/eviction.py
@@ -30,7 +30,7 @@
     for key, victim in _victims(table, job, machine, room, borrowers):
         if capacity(job, room) >= count:
             break
-        room.take(victim, -1)
+        room.allocate(victim, -1)
         chosen.append((key, victim))
     if not room.fits(job):
         return False  # not even one task would fit, so nothing is stopped
@@ -61,9 +61,9 @@
         if victim is None or status.state == "exited":
             continue
         if key in machine.pending_kills or status.state == "saving":
-            room.take(victim, -1)
+            room.allocate(victim, -1)
         elif victim.rank < job.rank or (victim.team in borrowers and victim.kind != SERVICE):
-            victims.append((victim.standing, victim.checkpoint_s == 0, key, victim))
+            victims.append((victim.preemption_rank, victim.checkpoint_s == 0, key, victim))
     victims.sort(key=lambda v: v[:3])
     return [(key, victim) for _, _, key, victim in victims]
 
--- a/clayport/machines/reports.py
+++ b/clayport/machines/reports.py
@@ -186,6 +186,6 @@
     table.mark_room_changed(machine.name)
     for key in (*machine.desired, *machine.occupying()):
         job = table.job_of(job_id(key))
-        if job is None or job.standing >= 0:
+        if job is None or job.preemption_rank >= 0:
             machine.idle_since = now
             return
--- a/clayport/machines/room.py
+++ b/clayport/machines/room.py
@@ -52,7 +52,7 @@
     for job, count in tasks_by_job.items():
         description = job_of(job)
         if description is not None:
-            room.take(description, count)
+            room.allocate(description, count)
         else:
             room.tasks += count
             all_known = False
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -362,5 +362,5 @@
         if room.idle:
             room.idle_since = machine.idle_since
         if now is not None:
-            room.hold = machine.held_for_job if now < machine.held_until else ""
+            room.reserved_for = machine.held_for_job if now < machine.held_until else ""
         return room
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -169,7 +169,7 @@
                 continue
             self.lifecycle.note_end(job_id, *parse_end(entry.value), entry.rev)
             if "j" in entry.value:
-                job = self.objectives.with_objectives(msgspec.convert(entry.value["j"], Job))
+                job = self.objectives.job_from_description(msgspec.convert(entry.value["j"], Job))
                 ended[job_id] = EndedJob(job, entry.value["s"])
         return ended
 
@@ -200,5 +200,5 @@
             managed.blocked = bool(node.unfinished_prerequisites)
             managed.waiting_since = node.ready_at
         self.jobs.managed[job.id] = managed
-        self.queue.touch(job.id)
+        self.queue.mark_changed(job.id)
         self.routines.spawn(self.dispatcher.run_job(managed))
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -172,7 +172,7 @@
         peer.state_ok, peer.epoch = state_ok, epoch
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
-            if self.cached_state.starved:
+            if self.cached_state.lacks_room:
                 self.routines.signal("starved")
         if epoch > self.membership.epoch.number and self.store.is_serving:
             self.membership.rescan = True
--- a/clayport/model.py
+++ b/clayport/model.py
@@ -121,7 +121,7 @@
         return self.without_objective and self.kind != SERVICE
 
     @property
-    def standing(self) -> int:
+    def preemption_rank(self) -> int:
         """The rank that counts for preemption: -1 for backfill jobs of the lowest rank."""
         return -1 if self.backfill and self.rank == 0 else self.rank
 
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -203,13 +203,15 @@
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
         """MOVE: whether a replica can move from this machine to another one."""
-        return frames.ACK, (self.placer.movable(job, number, machine, drain),)
+        return frames.ACK, (self.placer.allow_move(job, number, machine, drain),)
 
     # -- requests to the owner of machines ---------------------------------
 
     async def free_room(self, _epoch: int, since: int, machines: list[NameRecord]) -> Answer:
         """FREE_ROOM: the table of free room, or the changes to it since a revision."""
-        return frames.TABLE, self.cached_state.table(since, [name for (name,) in machines])
+        return frames.TABLE, self.cached_state.free_room_table(
+            since, [name for (name,) in machines]
+        )
 
     async def reserve(
         self, _epoch: int, job: str, attempt: int, places: list[ReservationRecord]
--- a/clayport/records/replica.py
+++ b/clayport/records/replica.py
@@ -194,11 +194,11 @@
             elif key.startswith(VERSION_PREFIX):
                 self.versions.note_version(key[len(VERSION_PREFIX) :], value, rev)
             elif key.startswith(CLASS_PREFIX):
-                known = self.objectives.with_objectives(msgspec.convert(value["j"], Job))
+                known = self.objectives.job_from_description(msgspec.convert(value["j"], Job))
                 self.jobs.classes[known.job_class] = known
             elif key.startswith(LIVE_PREFIX):
                 self.lifecycle.note_live(
-                    self.objectives.with_objectives(msgspec.convert(value["j"], Job)),
+                    self.objectives.job_from_description(msgspec.convert(value["j"], Job)),
                     rev,
                     self.lifecycle.to_monotonic(value.get("t")),
                 )
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -23,8 +23,8 @@
 # For an array that has time for at least this many waves of its tasks, rentals are planned from the
 # rate at which its tasks complete.
 MIN_WAVES = 4.0
-# The value of `uncached` with which `place` considers only machines that have the image cached.
-# Demand is placed with an empty image, which counts as cached on every machine.
+# The value of `image_fetch_types` with which `place` considers only machines that have the image
+# cached. Demand is placed with an empty image, which counts as cached on every machine.
 NO_MACHINE_TYPES: frozenset[str] = frozenset()
 
 
@@ -73,7 +73,7 @@
             policy,
             avoid_expensive,
             avoid_idle_on_demand=avoid_idle_on_demand,
-            uncached=NO_MACHINE_TYPES,
+            image_fetch_types=NO_MACHINE_TYPES,
         )
         if len(chosen) < need.tasks:
             zones = (*need.zones, *(r.zone for r in chosen)) if need.job.spread else need.zones
--- a/clayport/scaling/provisioning.py
+++ b/clayport/scaling/provisioning.py
@@ -115,7 +115,7 @@
                 break
             room = empty_room(machine_type, f"new-{len(planned)}", zone, spot)
             tasks = _allowed_in(zone, min(wanted, most), spread)
-            room.take(job, tasks)
+            room.allocate(job, tasks)
             rooms.add(room)
             zones[zone] = zones.get(zone, 0) + 1
             counts[rental] = counts.get(rental, 0) + 1
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -168,14 +168,14 @@
         index, policy = self.cached_state.index(), self.placer.policy()
         if log.isEnabledFor(logging.DEBUG):
             self._log_fleet(list(index.rooms.values()), types)
-        waiting = self.placer.demand_report.whole_epoch()
+        waiting = self.placer.demand_report.cluster_demand()
         demand = [need for need in waiting if not need.job.backfill]
         observed = self.machine_list.observed_types(now)
         spare = spare_room(
             [job for job, _ in self.jobs.live.values()],
             self.arrivals,
             observed,
-            self.objectives.urgent,
+            self.objectives.classes_with_wait_limit,
             now,
         )
         self.planner.forget_refusals(now)
@@ -229,7 +229,7 @@
             if (
                 machine_type is not None
                 and room.open
-                and policy.blocked(room, machine_type) > 0
+                and policy.excess_cpus(room, machine_type) > 0
                 and await self.routing.ask_owner(frames.EVACUATE, room.machine, False)
             ):
                 self._evacuated_at = now
@@ -245,7 +245,7 @@
                 row[1] += types[room.type].cpus
                 row[2] += types[room.type].cpus - room.cpus
         waiting: dict[str, int] = {}
-        for need in self.placer.demand_report.whole_epoch():
+        for need in self.placer.demand_report.cluster_demand():
             name = need.job.job_class
             waiting[name] = waiting.get(name, 0) + need.tasks
         log.debug(
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -79,7 +79,7 @@
         owner,
         usage,
     )
-    room.hold = hold
+    room.reserved_for = hold
     return room
 
 
@@ -98,7 +98,7 @@
         room.tasks,
         " ".join(room.images),
         -1.0 if room.idle_since == math.inf else max(0.0, now - room.idle_since),
-        room.hold,
+        room.reserved_for,
     )
 
 
@@ -115,7 +115,7 @@
         stale: Machines whose rooms were charged or closed here, and therefore differ from
             their owner's table until the owner is asked for them again.
         pulling: Peers whose tables are about to be pulled after a preemption.
-        starved: Whether the last pass of the placer left jobs other than backfill without room.
+        lacks_room: Whether the last pass of the placer left jobs other than backfill without room.
     """
 
     def __init__(
@@ -140,7 +140,7 @@
         self.own_table_rev = -1
         self.stale: dict[str, None] = {}
         self.pulling: set[str] = set()
-        self.starved = False
+        self.lacks_room = False
 
     def begin_epoch(self) -> None:
         """Start an epoch, in which machines have new owners and no start is in flight."""
@@ -204,7 +204,7 @@
         # The resources of tasks that are placed but not committed yet stay subtracted.
         for machine, job in self.inflight.values():
             if machine in updated:
-                self.view.rooms[machine].take(job)
+                self.view.rooms[machine].allocate(job)
 
     async def refresh_peers(self, changed_only: bool) -> None:
         """Pull the peers' tables of free room, without any write to the state service.
@@ -266,7 +266,7 @@
         finally:
             self.pulling.discard(label)
 
-    def table(self, since: int, names: list[str]) -> tuple[Any, ...]:
+    def free_room_table(self, since: int, names: list[str]) -> tuple[Any, ...]:
         """Return the fields of `frames.TABLE`: the own table of free room, or its changes.
 
         Args:
@@ -318,7 +318,7 @@
                 due = now + interval
                 await self.refresh_peers(changed_only=False)
                 self.routines.signal("place")
-            elif self.starved and any(
+            elif self.lacks_room and any(
                 self.pulled.get(peer.label) != peer.room_rev
                 for peer in self.peers.values()
                 if peer.label in self.membership.epoch.members
--- a/clayport/scheduling/candidates.py
+++ b/clayport/scheduling/candidates.py
@@ -11,7 +11,7 @@
 
 
 def usable_pools(
-    job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool
+    job: Job, index: Index, spread: Spread, policy: Policy, avoid_expensive: bool
 ) -> list[Pool]:
     """Return the pools that may hold a task of the job.
 
@@ -22,7 +22,7 @@
         index: The rooms of all machines.
         spread: The zones of the job's other tasks.
         policy: The placement policy.
-        can_wait: Whether to skip expensive machines.
+        avoid_expensive: Whether to skip expensive machines.
     """
     fitting_types = policy.fitting_types(job)
     zones_matter = job.one_zone or job.spread
@@ -31,14 +31,14 @@
         for pool in index.allowed(job)
         if (fitting_types is None or pool.type in fitting_types)
         and (not zones_matter or spread.allows(pool.zone))
-        and not (can_wait and policy.expensive(job, pool))
+        and not (avoid_expensive and policy.expensive(job, pool))
     ]
 
 
-def is_cacheable(job: Job, index: Index, spread: Spread, without: Container[str]) -> bool:
+def is_cacheable(job: Job, index: Index, spread: Spread, excluded: Container[str]) -> bool:
     """Return whether a search result is valid for all jobs with the same requirements."""
     return (
-        not without
+        not excluded
         and job.id not in index.reserved_jobs
         and not spread.counts
         and not spread.unknown
--- a/clayport/scheduling/demand_report.py
+++ b/clayport/scheduling/demand_report.py
@@ -80,7 +80,7 @@
         ]
         groups = sorted(
             queue.groups.values(),
-            key=lambda group: (group.example.job.backfill, -group.example.job.rank),
+            key=lambda group: (group.representative.job.backfill, -group.representative.job.rank),
         )
         waiting = (
             name for group in groups for subqueue in group.subqueues.values() for name in subqueue
@@ -113,7 +113,7 @@
             zones,
         )
 
-    def whole_epoch(self) -> list[Demand]:
+    def cluster_demand(self) -> list[Demand]:
         """Return the demand reported by all members of the epoch, the most urgent first."""
         rows = self.own_rows()
         for label in self.membership.epoch.members:
--- a/clayport/scheduling/dependencies.py
+++ b/clayport/scheduling/dependencies.py
@@ -180,7 +180,7 @@
                 todo += self.dependents.get(job, ())
         return marked
 
-    def end(self, name: str, status: str, at: float) -> EndEffects:
+    def record_end(self, name: str, status: str, at: float) -> EndEffects:
         """Record that a job has ended with a status; return the effects on other jobs.
 
         The call is idempotent: a second end of the same job has no effect.
--- a/clayport/scheduling/guarantees.py
+++ b/clayport/scheduling/guarantees.py
@@ -62,7 +62,7 @@
         cpus, gpus = self.quotas.guarantees.get(job.team, (0.0, 0.0))
         return (gpus > 0 and job.gpus > 0) or (cpus > 0 and job.gpus == 0)
 
-    def covers(self, job: Job) -> bool:
+    def within_guarantee(self, job: Job) -> bool:
         """Return whether the job leaves its team within the guarantee, by the team's cached usage.
 
         Returns True if the team has no guarantee that applies to the job. Jobs within a guarantee
@@ -103,5 +103,5 @@
             and use[resource] > self.quotas.guarantees.get(team, (0.0, 0.0))[resource] + EPSILON
         ]
         for machine in machines if borrowers else ():
-            if await self.room_maker.request(machine, job, math.inf, borrowers):
+            if await self.room_maker.request_preemption(machine, job, math.inf, borrowers):
                 return
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -121,7 +121,7 @@
         rev: The index's revision at the pool's last change.
         changes: The revision of each machine's last change, the latest change last.
         sorted_by_image: The sorted views by image ("": all rooms), the most recently used last.
-        by_preemption_rank: The machines with tasks of each preemption rank (`Job.standing`).
+        by_preemption_rank: The machines with tasks of each preemption rank (`Job.preemption_rank`).
         counted_machines: Each machine's contribution to the totals, and the preemption ranks of
             its tasks.
         counted_rev: The revision up to which changes are included in `totals`.
@@ -244,8 +244,8 @@
         room.name_hash = crc32(room.machine.encode()) / 2**32
         room.index = self
         self.rooms[room.machine] = pool.rooms[room.machine] = room
-        if room.hold:
-            self.reserved_jobs[room.hold] += 1
+        if room.reserved_for:
+            self.reserved_jobs[room.reserved_for] += 1
         self.note_change(room)
 
     def remove(self, machine: str) -> None:
@@ -257,10 +257,10 @@
         del self.rooms[machine]
         del self.pools[room.type, room.zone, room.spot].rooms[machine]
         room.index = None
-        if room.hold:
-            self.reserved_jobs[room.hold] -= 1
-            if not self.reserved_jobs[room.hold]:
-                del self.reserved_jobs[room.hold]
+        if room.reserved_for:
+            self.reserved_jobs[room.reserved_for] -= 1
+            if not self.reserved_jobs[room.reserved_for]:
+                del self.reserved_jobs[room.reserved_for]
 
     def note_change(self, room: Room) -> None:
         """Record that the room is about to change, or has just been added."""
@@ -285,13 +285,13 @@
             del pool.changes[machine]
 
     @contextmanager
-    def trial(self, without: Iterable[str] = (), extra: Iterable[Room] = ()) -> Iterator[None]:
+    def trial(self, excluded: Iterable[str] = (), extra: Iterable[Room] = ()) -> Iterator[None]:
         """Undo all changes of rooms when the context ends.
 
         No other code may use the index during the trial.
 
         Args:
-            without: Machines to remove first.
+            excluded: Machines to remove first.
             extra: Rooms to add first; rooms of machines that exist already are ignored.
 
         Raises:
@@ -301,7 +301,7 @@
             raise RuntimeError("a trial placement is already in progress")
         before = self.before_trial = {}
         try:
-            for machine in list(without):
+            for machine in list(excluded):
                 self.remove(machine)
             for room in extra:
                 if room.machine not in self.rooms:
@@ -358,7 +358,7 @@
                         yield room
 
     def in_order(
-        self, job: Job, pools: Iterable[RankedPool], uncached: frozenset[str] | None
+        self, job: Job, pools: Iterable[RankedPool], image_fetch_types: frozenset[str] | None
     ) -> Iterator[Room]:
         """Yield rooms that may have enough CPUs and GPUs for one task, the preferred first.
 
@@ -368,8 +368,8 @@
         Args:
             job: The job to place.
             pools: The pools to search, with the criteria that rank them.
-            uncached: The machine types on which a task may start although the image has to be
-                fetched first; None: all types.
+            image_fetch_types: The machine types on which a task may start although the image has
+                to be fetched first; None: all types.
         """
         ranked: dict[tuple[bool, bool], list[Pool]] = {}
         for expensive, avoid, pool in pools:
@@ -379,10 +379,10 @@
                 for avoid in (False, True):
                     equal = ranked.get((expensive, avoid))
                     if equal:
-                        yield from self._in_order_of_image(job, free_gpus, equal, uncached)
+                        yield from self._in_order_of_image(job, free_gpus, equal, image_fetch_types)
 
     def _in_order_of_image(
-        self, job: Job, free_gpus: bool, pools: list[Pool], uncached: frozenset[str] | None
+        self, job: Job, free_gpus: bool, pools: list[Pool], image_fetch_types: frozenset[str] | None
     ) -> Iterator[Room]:
         """Yield rooms of equally ranked pools: cached image first, then spot before on-demand."""
         for cached in (True, False):
@@ -390,7 +390,8 @@
                 views = [
                     pool.sorted_rooms(job.image if cached else "")
                     for pool in pools
-                    if pool.spot == spot and (cached or uncached is None or pool.type in uncached)
+                    if pool.spot == spot
+                    and (cached or image_fetch_types is None or pool.type in image_fetch_types)
                 ]
                 if views:
                     yield from self._merged(job, free_gpus, views, not cached)
@@ -414,7 +415,7 @@
                     yield room
 
     def with_lower_rank(
-        self, pools: Iterable[Pool], rank: int, without: Container[str] = ()
+        self, pools: Iterable[Pool], rank: int, excluded: Container[str] = ()
     ) -> Iterator[Room]:
         """Yield the rooms with tasks whose preemption rank is lower than `rank`."""
         for pool in pools:
@@ -424,5 +425,5 @@
                 if task_rank < rank:
                     with_lower.update(machines)
             for machine in sorted(with_lower):
-                if machine not in without:
+                if machine not in excluded:
                     yield pool.rooms[machine]
--- a/clayport/scheduling/job_queue.py
+++ b/clayport/scheduling/job_queue.py
@@ -15,7 +15,7 @@
 DEFAULT_WAIT_LEASES = 40.0
 
 
-def job_queue(
+def build_job_queue(
     managed_jobs: Callable[[], Mapping[str, ManagedJob]],
     objectives: Objectives,
     teams: Iterable[Team],
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -11,7 +11,7 @@
 from clayport.scheduling.candidates import is_cacheable, usable_pools
 from clayport.scheduling.index import Index, RankedPool
 from clayport.scheduling.policy import NO_POLICY, LargeTaskReserve, Policy
-from clayport.scheduling.requirements import shape
+from clayport.scheduling.requirements import requirements_key
 from clayport.scheduling.room import Room, capacity
 from clayport.scheduling.spread import Spread
 
@@ -22,11 +22,11 @@
     index: Index,
     spread: Spread,
     policy: Policy | None = None,
-    can_wait: bool = False,
+    avoid_expensive: bool = False,
     avoid_spot: bool = False,
-    without: Container[str] = (),
+    excluded: Container[str] = (),
     avoid_idle_on_demand: bool = False,
-    uncached: frozenset[str] | None = None,
+    image_fetch_types: frozenset[str] | None = None,
     reserve: LargeTaskReserve | None = None,
 ) -> list[Room]:
     """Choose machines for tasks of a job, and charge the rooms and the spread for them.
@@ -49,14 +49,14 @@
         index: The rooms of all machines.
         spread: The zones of the job's other tasks.
         policy: The placement policy; None if no policy applies.
-        can_wait: Whether to skip expensive machines because the job can wait for others.
+        avoid_expensive: Whether to skip expensive machines because the job can wait for others.
         avoid_spot: Whether to prefer other machines to spot machines, because the job would be
             late if the cloud took its machine back. This leaves the spot machines to jobs with
             checkpoints.
-        without: Machines that are not considered.
+        excluded: Machines that are not considered.
         avoid_idle_on_demand: Whether to skip idle on-demand machines, which would stay rented
             for this job alone.
-        uncached: The machine types on which a task may start although the image has to be
+        image_fetch_types: The machine types on which a task may start although the image has to be
             fetched first; None: all types.
         reserve: The machines that have to keep room for a larger task.
 
@@ -67,33 +67,33 @@
     if wanted <= 0:
         return []
     # A job that found no room finds none until a changed room fits, so this result is cached.
-    cacheable = is_cacheable(job, index, spread, without)
+    cacheable = is_cacheable(job, index, spread, excluded)
     cache_key = (
-        shape(job),
+        requirements_key(job),
         job.one_zone,
         job.spread,
         wanted if job.kind == GANG else 0,
-        can_wait,
+        avoid_expensive,
         avoid_idle_on_demand,
-        uncached and (uncached, job.image),
+        image_fetch_types and (image_fetch_types, job.image),
         reserve and (reserve.share, reserve.job.id),
     )
     unplaceable = index.unplaceable_under(policy)
     since = unplaceable.get(cache_key) if cacheable else None
     if since is not None and not any(
-        accepts(job, room, policy, reserve)
+        may_take(job, room, policy, reserve)
         and not (avoid_idle_on_demand and not room.spot and room.idle)
         for room in index.changed_rooms(job, since)
     ):
         unplaceable[cache_key] = index.rev
         return []
-    pools = _ranked_pools(job, index, spread, policy, can_wait, avoid_spot)
+    pools = _ranked_pools(job, index, spread, policy, avoid_expensive, avoid_spot)
     if job.one_zone and not spread.counts and not spread.unknown:
-        pools = _pools_of_best_zone(job, wanted, index, pools, without)
+        pools = _pools_of_best_zone(job, wanted, index, pools, excluded)
     chosen: list[Room] = []
-    for room in index.in_order(job, pools, uncached):
+    for room in index.in_order(job, pools, image_fetch_types):
         if (
-            room.machine in without
+            room.machine in excluded
             or not room.fits(job)
             or (avoid_idle_on_demand and not room.spot and room.idle)
         ):
@@ -109,7 +109,7 @@
     return chosen
 
 
-def accepts(job: Job, room: Room, policy: Policy, reserve: LargeTaskReserve | None) -> bool:
+def may_take(job: Job, room: Room, policy: Policy, reserve: LargeTaskReserve | None) -> bool:
     """Return whether the room may take a task of the job in its present state.
 
     The room must afterwards still fit a task of the GPU job that the policy protects on this
@@ -130,23 +130,23 @@
     index: Index,
     spread: Spread,
     policy: Policy,
-    can_wait: bool,
-    without: set[str],
+    avoid_expensive: bool,
+    excluded: set[str],
 ) -> bool:
     """Return whether the rooms certainly hold `wanted` tasks of the job.
 
-    Each machine is counted for one job only: the counted machines are added to `without`.
+    Each machine is counted for one job only: the counted machines are added to `excluded`.
     No room is charged, so the check is cheap if there is plenty of room. False does not mean
     that the tasks do not fit; only a trial placement can tell.
     """
     if job.kind == GANG or job.one_zone:
         return False
-    pools = _ranked_pools(job, index, spread, policy, can_wait, False)
+    pools = _ranked_pools(job, index, spread, policy, avoid_expensive, False)
     for room in index.in_order(job, pools, None):
-        if room.machine in without or not accepts(job, room, policy, None):
+        if room.machine in excluded or not may_take(job, room, policy, None):
             continue
         gpu_job = policy.protected_job(job, room)
-        without.add(room.machine)
+        excluded.add(room.machine)
         for _ in range(capacity(job, room) if gpu_job is None else 1):
             if not spread.allows(room.zone):
                 break
@@ -158,17 +158,17 @@
 
 
 def _ranked_pools(
-    job: Job, index: Index, spread: Spread, policy: Policy, can_wait: bool, avoid_spot: bool
+    job: Job, index: Index, spread: Spread, policy: Policy, avoid_expensive: bool, avoid_spot: bool
 ) -> list[RankedPool]:
     """Return the pools that the job may use, each with the criteria that rank it."""
     return [
         (policy.expensive(job, pool), avoid_spot and pool.spot, pool)
-        for pool in usable_pools(job, index, spread, policy, can_wait)
+        for pool in usable_pools(job, index, spread, policy, avoid_expensive)
     ]
 
 
 def _pools_of_best_zone(
-    job: Job, wanted: int, index: Index, pools: list[RankedPool], without: Container[str]
+    job: Job, wanted: int, index: Index, pools: list[RankedPool], excluded: Container[str]
 ) -> list[RankedPool]:
     """Return the pools of the best zone for a job whose tasks all have to be in one zone.
 
@@ -180,7 +180,7 @@
     by_zone: dict[str, int] = {}
     cached: dict[str, int] = {}
     for room in index.in_order(job, pools, None):
-        if room.fits(job) and room.machine not in without:
+        if room.fits(job) and room.machine not in excluded:
             by_zone[room.zone] = by_zone.get(room.zone, 0) + capacity(job, room)
             cached[room.zone] = cached.get(room.zone, 0) + (job.image in room.images)
     if not by_zone:
@@ -220,7 +220,7 @@
         and (large_job is None or room.fits_both(job, large_job))
     ):
         count = 1 if charge_singly else min(wanted - placed, capacity(job, room))
-        room.take(job, count)
+        room.allocate(job, count)
         spread.add(room.zone, count)
         placed += count
         if placed == wanted or not room.fits(job):
@@ -231,5 +231,5 @@
 def _undo_charges(job: Job, chosen: list[Room], spread: Spread) -> None:
     """Undo the charges for the chosen rooms and their zones."""
     for room in chosen:
-        room.take(job, -1)
+        room.allocate(job, -1)
         spread.counts[room.zone] -= 1
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -67,9 +67,9 @@
 
     Attributes:
         swept_at: The monotonic time of the queue's last full sweep, in seconds.
-        owed: The fair share of each class or team that is owed one.
-        owed_until: The monotonic time until which `owed` is valid, in seconds.
-        granted_cpus: For each class or team, the CPUs of the tasks placed since `owed` was
+        fair_shares: The fair share of each class or team that is owed one.
+        fair_shares_until: The monotonic time until which `fair_shares` is valid, in seconds.
+        granted_cpus: For each class or team, the CPUs of the tasks placed since `fair_shares` was
             looked up.
     """
 
@@ -137,8 +137,8 @@
         )
         self.postponements = Postponements(membership=membership, queue=queue, settings=settings)
         self.reserves = Reserves()
-        self.swept_at = self.owed_until = -math.inf
-        self.owed: dict[AccountKey, FairShare] = {}
+        self.swept_at = self.fair_shares_until = -math.inf
+        self.fair_shares: dict[AccountKey, FairShare] = {}
         self.granted_cpus: dict[AccountKey, float] = {}
 
     def policy(self) -> Policy:
@@ -146,12 +146,15 @@
         return self.policy_cache.current()
 
     def note_accepted(self, job: Job) -> None:
-        """Invalidate the policy if it does not cover an accepted job (see `PolicyCache.learn`)."""
+        """Invalidate the policy if it does not cover an accepted job.
+
+        See `PolicyCache.note_accepted`.
+        """
         self.policy_cache.note_accepted(job)
 
-    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
-        """Return whether a replica may move, as `ReplicaMigration.movable` does."""
-        return self.replica_migration.movable(job, number, machine, drain)
+    def allow_move(self, job: str, number: int, machine: str, drain: bool) -> bool:
+        """Return whether a replica may move, as `ReplicaMigration.allow_move` does."""
+        return self.replica_migration.allow_move(job, number, machine, drain)
 
     def connect(self, *, dispatcher: TransactionBounds) -> None:
         """Set the components that are created after this one."""
@@ -161,7 +164,7 @@
         """Start an epoch, in which jobs have new leaders and no peer has reported demand yet."""
         self.demand_report.begin_epoch()
         self.queue.clear(time.monotonic())
-        self.owed_until = -math.inf
+        self.fair_shares_until = -math.inf
         self.reserves.begin_epoch()
         self.backfill.begin_epoch()
 
@@ -174,7 +177,7 @@
                 now = time.monotonic()
                 if now - self.swept_at > self.settings.cluster.workers.lease_s:
                     self.swept_at = now
-                    self.queue.sweep()
+                    self.queue.mark_all_changed()
                 self._pass(now)
                 await self.routines.flush()
             # The pause lets one pass handle several changes.
@@ -191,13 +194,13 @@
         queue = self.queue
         queue.catch_up(now)
         if not queue.entries:
-            self.cached_state.starved = False
+            self.cached_state.lacks_room = False
             return
-        current = SchedulingPass(
+        scheduling_pass = SchedulingPass(
             now,
             self.cached_state.index(),
             self.policy(),
-            self._current_owed(now),
+            self._current_fair_shares(now),
             self.reserves.current,
             self.granted_cpus,
         )
@@ -205,34 +208,38 @@
         active: list[Group] = []
         postponed: list[Group] = []
         for group in queue.groups.values():
-            (postponed if is_postponed(group, current, True) else active).append(group)
-        if any(group.example.job.kind != SERVICE for group in active):
+            (postponed if is_postponed(group, scheduling_pass, True) else active).append(group)
+        if any(group.representative.job.kind != SERVICE for group in active):
             # Postponed groups that let free room accumulate take part in this pass as well, so
             # that the free room does not go to jobs of a lower rank.
-            active += [group for group in postponed if not is_postponed(group, current, False)]
-        for managed in self._in_order(active, current):
-            if current.work >= MAX_PASS_WORK:
+            active += [
+                group for group in postponed if not is_postponed(group, scheduling_pass, False)
+            ]
+        for managed in self._in_order(active, scheduling_pass):
+            if scheduling_pass.work >= MAX_PASS_WORK:
                 self.routines.signal("place")
                 break
-            self._place_job(managed, current)
-        self.postponements.postpone(current)
-        self.reserves.update(current)
-        if current.starved and not self.cached_state.starved:
+            self._place_job(managed, scheduling_pass)
+        self.postponements.postpone(scheduling_pass)
+        self.reserves.update(scheduling_pass)
+        if scheduling_pass.lacks_room and not self.cached_state.lacks_room:
             self.routines.signal("starved")
             self.routines.signal("demand")
-        self.cached_state.starved = current.starved
+        self.cached_state.lacks_room = scheduling_pass.lacks_room
 
-    def _current_owed(self, now: float) -> dict[AccountKey, FairShare]:
+    def _current_fair_shares(self, now: float) -> dict[AccountKey, FairShare]:
         """Return the fair shares owed, recomputed several times between two heartbeats."""
-        if now >= self.owed_until:
-            self.owed_until = (
+        if now >= self.fair_shares_until:
+            self.fair_shares_until = (
                 now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
             )
-            self.owed = self.queue.shares.owed(now)
+            self.fair_shares = self.queue.shares.current_shares(now)
             self.granted_cpus = {}
-        return self.owed
+        return self.fair_shares
 
-    def _in_order(self, groups: list[Group], current: SchedulingPass) -> Iterator[ManagedJob]:
+    def _in_order(
+        self, groups: list[Group], scheduling_pass: SchedulingPass
+    ) -> Iterator[ManagedJob]:
         """Yield the jobs of the groups in the order in which they are to be placed.
 
         After a job of a group found less room than it wants, only the group's jobs with
@@ -240,13 +247,13 @@
         """
         entries, serial = self.queue.entries, itertools.count()
         heap: list[tuple[tuple[float, ...], int, ManagedJob, Iterator[str]]] = []
-        reserved = {name: None for name in current.index.reserved_jobs if name in entries}
+        reserved = {name: None for name in scheduling_pass.index.reserved_jobs if name in entries}
 
         def push(rest: Iterator[str]) -> None:
             name = next(rest, None)
             if name is not None:
                 managed = entries[name].managed
-                heappush(heap, (self._order(managed, current), next(serial), managed, rest))
+                heappush(heap, (self._order(managed, scheduling_pass), next(serial), managed, rest))
 
         for name in reserved:
             push(iter((name,)))
@@ -256,44 +263,48 @@
         while heap:
             _, _, managed, rest = heappop(heap)
             yield managed
-            if managed.placement_key in current.unsatisfied:
-                current.starved = current.starved or not managed.job.backfill
+            if managed.placement_key in scheduling_pass.unsatisfied:
+                scheduling_pass.lacks_room = scheduling_pass.lacks_room or not managed.job.backfill
             else:
                 push(rest)
 
-    def _place_job(self, managed: ManagedJob, current: SchedulingPass) -> None:
+    def _place_job(self, managed: ManagedJob, scheduling_pass: SchedulingPass) -> None:
         """Find room for one job or request preemption, and hand over the tasks that found room."""
         job = managed.job
-        if job.backfill and job.rank not in current.backfill_cpus_left:
-            current.backfill_cpus_left[job.rank] = self.backfill.cpus_left(current.index, job.rank)
+        if job.backfill and job.rank not in scheduling_pass.backfill_cpus_left:
+            scheduling_pass.backfill_cpus_left[job.rank] = self.backfill.cpus_left(
+                scheduling_pass.index, job.rank
+            )
         if managed.at_fault and managed.assigned > managed.running:
             # A job whose own tasks are at fault may start one task at a time, even while other
             # tasks of it run. If it could start none, a replica that failed on three unhealthy
             # machines would never be restarted.
             return
-        current.work += 1
-        wanted = self._wanted(managed, current)
+        scheduling_pass.work += 1
+        wanted = self._wanted(managed, scheduling_pass)
         if wanted <= 0 or (job.kind == GANG and wanted < managed.pending):
             return
-        chosen, wanted = self.room_finder.find(managed, wanted, current)
+        chosen, wanted = self.room_finder.find(managed, wanted, scheduling_pass)
         if job.backfill:
-            current.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
+            scheduling_pass.backfill_cpus_left[job.rank] -= len(chosen) * job.cpus
         if len(chosen) < wanted:
-            current.starved = current.starved or not job.backfill
+            scheduling_pass.lacks_room = scheduling_pass.lacks_room or not job.backfill
             self.reserves.note_unplaced(job)
             if (
-                job.id not in current.index.reserved_jobs
+                job.id not in scheduling_pass.index.reserved_jobs
                 and not managed.errors
                 and not managed.lost_machines
             ):
-                current.unsatisfied.setdefault(managed.placement_key, current.index.rev)
+                scheduling_pass.unsatisfied.setdefault(
+                    managed.placement_key, scheduling_pass.index.rev
+                )
         else:
             self.reserves.note_placed(job)
-        current.work += len(chosen)
+        scheduling_pass.work += len(chosen)
         if chosen:
-            self._hand_over(managed, chosen, current)
+            self._hand_over(managed, chosen, scheduling_pass)
 
-    def _wanted(self, managed: ManagedJob, current: SchedulingPass) -> int:
+    def _wanted(self, managed: ManagedJob, scheduling_pass: SchedulingPass) -> int:
         """Return for how many tasks to seek room, at most as many as one transaction starts."""
         job = managed.job
         wanted = min(
@@ -304,17 +315,19 @@
         wanted = self._within_limit(job, wanted)
         if managed.at_fault and job.kind != GANG:
             wanted = min(wanted, 1)
-        missing_cpus = current.missing_cpus(account_keys(job))
+        missing_cpus = scheduling_pass.missing_cpus(account_keys(job))
         if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
             # The array goes before other jobs only for the share that is owed. Tasks beyond the
             # share would be preempted again for the jobs that the array overtook.
             wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
         if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
-            cpus = max(current.backfill_cpus_left[job.rank], missing_cpus)
+            cpus = max(scheduling_pass.backfill_cpus_left[job.rank], missing_cpus)
             wanted = int(max(0.0, min(wanted, cpus / job.cpus)))
         return wanted
 
-    def _hand_over(self, managed: ManagedJob, chosen: list[Room], current: SchedulingPass) -> None:
+    def _hand_over(
+        self, managed: ManagedJob, chosen: list[Room], scheduling_pass: SchedulingPass
+    ) -> None:
         """Hand the chosen rooms to the job's routine, which starts the tasks there."""
         for room in chosen:
             if room.machine in managed.preempted_room:
@@ -322,30 +335,30 @@
                 managed.preempted_room[room.machine] = (max(0, left - 1), until)
         numbers = managed.take_pending(len(chosen), self.dispatcher.max_start_chunks)
         for account in account_keys(managed.job):
-            current.granted_cpus[account] = (
-                current.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
+            scheduling_pass.granted_cpus[account] = (
+                scheduling_pass.granted_cpus.get(account, 0.0) + len(numbers) * managed.job.cpus
             )
         for room in chosen[len(numbers) :]:
-            room.take(managed.job, -1)  # the task is left for the next transaction
+            room.allocate(managed.job, -1)  # the task is left for the next transaction
         managed.placed_starts = [(number, room.machine) for number, room in zip(numbers, chosen)]
-        self.queue.touch(managed.job.id)
+        self.queue.mark_changed(managed.job.id)
         for number, machine in managed.placed_starts:
             self.cached_state.inflight[(managed.job.id, number)] = (machine, managed.job)
         self.routines.signal(managed.name)
 
-    def _order(self, managed: ManagedJob, current: SchedulingPass) -> tuple[float, ...]:
+    def _order(self, managed: ManagedJob, scheduling_pass: SchedulingPass) -> tuple[float, ...]:
         """Return the sort key of a job: its rank, then its position in the queue.
 
         Jobs whose class or team is owed a fair share come after replicas and before all other
         jobs. Jobs within their team's guarantee come before jobs beyond it.
         """
         job = managed.job
-        band, (start_by, rev, _), _ = self.queue.standing(managed, current.now)
-        left = start_by - current.now if math.isfinite(start_by) else 0.0
+        band, (start_by, rev, _), _ = self.queue.position(managed, scheduling_pass.now)
+        left = start_by - scheduling_pass.now if math.isfinite(start_by) else 0.0
         rank = float(job.rank)
-        if current.is_owed(job):
+        if scheduling_pass.has_fair_share(job):
             rank = RANKS["production"] - 0.5
-        return (-rank, band, float(not self.guarantees.covers(job)), left, rev)
+        return (-rank, band, float(not self.guarantees.within_guarantee(job)), left, rev)
 
     def _within_limit(self, job: Job, wanted: int) -> int:
         """Return `wanted`, bounded by what the team's limit leaves according to the cached usage.
--- a/clayport/scheduling/policy.py
+++ b/clayport/scheduling/policy.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from clayport.model import SERVICE, Job, MachineType, fits
-from clayport.scheduling.requirements import EPSILON, MachineClass, shape
+from clayport.scheduling.requirements import EPSILON, MachineClass, requirements_key
 from clayport.scheduling.room import Room
 
 # A type is expensive if its price per task exceeds the cheapest type's by this factor. The
@@ -55,9 +55,10 @@
         """Return whether the other policy makes the same decision for every job and room."""
         return (
             self.types == other.types
-            and [shape(j) for j in self.services] == [shape(j) for j in other.services]
-            and {t: shape(j) for t, j in self.gpu_jobs.items()}
-            == {t: shape(j) for t, j in other.gpu_jobs.items()}
+            and [requirements_key(j) for j in self.services]
+            == [requirements_key(j) for j in other.services]
+            and {t: requirements_key(j) for t, j in self.gpu_jobs.items()}
+            == {t: requirements_key(j) for t, j in other.gpu_jobs.items()}
         )
 
     def rejects(self, job: Job, room: Room) -> bool:
@@ -73,7 +74,7 @@
         gpu_job = self.gpu_jobs.get(room.type)
         return gpu_job if gpu_job is not None and (gpu_job.spot or not room.spot) else None
 
-    def blocked(self, room: Room, machine_type: MachineType) -> float:
+    def excess_cpus(self, room: Room, machine_type: MachineType) -> float:
         """Return the CPUs that have to be freed before the type's protected GPU job fits.
 
         Only tasks without GPUs that the GPU job cannot preempt are counted. If these tasks
--- a/clayport/scheduling/postponement.py
+++ b/clayport/scheduling/postponement.py
@@ -6,7 +6,7 @@
 
 from clayport.membership.state import MembershipState
 from clayport.model import ARRAY, SERVICE
-from clayport.scheduling.placement import accepts
+from clayport.scheduling.placement import may_take
 from clayport.scheduling.policy import LargeTaskReserve, Policy
 from clayport.scheduling.queueing import Group, JobQueue
 from clayport.scheduling.queueing.shares import account_keys_of
@@ -46,7 +46,7 @@
         self.queue = queue
         self.settings = settings
 
-    def is_postponed(self, group: Group, current: SchedulingPass, gather: bool) -> bool:
+    def is_postponed(self, group: Group, scheduling_pass: SchedulingPass, gather: bool) -> bool:
         """Return whether a group that found no room would find none now either.
 
         This holds if the group has no new demand, no room that has changed since fits one of
@@ -55,57 +55,57 @@
 
         Args:
             group: The group.
-            current: The pass.
+            scheduling_pass: The pass.
             gather: Whether to let freed room accumulate for a while before the group is tried.
         """
-        postponement, job = group.postponement, group.example.job
+        postponement, job = group.postponement, group.representative.job
         if (
             postponement is None
             or group.has_new_demand
-            or current.now >= postponement.expires_at
-            or postponement.policy is not current.policy
-            or postponement.reserve is not current.reserve
+            or scheduling_pass.now >= postponement.expires_at
+            or postponement.policy is not scheduling_pass.policy
+            or postponement.reserve is not scheduling_pass.reserve
         ):
             group.postponement = None
             return False
-        if gather and current.now < postponement.gather_until:
-            current.starved = current.starved or not job.backfill
+        if gather and scheduling_pass.now < postponement.gather_until:
+            scheduling_pass.lacks_room = scheduling_pass.lacks_room or not job.backfill
             return True
         reserve = (
             None
             if job.kind == SERVICE
             or any(
-                current.missing_cpus(account_keys_of(job.gpus > 0, *class_and_team)) > 0
+                scheduling_pass.missing_cpus(account_keys_of(job.gpus > 0, *class_and_team)) > 0
                 for class_and_team in group.subqueues
             )
-            else current.reserve
+            else scheduling_pass.reserve
         )
-        for room in current.index.changed_rooms(job, postponement.rev):
-            holder = self.queue.entries.get(room.hold) if room.hold else None
-            if (holder is not None and holder.group is group) or accepts(
-                job, room, current.policy, reserve
+        for room in scheduling_pass.index.changed_rooms(job, postponement.rev):
+            holder = self.queue.entries.get(room.reserved_for) if room.reserved_for else None
+            if (holder is not None and holder.group is group) or may_take(
+                job, room, scheduling_pass.policy, reserve
             ):
                 group.postponement = None
                 return False
-        current.starved = current.starved or not job.backfill
+        scheduling_pass.lacks_room = scheduling_pass.lacks_room or not job.backfill
         return True
 
-    def postpone(self, current: SchedulingPass) -> None:
+    def postpone(self, scheduling_pass: SchedulingPass) -> None:
         """Postpone the groups that found less room in this pass than they want."""
-        for key, rev in current.unsatisfied.items():
+        for key, rev in scheduling_pass.unsatisfied.items():
             group = self.queue.groups.get(key)
             # A service is impaired while replicas are missing, so services are never postponed.
-            if group is not None and group.example.job.kind != SERVICE:
+            if group is not None and group.representative.job.kind != SERVICE:
                 gather_s = (
                     self.settings.cluster.workers.report_s * GATHER_SHARE
-                    if group.example.job.kind == ARRAY
+                    if group.representative.job.kind == ARRAY
                     else 0.0
                 )
                 group.postponement = Postponement(
                     rev,
-                    current.now + gather_s,
-                    current.now + self.membership.lease_ttl_s / 6,
-                    current.policy,
-                    current.reserve,
+                    scheduling_pass.now + gather_s,
+                    scheduling_pass.now + self.membership.lease_ttl_s / 6,
+                    scheduling_pass.policy,
+                    scheduling_pass.reserve,
                 )
                 group.has_new_demand = False
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -11,7 +11,7 @@
 from clayport.scheduling.candidates import is_cacheable, usable_pools
 from clayport.scheduling.index import Index
 from clayport.scheduling.policy import Policy
-from clayport.scheduling.requirements import shape
+from clayport.scheduling.requirements import requirements_key
 from clayport.scheduling.room import Room
 from clayport.scheduling.spread import Spread
 
@@ -29,9 +29,9 @@
     policy: Policy,
     max_rank: int | None = None,
     avoid_spot: bool = False,
-    can_wait: bool = False,
-    without: Container[str] = (),
-    uncached: frozenset[str] | None = None,
+    avoid_expensive: bool = False,
+    excluded: Container[str] = (),
+    image_fetch_types: frozenset[str] | None = None,
 ) -> list[tuple[Room, int]]:
     """Find the machines on which preempting tasks of lower rank makes room at the least cost.
 
@@ -47,32 +47,32 @@
         policy: The placement policy.
         max_rank: The highest rank that may be preempted; None: any rank below the job's.
         avoid_spot: Whether to prefer other machines to spot machines.
-        can_wait: Whether to skip expensive machines.
-        without: Machines that are not considered.
-        uncached: The machine types on which a task may start although the image has to be
+        avoid_expensive: Whether to skip expensive machines.
+        excluded: Machines that are not considered.
+        image_fetch_types: The machine types on which a task may start although the image has to be
             fetched first; None: all types.
 
     Returns:
         The rooms, each with the number of tasks that it will hold.
     """
-    cacheable = is_cacheable(job, index, spread, without)
+    cacheable = is_cacheable(job, index, spread, excluded)
     cache_key = (
         "preempt",
-        shape(job),
+        requirements_key(job),
         job.one_zone,
         job.spread,
         max_rank,
-        can_wait,
-        uncached and (uncached, job.image),
+        avoid_expensive,
+        image_fetch_types and (image_fetch_types, job.image),
     )
     unplaceable = index.unplaceable_under(policy)
     since = unplaceable.get(cache_key) if cacheable else None
-    pools = usable_pools(job, index, spread, policy, can_wait)
+    pools = usable_pools(job, index, spread, policy, avoid_expensive)
     if since is None:
-        rooms = index.with_lower_rank(pools, job.rank, without)
+        rooms = index.with_lower_rank(pools, job.rank, excluded)
     else:
         rooms = index.changed(pools, since)
-    offers = _offers(job, rooms, policy, max_rank, avoid_spot, uncached)
+    offers = _offers(job, rooms, policy, max_rank, avoid_spot, image_fetch_types)
     if not offers:
         if cacheable:
             unplaceable[cache_key] = index.rev
@@ -81,7 +81,16 @@
         # Preemption on a changed room makes room again, so choose among all rooms.
         del unplaceable[cache_key]
         return preempt(
-            job, wanted, index, spread, policy, max_rank, avoid_spot, can_wait, without, uncached
+            job,
+            wanted,
+            index,
+            spread,
+            policy,
+            max_rank,
+            avoid_spot,
+            avoid_expensive,
+            excluded,
+            image_fetch_types,
         )
     return _choose(job, wanted, offers, spread)
 
@@ -92,16 +101,20 @@
     policy: Policy,
     max_rank: int | None,
     avoid_spot: bool,
-    uncached: frozenset[str] | None,
+    image_fetch_types: frozenset[str] | None,
 ) -> list[Offer]:
     """Return the rooms in which preemption makes room for a task, with the cost of each."""
     offers = []
     for room in rooms:
         if (
             not room.open
-            or room.hold not in ("", job.id)
+            or room.reserved_for not in ("", job.id)
             or policy.rejects(job, room)
-            or (uncached is not None and room.type not in uncached and job.image not in room.images)
+            or (
+                image_fetch_types is not None
+                and room.type not in image_fetch_types
+                and job.image not in room.images
+            )
         ):
             continue
         cost = room.preemption_cost(job)
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -2,8 +2,8 @@
 
 The cost of a pass of the placer must not grow with the number of waiting jobs, because on an
 overloaded fleet thousands of jobs wait and hardly any of them finds room. So a pass doesn't iterate
-over all waiting jobs. Instead, `JobQueue.touch` marks a changed job, and the queue processes the
-marked jobs before the next pass.
+over all waiting jobs. Instead, `JobQueue.mark_changed` marks a changed job, and the queue processes
+the marked jobs before the next pass.
 
 Jobs that can use the same room form a group. Within a group each class and team has a subqueue,
 whose jobs are sorted into bands: on time, start limit missed, late, backfill. Jobs in a band are
@@ -93,17 +93,17 @@
             postponed. Set by the placer.
         has_new_demand: Whether a job has joined the group, or one has more waiting tasks, since
             the group was postponed.
-        example: One of the jobs, which stands for the needs of all.
+        representative: One of the jobs, which stands for the needs of all.
         size: The number of jobs.
     """
 
-    __slots__ = ("example", "has_new_demand", "postponement", "size", "subqueues")
+    __slots__ = ("has_new_demand", "postponement", "representative", "size", "subqueues")
 
-    def __init__(self, example: ManagedJob) -> None:
+    def __init__(self, representative: ManagedJob) -> None:
         self.subqueues: dict[tuple[str, str], SubQueue] = {}
         self.postponement: Any = None
         self.has_new_demand = True
-        self.example = example
+        self.representative = representative
         self.size = 0
 
 
@@ -152,11 +152,11 @@
         self.timers: list[tuple[float, str]] = []
         self.shares.clear(now)
 
-    def touch(self, name: str) -> None:
+    def mark_changed(self, name: str) -> None:
         """Mark a job as changed."""
         self.dirty[name] = None
 
-    def sweep(self) -> None:
+    def mark_all_changed(self) -> None:
         """Mark all jobs as changed, in case a change was missed; the cost grows with all jobs."""
         self.dirty.update(dict.fromkeys(self.entries))
         self.dirty.update(dict.fromkeys(self.managed_jobs()))
@@ -198,7 +198,7 @@
             self._remove(name, known)
             heappush(self.timers, (managed.not_before, name))
             return
-        position = self.standing(managed, now)
+        position = self.position(managed, now)
         group_key = managed.placement_key
         group = self.groups.get(group_key)
         if (
@@ -281,7 +281,7 @@
         running = max(job.cpus, account.running_cpus if account is not None else 0.0, 1e-3)
         return min(max(0.0, max_s), managed.pending * job.cpus * job.estimate_s / running)
 
-    def standing(self, managed: ManagedJob, now: float) -> Position:
+    def position(self, managed: ManagedJob, now: float) -> Position:
         """Return the job's band, its key in the band, and the time at which it leaves the band.
 
         Jobs that can still finish on time come before late jobs, so that an overload doesn't make
--- a/clayport/scheduling/queueing/shares.py
+++ b/clayport/scheduling/queueing/shares.py
@@ -56,7 +56,7 @@
         waiting_cpus: The CPUs of the job's waiting tasks.
         backlog_cpu_s: The estimated work of the job's waiting tasks, in CPU seconds.
         waiting_key: Since when the job waits, and its id; None if no task waits.
-        standing: The job's rank as preemption compares it.
+        preemption_rank: The job's rank as preemption compares it.
     """
 
     accounts: tuple[AccountKey, AccountKey]
@@ -64,7 +64,7 @@
     waiting_cpus: float
     backlog_cpu_s: float
     waiting_key: tuple[float, str] | None
-    standing: int
+    preemption_rank: int
 
 
 class Account:
@@ -79,7 +79,7 @@
         arrived_cpu_s: The sum of the work in `arrivals`.
         waiting_jobs: For each waiting job, since when it waits and its id, sorted.
         jobs: The number of live jobs.
-        standing: The rank of the latest updated job, as preemption compares it.
+        preemption_rank: The rank of the latest updated job, as preemption compares it.
     """
 
     __slots__ = (
@@ -87,8 +87,8 @@
         "arrived_cpu_s",
         "backlog_cpu_s",
         "jobs",
+        "preemption_rank",
         "running_cpus",
-        "standing",
         "waiting_cpus",
         "waiting_jobs",
     )
@@ -100,7 +100,7 @@
         self.arrivals: deque[tuple[float, float]] = deque()
         self.waiting_jobs: SortedList = SortedList()
         self.jobs = 0
-        self.standing = 0
+        self.preemption_rank = 0
 
 
 class FairShare(NamedTuple):
@@ -108,15 +108,15 @@
 
     Attributes:
         share_cpus: The share in CPUs.
-        missing: The CPUs of the share that are unused although tasks for them wait.
-        total: The CPUs that all classes (or all teams) use.
-        standing: The rank of the account, as preemption compares it.
+        missing_cpus: The CPUs of the share that are unused although tasks for them wait.
+        total_cpus: The CPUs that all classes (or all teams) use.
+        preemption_rank: The rank of the account, as preemption compares it.
     """
 
     share_cpus: float
-    missing: float
-    total: float
-    standing: int
+    missing_cpus: float
+    total_cpus: float
+    preemption_rank: int
 
 
 class FairShares:
@@ -161,7 +161,7 @@
             pending * job.cpus,
             pending * job.cpus * max(1.0, job.estimate_s),
             (since, name) if pending > 0 else None,
-            job.standing,
+            job.preemption_rank,
         )
         known = self.usage.get(name)
         if known == usage:
@@ -177,7 +177,7 @@
             account.waiting_cpus += usage.waiting_cpus
             account.backlog_cpu_s += usage.backlog_cpu_s
             account.jobs += 1
-            account.standing = usage.standing
+            account.preemption_rank = usage.preemption_rank
             if usage.waiting_key is not None:
                 account.waiting_jobs.add(usage.waiting_key)
             if known is None:
@@ -238,7 +238,7 @@
             account.backlog_cpu_s / max(self._tolerated_wait_s(key), 1e-3),
         )
 
-    def owed(self, now: float) -> dict[AccountKey, FairShare]:
+    def current_shares(self, now: float) -> dict[AccountKey, FairShare]:
         """Return the accounts that are entitled to a share now.
 
         Accounts that use all of their share are included too, because their tasks are protected
@@ -265,6 +265,6 @@
                     share_cpus,
                     max(0.0, min(share_cpus - account.running_cpus, account.waiting_cpus)),
                     total,
-                    account.standing,
+                    account.preemption_rank,
                 )
         return shares
--- a/clayport/scheduling/replica_migration.py
+++ b/clayport/scheduling/replica_migration.py
@@ -45,7 +45,7 @@
         self.settings = settings
         self.view = view
 
-    def movable(self, job: str, number: int, machine: str, drain: bool) -> bool:
+    def allow_move(self, job: str, number: int, machine: str, drain: bool) -> bool:
         """Decide whether a replica may move; if so, record the time of the move.
 
         The replica is stopped before it starts elsewhere. So another machine must have room,
@@ -94,10 +94,10 @@
         ]
         policy, index = self.policy_cache.current(), self.cached_state.index()
         expensive = policy.expensive(job, room)
-        uncached = types_fetched_within(
+        image_fetch_types = types_fetched_within(
             self.machines.types, job, self.settings.cluster.workers.report_s
         )
-        without = (room.machine,)
+        excluded = (room.machine,)
         with index.trial():
             found = place(
                 job,
@@ -106,8 +106,8 @@
                 Spread(job, zones),
                 policy,
                 True,
-                without=without,
-                uncached=uncached,
+                excluded=excluded,
+                image_fetch_types=image_fetch_types,
             )
         if found:
             return True
@@ -122,8 +122,8 @@
                 Spread(job, zones),
                 policy,
                 max_rank,
-                can_wait=True,
-                without=without,
-                uncached=uncached,
+                avoid_expensive=True,
+                excluded=excluded,
+                image_fetch_types=image_fetch_types,
             )
         )
--- a/clayport/scheduling/requirements.py
+++ b/clayport/scheduling/requirements.py
@@ -35,7 +35,7 @@
     )
 
 
-def shape(job: Job) -> tuple[Any, ...]:
+def requirements_key(job: Job) -> tuple[Any, ...]:
     """Return a key that is equal for jobs whose tasks have the same requirements."""
     return (
         job.cpus,
--- a/clayport/scheduling/reserves.py
+++ b/clayport/scheduling/reserves.py
@@ -7,7 +7,7 @@
 from clayport.model import Job
 from clayport.scheduling.policy import LargeTaskReserve
 from clayport.scheduling.queueing.shares import AccountKey, account_keys
-from clayport.scheduling.requirements import shape
+from clayport.scheduling.requirements import requirements_key
 from clayport.scheduling.scheduling_pass import SchedulingPass
 
 # The reserved share of the machines is this multiple of the fair share that is still owed,
@@ -53,13 +53,14 @@
         self.unplaced_jobs = {
             account: job
             for account, job in self.unplaced_jobs.items()
-            if account in scheduling_pass.owed and scheduling_pass.owed[account].missing > 0
+            if account in scheduling_pass.fair_shares
+            and scheduling_pass.fair_shares[account].missing_cpus > 0
         }
         reserve: LargeTaskReserve | None = None
         for account, unplaced_job in self.unplaced_jobs.items():
-            owed = scheduling_pass.owed[account]
-            if unplaced_job.gpus == 0 and owed.total > 0:
-                share = min(1.0, RESERVED_SHARE * owed.missing / owed.total)
+            owed = scheduling_pass.fair_shares[account]
+            if unplaced_job.gpus == 0 and owed.total_cpus > 0:
+                share = min(1.0, RESERVED_SHARE * owed.missing_cpus / owed.total_cpus)
                 steps = math.ceil(share * RESERVE_STEPS) / RESERVE_STEPS
                 if reserve is None or steps > reserve.share:
                     reserve = LargeTaskReserve(
@@ -71,6 +72,6 @@
             reserve is None
             or self.current is None
             or reserve.share != self.current.share
-            or shape(reserve.job) != shape(self.current.job)
+            or requirements_key(reserve.job) != requirements_key(self.current.job)
         ):
             self.current = reserve
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -42,9 +42,9 @@
         idle_since: The monotonic time at which the machine became idle, in seconds; infinite
             while the machine is not idle.
         owner: The controller to which the machine's worker reports.
-        used: The CPUs, GPUs and memory in use, by preemption rank (`Job.standing`) and whether
-            the tasks use no GPUs.
-        hold: The job for which the room is reserved after a preemption ("": none).
+        used: The CPUs, GPUs and memory in use, by preemption rank (`Job.preemption_rank`) and
+            whether the tasks use no GPUs.
+        reserved_for: The job for which the room is reserved after a preemption ("": none).
         index: The listener that is notified of changes.
         tie_breaker: A hash, salted by controller, that orders otherwise equal machines.
         name_hash: A hash of the machine's name in [0, 1), the same at all controllers.
@@ -56,7 +56,6 @@
         "backfill_tasks",
         "cpus",
         "gpus",
-        "hold",
         "idle_since",
         "images",
         "index",
@@ -65,6 +64,7 @@
         "name_hash",
         "open",
         "owner",
+        "reserved_for",
         "sort_key",
         "spot",
         "tasks",
@@ -97,7 +97,7 @@
         self.tasks, self.images = tasks, dict.fromkeys(images)
         self.idle_since, self.owner = idle_since, owner
         self.backfill_tasks = 0 if idle_since == math.inf else tasks
-        self.hold = ""
+        self.reserved_for = ""
         self.index: ChangeListener | None = None
         self.tie_breaker = 0.0
         self.name_hash = 1.0
@@ -109,7 +109,11 @@
         other = Room.__new__(Room)
         other.machine, other.address, other.type = self.machine, self.address, self.type
         other.zone, other.spot, other.owner = self.zone, self.spot, self.owner
-        other.images, other.idle_since, other.hold = self.images, self.idle_since, self.hold
+        other.images, other.idle_since, other.reserved_for = (
+            self.images,
+            self.idle_since,
+            self.reserved_for,
+        )
         other.tie_breaker, other.name_hash = self.tie_breaker, self.name_hash
         other.index = other.sort_key = None
         other.restore(self)
@@ -136,13 +140,13 @@
         """Return whether the room is open to the job and a task of it fits the free resources."""
         return (
             self.open
-            and self.hold in ("", job.id)
+            and self.reserved_for in ("", job.id)
             and self.cpus + EPSILON >= job.cpus
             and self.gpus + EPSILON >= job.gpus
             and self.memory_gb + EPSILON >= job.memory_gb
         )
 
-    def take(self, job: Job, count: int = 1) -> None:
+    def allocate(self, job: Job, count: int = 1) -> None:
         """Subtract the resources of `count` tasks of the job (negative: release them)."""
         if self.index is not None:
             self.index.note_change(self)
@@ -151,7 +155,7 @@
         self.gpus -= gpus
         self.memory_gb -= memory_gb
         self.tasks += count
-        preemption_rank = job.standing
+        preemption_rank = job.preemption_rank
         if preemption_rank < 0:
             self.backfill_tasks += count
         taken = self.used.setdefault((preemption_rank, job.gpus == 0), [0.0, 0.0, 0.0])
--- a/clayport/scheduling/room_finder.py
+++ b/clayport/scheduling/room_finder.py
@@ -20,7 +20,7 @@
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
 
-# The preemption rank (`Job.standing`) of jobs of the lowest rank without an objective.
+# The preemption rank (`Job.preemption_rank`) of jobs of the lowest rank without an objective.
 LOWEST_BACKFILL_RANK = -1
 
 
@@ -75,33 +75,33 @@
         self.view = view
 
     def find(
-        self, managed: ManagedJob, wanted: int, current: SchedulingPass
+        self, managed: ManagedJob, wanted: int, scheduling_pass: SchedulingPass
     ) -> tuple[list[Room], int]:
         """Choose free rooms for tasks of a job, and request preemption for the other tasks.
 
         Args:
             managed: The job.
             wanted: The number of tasks to find room for.
-            current: The scheduling pass.
+            scheduling_pass: The scheduling pass.
 
         Returns:
             The chosen rooms, which are charged, and the number of tasks for which free room
             was sought. That number is smaller than `wanted` if preemption is making room for
             some of the tasks, or if the job is at fault.
         """
-        search = self._search_conditions(managed, current)
-        job, now, age_s = managed.job, current.now, search.age_s
+        search = self._search_conditions(managed, scheduling_pass)
+        job, now, age_s = managed.job, scheduling_pass.now, search.age_s
         limit = self.objectives.wait_limits.get(job.job_class)
         chosen: list[Room] = []
         if managed.at_fault:
             # The job is likely to fail again, so neither preempt tasks nor claim a guarantee.
-            chosen = search.place(wanted, can_wait=True)
+            chosen = search.place(wanted, avoid_expensive=True)
             wanted = len(chosen)
         elif limit is not None and age_s < limit and job.kind != GANG:
             chosen, wanted = self._find_in_time(search, wanted, limit - age_s)
         if len(chosen) < wanted:
             chosen += search.place(
-                wanted - len(chosen), can_wait=search.can_wait or job.kind != GANG
+                wanted - len(chosen), avoid_expensive=search.can_wait or job.kind != GANG
             )
         if len(chosen) < wanted and not search.can_wait and job.kind != GANG:
             chosen += self._find_expensive(search, wanted - len(chosen))
@@ -115,21 +115,23 @@
             self._claim_guarantee(search)
         return chosen, wanted
 
-    def _search_conditions(self, managed: ManagedJob, current: SchedulingPass) -> RoomSearch:
+    def _search_conditions(
+        self, managed: ManagedJob, scheduling_pass: SchedulingPass
+    ) -> RoomSearch:
         """Return the conditions of the search for room for the job in this pass."""
         job = managed.job
-        without: Collection[str] = (
+        excluded: Collection[str] = (
             {*managed.avoided_machines(), *managed.lost_machines}
             if managed.errors or managed.lost_machines
             else ()
         )
-        age_s = current.now - managed.waiting_since
+        age_s = scheduling_pass.now - managed.waiting_since
         can_wait = self.objectives.can_wait(job, age_s)
         return RoomSearch(
             managed=managed,
-            current=current,
+            scheduling_pass=scheduling_pass,
             age_s=age_s,
-            without=without,
+            excluded=excluded,
             # The job must not keep an on-demand machine rented for itself alone.
             avoid_idle_on_demand=job.backfill
             and age_s < self.backfill.long_wait_s
@@ -138,9 +140,11 @@
             avoid_spot=self.objectives.avoid_spot(job, age_s),
             spread=self._spread(managed),
             max_rank=self.room_maker.spare_fair_shares(
-                job, self.room_maker.max_preempted_rank(job, age_s, can_wait), current
+                job, self.room_maker.max_preempted_rank(job, age_s, can_wait), scheduling_pass
             ),
-            reserve=None if job.kind == SERVICE or current.is_owed(job) else current.reserve,
+            reserve=None
+            if job.kind == SERVICE or scheduling_pass.has_fair_share(job)
+            else scheduling_pass.reserve,
         )
 
     def _spread(self, managed: ManagedJob) -> Spread:
@@ -162,17 +166,17 @@
         starting on other machines.
         """
         managed = search.managed
-        uncached = types_fetched_within(self.machines.types, managed.job, left_s)
-        chosen = search.place(wanted, uncached=uncached)
+        image_fetch_types = types_fetched_within(self.machines.types, managed.job, left_s)
+        chosen = search.place(wanted, image_fetch_types=image_fetch_types)
         if len(chosen) < wanted and search.max_rank >= 0:
-            if search.current.now < managed.next_preempt_at:
+            if search.scheduling_pass.now < managed.next_preempt_at:
                 wanted = len(chosen)
             elif not managed.preempted and self.room_maker.make_room(
                 search,
                 wanted - len(chosen),
                 grace_s=0.0,
                 max_rank=RANKS["best_effort"],
-                uncached=uncached,
+                image_fetch_types=image_fetch_types,
             ):
                 managed.preempted = True
                 wanted = len(chosen)
@@ -185,14 +189,14 @@
         used only for the remaining tasks, because each task there keeps an expensive machine
         rented.
         """
-        managed, now = search.managed, search.current.now
+        managed, now = search.managed, search.scheduling_pass.now
         if search.max_rank >= 0 and now >= managed.next_preempt_at:
             self.room_maker.make_room(
                 search,
                 wanted,
                 grace_s=self.room_maker.grace_s(managed.job, search.age_s),
                 max_rank=search.max_rank,
-                can_wait=True,
+                avoid_expensive=True,
             )
         expected = sum(count for count, until in managed.preempted_room.values() if now < until)
         return search.place(max(0, wanted - expected))
@@ -206,29 +210,29 @@
         if not job.backfill and search.max_rank >= 0:
             grace_s = self.room_maker.grace_s(job, search.age_s)
             self.room_maker.make_room(search, wanted, grace_s=grace_s, max_rank=search.max_rank)
-        elif job.backfill and job.standing >= 0:
+        elif job.backfill and job.preemption_rank >= 0:
             self.room_maker.make_room(
                 search, wanted, grace_s=math.inf, max_rank=LOWEST_BACKFILL_RANK
             )
 
     def _claim_guarantee(self, search: RoomSearch) -> None:
         """Claim the guarantee of the job's team from teams that exceed their guarantees."""
-        managed, current = search.managed, search.current
+        managed, scheduling_pass = search.managed, search.scheduling_pass
         job = managed.job
-        fitting_types = current.policy.fitting_types(job)
+        fitting_types = scheduling_pass.policy.fitting_types(job)
         machines = claimable_machines(
             job,
             [
                 room
-                for pool in current.index.allowed(job)
+                for pool in scheduling_pass.index.allowed(job)
                 if fitting_types is None or pool.type in fitting_types
                 for room in pool.rooms.values()
-                if room.machine not in search.without
+                if room.machine not in search.excluded
             ],
             search.spread,
         )
         # The search iterates over all machines, so it does not run in every pass.
-        managed.next_claim_at = current.now + self.membership.lease_ttl_s / 6
+        managed.next_claim_at = scheduling_pass.now + self.membership.lease_ttl_s / 6
         if machines:
-            managed.next_preempt_at = current.now + self.membership.lease_ttl_s
+            managed.next_preempt_at = scheduling_pass.now + self.membership.lease_ttl_s
             self.routines.spawn(self.guarantees.claim(job, machines))
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -64,8 +64,8 @@
         wanted: int,
         grace_s: float,
         max_rank: int,
-        can_wait: bool = False,
-        uncached: frozenset[str] | None = None,
+        avoid_expensive: bool = False,
+        image_fetch_types: frozenset[str] | None = None,
     ) -> bool:
         """Request preemption of tasks of lower rank if that makes room for tasks of the job.
 
@@ -77,15 +77,15 @@
             wanted: The number of tasks to make room for.
             grace_s: The time that preempted tasks may take to save, in seconds.
             max_rank: The highest rank that may be preempted.
-            can_wait: Whether to skip expensive machines.
-            uncached: The machine types on which a task may start although the image has to be
-                fetched first; None: all types.
+            avoid_expensive: Whether to skip expensive machines.
+            image_fetch_types: The machine types on which a task may start although the image has
+                to be fetched first; None: all types.
 
         Returns:
             Whether room is being made.
         """
-        managed, current, without = search.managed, search.current, search.without
-        job, now = managed.job, current.now
+        managed, scheduling_pass, excluded = search.managed, search.scheduling_pass, search.excluded
+        job, now = managed.job, scheduling_pass.now
         _drop_expired(managed, now)
         expected = sum(count for count, _ in managed.preempted_room.values())
         wanted = min(wanted - expected, 1 if job.kind == GANG else wanted)
@@ -94,14 +94,14 @@
         found = preempt(
             job,
             wanted,
-            current.index,
+            scheduling_pass.index,
             search.spread.copy(),
-            current.policy,
+            scheduling_pass.policy,
             max_rank,
             search.avoid_spot,
-            can_wait,
-            {*without, *managed.preempted_room} if managed.preempted_room else without,
-            uncached,
+            avoid_expensive,
+            {*excluded, *managed.preempted_room} if managed.preempted_room else excluded,
+            image_fetch_types,
         )
         shown_at = (
             now
@@ -114,10 +114,10 @@
             managed.next_preempt_at = now + self.membership.lease_ttl_s / 6
         for room, count in found:
             managed.preempted_room[room.machine] = (count, shown_at)
-            self.routines.spawn(self.request(room.machine, job, grace_s, (), count))
+            self.routines.spawn(self.request_preemption(room.machine, job, grace_s, (), count))
         return bool(found) or expected > 0
 
-    async def request(
+    async def request_preemption(
         self,
         machine: str,
         job: Job,
@@ -182,16 +182,16 @@
             return max(own - 1, RANKS["best_effort"])
         return job.rank - 1
 
-    def spare_fair_shares(self, job: Job, max_rank: int, current: SchedulingPass) -> int:
+    def spare_fair_shares(self, job: Job, max_rank: int, scheduling_pass: SchedulingPass) -> int:
         """Return `max_rank`, lowered to protect other classes that are owed a fair share.
 
         Room granted for a fair share is not taken away again, except for replicas.
         """
-        if job.kind == SERVICE or not current.owed:
+        if job.kind == SERVICE or not scheduling_pass.fair_shares:
             return max_rank
-        for (kind, gpus, name), owed in current.owed.items():
+        for (kind, gpus, name), owed in scheduling_pass.fair_shares.items():
             if kind == "class" and gpus == (job.gpus > 0) and name != job.job_class:
-                max_rank = min(max_rank, owed.standing - 1)
+                max_rank = min(max_rank, owed.preemption_rank - 1)
         return max_rank
 
     def grace_s(self, job: Job, age_s: float) -> float:
--- a/clayport/scheduling/room_search.py
+++ b/clayport/scheduling/room_search.py
@@ -19,9 +19,9 @@
 
     Attributes:
         managed: The job.
-        current: The scheduling pass.
+        scheduling_pass: The scheduling pass.
         age_s: How long the job has waited, in seconds.
-        without: Machines that are not considered.
+        excluded: Machines that are not considered.
         avoid_idle_on_demand: Whether to skip idle on-demand machines.
         can_wait: Whether the job can wait for a machine that is not expensive.
         avoid_spot: Whether to prefer other machines to spot machines, because the job would be
@@ -32,9 +32,9 @@
     """
 
     managed: ManagedJob
-    current: SchedulingPass
+    scheduling_pass: SchedulingPass
     age_s: float
-    without: Collection[str]
+    excluded: Collection[str]
     avoid_idle_on_demand: bool
     can_wait: bool
     avoid_spot: bool
@@ -43,26 +43,29 @@
     reserve: LargeTaskReserve | None
 
     def place(
-        self, wanted: int, can_wait: bool = False, uncached: frozenset[str] | None = None
+        self,
+        wanted: int,
+        avoid_expensive: bool = False,
+        image_fetch_types: frozenset[str] | None = None,
     ) -> list[Room]:
         """Choose and charge free rooms.
 
         Args:
             wanted: The number of tasks to place.
-            can_wait: Whether to skip expensive machines.
-            uncached: The machine types on which a task may start although the image has to be
-                fetched first; None: all types.
+            avoid_expensive: Whether to skip expensive machines.
+            image_fetch_types: The machine types on which a task may start although the image has
+                to be fetched first; None: all types.
         """
         return place(
             self.managed.job,
             wanted,
-            self.current.index,
+            self.scheduling_pass.index,
             self.spread,
-            self.current.policy,
-            can_wait,
+            self.scheduling_pass.policy,
+            avoid_expensive,
             self.avoid_spot,
-            self.without,
+            self.excluded,
             self.avoid_idle_on_demand,
-            uncached,
+            image_fetch_types,
             self.reserve,
         )
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -17,15 +17,15 @@
 
     Attributes:
         patience_s: Jobs with more slack than this avoid expensive machines.
-        urgent: The classes whose jobs should start within a time.
+        classes_with_wait_limit: The classes whose jobs should start within a time.
     """
 
     def __init__(self, objectives: Iterable[Objective], patience_s: float) -> None:
         super().__init__(objectives)
         self.patience_s = patience_s
-        self.urgent = set(self.wait_limits)
+        self.classes_with_wait_limit = set(self.wait_limits)
 
-    def with_objectives(self, description: Description) -> Job:
+    def job_from_description(self, description: Description) -> Job:
         """Return the job of a description, with the flag whether no objective applies to it."""
         without_objective = (
             description.deadline_s is None and description.job_class not in self.classes
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -190,7 +190,7 @@
     async def _submit(self, body: bytes) -> Response:
         """Answer a submission; a repeated one returns the state of the accepted job."""
         try:
-            job = self.objectives.with_objectives(msgspec.json.decode(body, type=Description))
+            job = self.objectives.job_from_description(msgspec.json.decode(body, type=Description))
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return Response(400, {"error": str(exc)})
         if not self.stalls.confirm_no_stall(time.monotonic()):
--- a/tests/jobs/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -52,7 +52,7 @@
         self.c.jobs.live[job.id] = (job, 1)
         self.c.placer.note_accepted(job)
         managed = self.c.jobs.managed[job.id] = ManagedJob(job, 1, 50, self.now)
-        self.c.queue.touch(job.id)
+        self.c.queue.mark_changed(job.id)
         return managed
 
     def report(self, name: str, zone: str, kind: str, *tasks: str) -> None:
@@ -73,7 +73,7 @@
 
     def run_pass(self) -> None:
         """Run one scheduling pass and its preemption requests; no task is started."""
-        self.c.queue.sweep()
+        self.c.queue.mark_all_changed()
         self.c.placer._pass(self.now)
         coros, self.c.routines.coroutines = self.c.routines.coroutines, []
 
@@ -135,7 +135,10 @@
     """Jobs without an objective must not count as late and rent machines at 18 times the price."""
     harness = SingleController(monkeypatch)
     job = msgspec.convert(wire_job(1, **fields), Job)
-    assert harness.c.objectives.can_wait(harness.c.objectives.with_objectives(job), age) == can_wait
+    assert (
+        harness.c.objectives.can_wait(harness.c.objectives.job_from_description(job), age)
+        == can_wait
+    )
 
 
 def test_lower_ranks_are_preempted_before_an_expensive_machine_is_used(
@@ -209,7 +212,7 @@
     rooms = [room("m1", ACCEL), room("m2", ACCEL), room("m3", ACCEL, zone="south")]
     for each in rooms:
         if each.machine in busy or each.zone == "south":
-            each.take(SMALL)
+            each.allocate(SMALL)
     if not busy:
         rooms = rooms[2:]  # only the machine of the other zone, which is not enough
     from clayport.scheduling.guarantees import claimable_machines
@@ -258,7 +261,7 @@
     owner_side.c.membership.serving = True
 
     async def call(_: int, values: tuple[Any, ...]) -> tuple[Any, ...]:
-        return owner_side.c.cached_state.table(values[1], [n for (n,) in values[2]])
+        return owner_side.c.cached_state.free_room_table(values[1], [n for (n,) in values[2]])
 
     harness.c.peers["c1"].call = call  # type: ignore[method-assign,assignment]
     for step in range(60):
@@ -284,7 +287,7 @@
             owner.expire(harness.now)
         room = harness.c.view.rooms.get(name)
         if room is not None and rng.random() < 0.3:
-            room.take(LOW)  # reserved in the cached state, and declined by the owner
+            room.allocate(LOW)  # reserved in the cached state, and declined by the owner
             cached_state.stale[name] = None
         if rng.random() < 0.5:
             curio.run(cached_state.refresh_peers, False)
@@ -411,7 +414,7 @@
     harness.report("m1", "north", "plain")
     m = owner.machines["m1"]
     room_copy = owner.room(m)
-    room_copy.take(job)  # a copy, so the machine's own room doesn't change
+    room_copy.allocate(job)  # a copy, so the machine's own room doesn't change
     assert owner.room(m).cpus == 8.0
     assert owner.reserve(job, [("m1", n) for n in range(5)], 1, harness.now) == [True] * 4 + [False]
     assert owner.room(m).cpus == 0.0
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -69,7 +69,9 @@
     dependencies = DependencyGraph(1.0, 0.0)
     for step in steps:
         if isinstance(step, str):
-            dependencies.end(job_id(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0)
+            dependencies.record_end(
+                job_id(int(step[1:])), "done" if step[0] == "d" else "cancelled", 5.0
+            )
         else:
             dependencies.add(make_job(*step), 1.0)
     assert {n for n in dependencies.nodes if dependencies.is_waiting(n)} == {
@@ -85,10 +87,10 @@
         dependencies.add(make_job(n, n - 1), 0.0)
     for n in range(100, 600):
         dependencies.add(make_job(n, 0), 0.0)
-    ready, doomed, _ = dependencies.end(job_id(0), "cancelled", 1.0)
+    ready, doomed, _ = dependencies.record_end(job_id(0), "cancelled", 1.0)
     assert not ready and len(doomed) == 560
     for found in doomed:
-        dependencies.end(found, "cancelled", 2.0)
+        dependencies.record_end(found, "cancelled", 2.0)
     assert not dependencies.nodes and not dependencies.dependents and not dependencies.to_cancel
 
 
@@ -156,7 +158,7 @@
     for description in jobs:
         dependencies.add(description, 0.0)
     for number, at in ends.items():
-        dependencies.end(job_id(number), "done" if number == 1 else "cancelled", at)
+        dependencies.record_end(job_id(number), "done" if number == 1 else "cancelled", at)
     effective_jobs = {n: dependencies.effective_job(job_id(n), {"timed": 50.0}) for n in found}
     assert {n: (v.rank, v.deadline_s) for n, v in effective_jobs.items()} == found
 
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -61,14 +61,14 @@
     spread: Spread,
     salt: str,
     policy: Policy,
-    can_wait: bool = False,
+    avoid_expensive: bool = False,
     avoid_spot: bool = False,
 ) -> list[Room]:
     """Take room for up to `wanted` tasks, for all or none of a gang; return the rooms by task."""
     candidates = [
         r
         for r in rooms
-        if r.allows(job) and r.fits(job) and not (can_wait and policy.expensive(job, r))
+        if r.allows(job) and r.fits(job) and not (avoid_expensive and policy.expensive(job, r))
     ]
     if job.one_zone and not spread.counts and not spread.unknown and candidates:
         candidates = best_zone(job, wanted, candidates)
@@ -81,12 +81,12 @@
             and spread.allows(room.zone)
             and not policy.rejects(job, room)
         ):
-            room.take(job)
+            room.allocate(job)
             spread.add(room.zone)
             chosen.append(room)
     if job.kind == "ensemble" and len(chosen) < wanted:
         for room in chosen:
-            room.take(job, -1)
+            room.allocate(job, -1)
             spread.counts[room.zone] -= 1
         return []
     return chosen
@@ -98,26 +98,26 @@
     rooms: list[Room],
     spread: Spread,
     policy: Policy,
-    most: int | None = None,
+    max_rank: int | None = None,
     avoid_spot: bool = False,
 ) -> list[tuple[Room, int]]:
     """Return the machines to preempt tasks on, and how many tasks of the job each makes room for.
 
     Args:
-        most: The highest rank that may be preempted; None: any below the rank of the job.
+        max_rank: The highest rank that may be preempted; None: any below the rank of the job.
     """
     offers = []
     for room in rooms:
         if (
             not room.open
-            or room.hold not in ("", job.id)
+            or room.reserved_for not in ("", job.id)
             or not room.allows(job)
             or not spread.allows(room.zone)
             or policy.rejects(job, room)
         ):
             continue
         cost = room.preemption_cost(job)
-        if cost is not None and (most is None or cost[0] <= most):
+        if cost is not None and (max_rank is None or cost[0] <= max_rank):
             offers.append((cost[0], avoid_spot and room.spot, cost[1], room.machine, room))
     found: list[tuple[Room, int]] = []
     for rank, _, _, _, room in sorted(offers, key=lambda o: o[:4]):
--- a/tests/scheduling/test_index.py
+++ b/tests/scheduling/test_index.py
@@ -99,8 +99,8 @@
         for _ in range(rng.randrange(5)):
             job = rng.choice(JOBS)
             if room.allows(job) and room.fits(job):
-                room.take(job)
-        room.hold = rng.choice(JOBS).id if rng.random() < 0.05 else ""
+                room.allocate(job)
+        room.reserved_for = rng.choice(JOBS).id if rng.random() < 0.05 else ""
         self.rooms[name] = room
         self.index.add(room.copy())
 
@@ -150,7 +150,7 @@
 ) -> None:
     fleet = Fleet(seed, machines)
     policies = [Policy(JOBS, MACHINE_TYPES), Policy((), MACHINE_TYPES)]
-    for action, number, job_index, wanted, can_wait, avoid_spot in steps:
+    for action, number, job_index, wanted, avoid_expensive, avoid_spot in steps:
         job, rooms, policy = JOBS[job_index], list(fleet.rooms.values()), policies[0]
         zones = [fleet.rng.choice([*ZONES, None]) for _ in range(fleet.rng.randrange(3))]
         if action == "show":
@@ -176,13 +176,15 @@
             # A trial leaves no changes behind, also if it removes and adds machines.
             extra = Room("i-new", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
             with fleet.index.trial([f"i-{number:04d}"], [extra]):
-                place(job, wanted, fleet.index, Spread(job, ()), policy, can_wait, avoid_spot)
+                place(
+                    job, wanted, fleet.index, Spread(job, ()), policy, avoid_expensive, avoid_spot
+                )
         else:
             expected = plain.place(
-                job, wanted, rooms, Spread(job, zones), "c1", policy, can_wait, avoid_spot
+                job, wanted, rooms, Spread(job, zones), "c1", policy, avoid_expensive, avoid_spot
             )
             chosen = place(
-                job, wanted, fleet.index, Spread(job, zones), policy, can_wait, avoid_spot
+                job, wanted, fleet.index, Spread(job, zones), policy, avoid_expensive, avoid_spot
             )
             assert [r.machine for r in chosen] == [r.machine for r in expected]
         fleet.check_equal()
@@ -198,7 +200,7 @@
     index, low, high = Index(), JOBS[1], JOBS[10]
     for number in range(20 * MAX_REMOVED_MACHINES):
         room = Room(f"i-{number}", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
-        room.take(low, 4)
+        room.allocate(low, 4)
         index.add(room)
         if number % 9 == 8:  # each removal in a row lowers the limit of recorded changes
             for removed in range(number - 8, number - 2):
@@ -228,6 +230,6 @@
     assert place(job, 1, index, Spread(job, ())) == []
     since = index.rev
     assert list(index.changed_rooms(job, since)) == []
-    full[7].take(job, -1)
+    full[7].allocate(job, -1)
     assert [r.machine for r in index.changed_rooms(job, since)] == ["m7"]
     assert [r.machine for r in place(job, 2, index, Spread(job, ()))] == ["m7"]
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -67,8 +67,8 @@
         ({"ram_gb": 30.0}, {}, 2),  # memory is the limit
         ({"cards": 1.0}, {}, 0),
         ({}, {"open": False}, 0),
-        ({}, {"hold": "j-000002"}, 0),  # reserved for another job
-        ({}, {"hold": "j-000001"}, 3),
+        ({}, {"reserved_for": "j-000002"}, 0),  # reserved for another job
+        ({}, {"reserved_for": "j-000001"}, 3),
         ({"pieces": 9, "shape": "ensemble"}, {}, 0),  # a gang is placed whole or not at all
         ({"pieces": 4, "shape": "ensemble"}, {}, 4),
     ],
@@ -134,7 +134,8 @@
     job = make_job()
     policy = Policy([], MACHINE_TYPES)
     assert (
-        place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy, can_wait=True) == []
+        place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy, avoid_expensive=True)
+        == []
     )
     assert len(place(job, 3, Index("", [room(kind=ACCEL)]), Spread(job, ()), policy)) == 3
 
@@ -161,7 +162,7 @@
     assert len(chosen) == 5 and chosen[0] == first  # a preference, not a requirement
     rooms = [room("cheap", spot=True), room("plain")]
     for each in rooms:
-        each.take(make_job(2, rank="best_effort"), 4)
+        each.allocate(make_job(2, rank="best_effort"), 4)
     found = preempt(
         job, 1, Index("", rooms), Spread(job, ()), Policy([], MACHINE_TYPES), None, avoid_spot
     )
@@ -181,7 +182,7 @@
 )
 def test_only_lower_ranks_are_preempted(rank: str, victim: str, preempted: bool) -> None:
     full = room()
-    full.take(make_job(2, rank=victim), 4)
+    full.allocate(make_job(2, rank=victim), 4)
     job = make_job(rank=rank)
     found = preempt(job, 1, Index("", [full]), Spread(job, ()), Policy([], MACHINE_TYPES))
     assert found == ([(full, 1)] if preempted else [])
@@ -190,7 +191,7 @@
 def test_preemption_for_a_large_array_uses_several_machines() -> None:
     rooms = [room(f"m{i}") for i in range(4)]
     for each in rooms:
-        each.take(make_job(2, rank="best_effort"), 4)
+        each.allocate(make_job(2, rank="best_effort"), 4)
     job = make_job(pieces=10)
     found = preempt(job, 10, Index("", rooms), Spread(job, ()), Policy([], MACHINE_TYPES))
     assert sorted(n for _, n in found) == [2, 4, 4]
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -44,7 +44,7 @@
 
     def add(self, job: Job, since: float = 0.0, rev: int = 1) -> ManagedJob:
         managed = self.managed_jobs[job.id] = ManagedJob(job, rev, 50, since)
-        self.queue.touch(job.id)
+        self.queue.mark_changed(job.id)
         return managed
 
     def order(self, now: float) -> list[str]:
@@ -87,7 +87,7 @@
     harness.order(0.0)
     managed.started = started
     if started:
-        harness.queue.touch(managed.job.id)
+        harness.queue.mark_changed(managed.job.id)
     harness.order(now)
     assert harness.queue.entries[managed.job.id].band == band
 
@@ -145,7 +145,7 @@
         del harness.managed_jobs[managed.job.id]
     elif event != "nothing":
         managed.done += 1 if event == "a task is done" else -1
-    harness.queue.touch(managed.job.id)
+    harness.queue.mark_changed(managed.job.id)
     assert (harness.order(1.0) == [managed.job.id]) == in_queue
     assert group.has_new_demand == new_demand and (managed.job.id in harness.queue.in_flight) == (
         event == "starts"
@@ -155,16 +155,16 @@
         # room.
         for pending, new_demand in ((6, False), (7, True)):
             managed.placed_starts, managed.done = [], 8 - pending
-            harness.queue.touch(managed.job.id)
+            harness.queue.mark_changed(managed.job.id)
             other = harness.add(make_job(2, pieces=8))
             harness.order(1.0)
             group = harness.queue.entries[other.job.id].group
             group.has_new_demand = False
             managed.placed_starts = [(0, "m1")]
-            harness.queue.touch(managed.job.id)
+            harness.queue.mark_changed(managed.job.id)
             harness.order(1.0)
             managed.placed_starts, managed.done = [], 8 - pending - int(new_demand)
-            harness.queue.touch(managed.job.id)
+            harness.queue.mark_changed(managed.job.id)
             harness.order(1.0)
             assert group.has_new_demand == new_demand
     if event == "paused":
@@ -205,7 +205,7 @@
                 managed.job = msgspec.structs.replace(managed.job, priority="high")
             else:
                 del harness.managed_jobs[managed.job.id]
-            harness.queue.touch(managed.job.id)
+            harness.queue.mark_changed(managed.job.id)
         found = harness.order(now)
         expected = {
             n
@@ -214,7 +214,7 @@
         }
         assert len(found) == len(set(found)) and set(found) == expected
         for name, entry in harness.queue.entries.items():
-            assert entry.band == harness.queue.standing(harness.managed_jobs[name], now)[0]
+            assert entry.band == harness.queue.position(harness.managed_jobs[name], now)[0]
             assert entry.group is harness.queue.groups[harness.managed_jobs[name].placement_key]
         running = sum(
             account.waiting_cpus
@@ -243,9 +243,9 @@
     monkeypatch.setattr(
         home.c.queue, "_update_entry", lambda *args: visited.append(args[0]) or update_entry(*args)
     )
-    standing = home.c.queue.standing
+    position = home.c.queue.position
     monkeypatch.setattr(
-        home.c.queue, "standing", lambda *args: visited.append("") or standing(*args)
+        home.c.queue, "position", lambda *args: visited.append("") or position(*args)
     )
     home.report("m1", "north", "plain", f"{busy.id}/0", f"{busy.id}/1")
     home.c.placer._pass(home.now)
@@ -280,8 +280,8 @@
         20,
         100.0 - age,
     )
-    owed = shares.owed(100.0).get(("class", False, "low"))
-    found = 0.0 if owed is None else owed.missing
+    owed = shares.current_shares(100.0).get(("class", False, "low"))
+    found = 0.0 if owed is None else owed.missing_cpus
     assert found == pytest.approx(missing)
 
 
@@ -296,7 +296,7 @@
         )
     for number in range(50):
         shares.remove_job(f"j{number}")
-    shares.owed(1e6)  # their arrivals are older than the span
+    shares.current_shares(1e6)  # their arrivals are older than the span
     assert shares.accounts == {} and shares.usage == {}
 
 
@@ -311,7 +311,7 @@
     shares.update_job(
         "l", make_job(2, jobclass="low", vcpus=2.0, pieces=tasks, guess_s=guess_s), 0, tasks, 0.0
     )
-    assert 0 < shares.owed(50.0)["class", False, "low"].share_cpus <= most + 1e-6
+    assert 0 < shares.current_shares(50.0)["class", False, "low"].share_cpus <= most + 1e-6
 
 
 def overloaded_fleet(
@@ -417,4 +417,4 @@
     shares = FairShares({}, 10.0, [("team", False, "tight")])
     for owner in ("free", "tight", "other"):
         shares.update_job(owner, make_job(1, owner=owner), 0 if owner != "other" else 8, 4, 0.0)
-    assert {name for kind, _, name in shares.owed(50.0) if kind == "team"} == {"free"}
+    assert {name for kind, _, name in shares.current_shares(50.0) if kind == "team"} == {"free"}
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -192,10 +192,10 @@
     late.waiting_since -= 500.0
     assert harness.order(late) < harness.order(backfill_job)
     if fair_share:
-        harness.c.placer.owed = {
+        harness.c.placer.fair_shares = {
             ("class", False, "unnamed"): FairShare(fair_share, fair_share, 64.0, 0)
         }
-        harness.c.placer.owed_until = math.inf
+        harness.c.placer.fair_shares_until = math.inf
     harness.run_pass()
     assert len(late.placed_starts) == 4 and len(backfill_job.placed_starts) == tasks
     used = {m for _, m in late.placed_starts}
@@ -707,7 +707,7 @@
     harness.add_job(make_job(2, pieces=4))  # an array with an objective
     harness.run_pass()
     assert gang.placed_starts == []  # no machine fits yet
-    waiting = harness.c.placer.demand_report.whole_epoch()
+    waiting = harness.c.placer.demand_report.cluster_demand()
     bought = harness.c.provisioner.planner.plan_backfill(
         waiting, 64.0, harness.c.cached_state.index(), harness.c.placer.policy()
     )
--- a/tests/system/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -35,7 +35,7 @@
             *(f"{busy.id}/{4 * n + k}" for k in range(4)),
         )
     harness.c.membership.serving = True
-    whole = harness.c.cached_state.table(0, [])
+    whole = harness.c.cached_state.free_room_table(0, [])
     assert whole[2] and len(whole[4]) == MACHINES
     assert len(frames.encode(frames.TABLE, 1, whole)) < frames.MAX_BODY
     before = owner.room_rev
@@ -43,7 +43,7 @@
         harness.report(f"m{n}", "north", "plain", f"{busy.id}/{4 * n}")
     changed = owner.changed(before)
     assert changed is not None and len(changed) == (MACHINES + 1) // 2
-    assert len(harness.c.cached_state.table(before, [])[4]) == (MACHINES + 1) // 2
+    assert len(harness.c.cached_state.free_room_table(before, [])[4]) == (MACHINES + 1) // 2
     for n in range(MACHINES):
         harness.add_job(msgspec.convert(wire_job(10 + n, vcpus=8.0, due_s=1000.0 + n), Job))
     harness.run_pass()
