--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -311,7 +311,7 @@
         make(controller, number)
     kept = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    for routine in controller.routines.coroutines:
+    for routine in controller.routines.pending_coroutines:
         routine.close()
     return kept / units
 
--- a/bench/passes.py
+++ b/bench/passes.py
@@ -93,10 +93,10 @@
         managed.requeued.clear()
         managed.cursor = 0
     controller.cached_state.inflight.clear()
-    for coroutine in controller.routines.coroutines:
+    for coroutine in controller.routines.pending_coroutines:
         coroutine.close()
-    controller.routines.coroutines.clear()
-    controller.routines.signalled.clear()
+    controller.routines.pending_coroutines.clear()
+    controller.routines.pending_signals.clear()
     return elapsed
 
 
--- a/bench/rebuild.py
+++ b/bench/rebuild.py
@@ -23,7 +23,7 @@
 from clayport.membership.rendezvous import rendezvous
 from clayport.model import Job
 from clayport.rebuild import files
-from clayport.rebuild.evidence import Evidence, only_news, pack, unpack
+from clayport.rebuild.evidence import Evidence, drop_known, pack, unpack
 from clayport.rebuild.merge import merge
 from clayport.rebuild.plan import transactions
 from clayport.records.chunk import Chunk
@@ -113,7 +113,7 @@
     for packed_evidence in all_packed:
         unpacked = unpack(packed_evidence)
         if received:
-            only_news(unpacked, next(iter(received.values())))
+            drop_known(unpacked, next(iter(received.values())))
         received[unpacked.label] = unpacked
     started = print_elapsed(
         f"unpack, with {args.controllers} controllers' memories until now {peak_mb():.0f} MB",
--- a/clayport/controller.py
+++ b/clayport/controller.py
@@ -48,7 +48,7 @@
 from clayport.records.upgrade import UpgradeState
 from clayport.records.versions import VersionTracker
 from clayport.routines import Routines
-from clayport.scaling.arrivals import Arrivals
+from clayport.scaling.arrivals import ArrivalRates
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import Cloud
 from clayport.scaling.renting import Provisioner
@@ -59,7 +59,7 @@
 from clayport.scheduling.quotas import TeamQuotas
 from clayport.scheduling.urgency import SchedulingObjectives
 from clayport.scheduling.view import ClusterView
-from clayport.settings import Settings, endpoint
+from clayport.settings import Settings, parse_endpoint
 from clayport.transport import http, peers
 from clayport.user_api import POLL_TIMEOUT_S, UserApi
 
@@ -110,14 +110,14 @@
         self._build_peer_requests()
         self._connect()
         if rebuild:
-            self.rebuild.enable(snapshots, second_copy)
+            self.rebuild.enable_recovery(snapshots, second_copy)
 
     def _build_clients(self) -> None:
         """Build the clients of the state service, the cloud and the peers, without connecting."""
         cluster, services = self.settings.cluster, self.settings.services
         lease_s, uniform = cluster.workers.lease_s, self.routines.rng.uniform
         self.store = StateStore(
-            *endpoint(services.state, "services.state"),
+            *parse_endpoint(services.state, "services.state"),
             cluster.state.rps,
             cluster.state.write_rps,
             0.2 * lease_s,
@@ -128,10 +128,12 @@
             self.store, 4 * cluster.state.txn_ops, POLL_TIMEOUT_S / 3
         )
         self.cloud = Cloud(
-            *endpoint(services.cloud, "services.cloud"), cluster.cloud.rps, lease_s, uniform
+            *parse_endpoint(services.cloud, "services.cloud"), cluster.cloud.rps, lease_s, uniform
         )
         self.peers = {
-            m.label: peers.Peer(m.label, *endpoint(m.address, "members"), 0.1 * lease_s, uniform)
+            m.label: peers.Peer(
+                m.label, *parse_endpoint(m.address, "members"), 0.1 * lease_s, uniform
+            )
             for m in self.settings.members
         }
 
@@ -143,7 +145,7 @@
             cluster.objectives, PATIENT_SLACK_LEASES * workers.lease_s
         )
         self.quotas = TeamQuotas(cluster.teams)
-        self.arrivals = Arrivals(ARRIVALS_WINDOW_LEASES * workers.lease_s, time.monotonic())
+        self.arrivals = ArrivalRates(ARRIVALS_WINDOW_LEASES * workers.lease_s, time.monotonic())
         # Besides fetching the image, a start takes about three report intervals: a report in each
         # direction and a refresh of the cached state.
         self.jobs = JobRegistry(DependencyGraph(1.0, 3 * workers.report_s))
@@ -464,7 +466,7 @@
 
         return Recovery(self, snapshots, second_copy)
 
-    def duties(self) -> tuple[Routine, ...]:
+    def long_lived_routines(self) -> tuple[Routine, ...]:
         """Return the long-lived routines, except listeners and those that run once per peer."""
         recovery = self.rebuild.recovery
         return (
@@ -475,7 +477,7 @@
             self.registration.maintain_lease,
             self.registration.propose_epochs,
             self.prerequisites.run_lookups,
-            self.catalogue.keep_current,
+            self.catalogue.refresh_periodically,
             self.cached_state.refresh,
             self.placer.place_all,
             self.fleet.watch_silence,
@@ -485,7 +487,7 @@
     async def run(self) -> None:
         """Run all routines until one fails, then cancel the others in order."""
         settings, workers = self.settings, self.settings.cluster.workers
-        duty = self.routines.duty
+        run_forever = self.routines.run_forever
         users = http.Server(
             self.user_api.handle,
             settings.cluster.machine_limits.max_sockets * 5 // 8,
@@ -494,20 +496,20 @@
             "/v1/report",
         )
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(users.serve, *endpoint(settings.bind, "bind"))
+            await group.spawn(users.serve, *parse_endpoint(settings.bind, "bind"))
             await group.spawn(
                 peers.serve,
-                *endpoint(settings.peer_bind, "peer_bind"),
+                *parse_endpoint(settings.peer_bind, "peer_bind"),
                 self.peer_requests.answer,
                 4 * settings.cluster.size,
                 workers.lease_s,
             )
             for peer in self.peers.values():
-                await group.spawn(duty, self.heartbeats.exchange_heartbeats, peer)
+                await group.spawn(run_forever, self.heartbeats.exchange_heartbeats, peer)
             for label in settings.labels:
-                await group.spawn(duty, self.fleet.deliver_events, label)
-            for routine in self.duties():
-                await group.spawn(duty, routine)
+                await group.spawn(run_forever, self.fleet.deliver_events, label)
+            for routine in self.long_lived_routines():
+                await group.spawn(run_forever, routine)
             log.info(
                 "label=%s event=started incarnation=%s", settings.label, self.membership.incarnation
             )
--- a/clayport/jobs/lifecycle.py
+++ b/clayport/jobs/lifecycle.py
@@ -42,7 +42,7 @@
 class ArrivalListener(Protocol):
     """Measures the rate at which work arrives."""
 
-    def note(self, job: Job, now: float) -> None:
+    def record(self, job: Job, now: float) -> None:
         """Note that a job became ready to start at `now` (monotonic clock)."""
         ...
 
@@ -156,7 +156,7 @@
         if self.jobs.dependencies.is_waiting(job.id):
             self.routines.signal("prereqs")
         elif self.membership.records_loaded:
-            self.arrivals.note(job, time.monotonic())
+            self.arrivals.record(job, time.monotonic())
         if (
             job.gpus > 0
             and job.job_class not in self.jobs.classes
@@ -190,7 +190,7 @@
         """Make a job eligible to start, because all its prerequisites are done."""
         job = self.jobs.live[name][0]
         if self.membership.records_loaded:
-            self.arrivals.note(job, time.monotonic())
+            self.arrivals.record(job, time.monotonic())
         managed = self.jobs.managed.get(name)
         if managed is not None and not managed.ended:
             managed.waiting_since = self.jobs.dependencies.nodes[name].ready_at
--- a/clayport/jobs/owner_requests.py
+++ b/clayport/jobs/owner_requests.py
@@ -14,7 +14,7 @@
 from clayport.machines.routing import Routing
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
-from clayport.model import split_task
+from clayport.model import split_task_id
 from clayport.routines import Routines
 from clayport.transport import frames
 from clayport.transport.peers import Peer, PeerError
@@ -115,7 +115,7 @@
                     waiting = [item for item in waiting if _is_unsettled(managed, item)]
                     continue
                 for (machine, task, attempt), answer in zip(waiting, answers):
-                    number = split_task(task)[1]
+                    number = split_task_id(task)[1]
                     if not answer and managed.assignment(number) == (attempt, machine):
                         # The owner had no reservation, so the task is never launched.
                         managed.handle_event(machine, number, attempt, GONE, "", time.monotonic())
@@ -203,7 +203,7 @@
 def _is_unsettled(managed: ManagedJob, item: LaunchRow) -> bool:
     """Return whether a start is still assigned and no owner has reported its task."""
     machine, task, attempt = item
-    number = split_task(task)[1]
+    number = split_task_id(task)[1]
     return (
         managed.assignment(number) == (attempt, machine)
         and number not in managed.outcomes
--- a/clayport/jobs/status.py
+++ b/clayport/jobs/status.py
@@ -11,7 +11,7 @@
 from clayport.leases.disclosure import CancellationDisclosure
 from clayport.limits import Deadline
 from clayport.membership.state import MembershipState
-from clayport.model import valid_id
+from clayport.model import is_valid_job_id
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.errors import ConflictError, UnavailableError
 from clayport.records.keys import end_key, live_key
@@ -77,7 +77,7 @@
             and await self.revision_checks.unchanged(live_key(job), live[1])
         ):
             return LIVE
-        if not valid_id(job):
+        if not is_valid_job_id(job):
             # Early versions accepted ids that can't be part of a request's path, so the records
             # of such a job can't be read.
             if live is not None:
--- a/clayport/jobs/task_events.py
+++ b/clayport/jobs/task_events.py
@@ -7,7 +7,7 @@
 
 from clayport.jobs.registry import JobRegistry
 from clayport.jobs.verdicts import Verdict, for_uncommitted
-from clayport.model import split_task
+from clayport.model import split_task_id
 from clayport.routines import Routines
 from clayport.scheduling.queueing import JobQueue
 
@@ -29,7 +29,7 @@
         now = time.monotonic()
         for machine, task, attempt, state, cause, _ in events:
             try:
-                job, number = split_task(task)
+                job, number = split_task_id(task)
             except ValueError:
                 verdicts.append(Verdict.CLEAR if state == "exited" else Verdict.KILL)
                 continue
--- a/clayport/leases/renewal.py
+++ b/clayport/leases/renewal.py
@@ -53,7 +53,7 @@
             return False
         if self.state_service_lost(now):
             return not any(
-                peer.state_ok and now - peer.last_heard_at < membership.lease_ttl_s
+                peer.state_service_ok and now - peer.last_heard_at < membership.lease_ttl_s
                 for peer in self.peers.values()
             )
         return True
@@ -67,7 +67,7 @@
         """
         membership = self.membership
         return any(
-            peer.state_ok
+            peer.state_service_ok
             and peer.epoch > membership.epoch.number
             and now - peer.last_heard_at < membership.lease_ttl_s
             for peer in self.peers.values()
--- a/clayport/machines/command_sender.py
+++ b/clayport/machines/command_sender.py
@@ -16,7 +16,7 @@
 from clayport.model import WorkerHeartbeat
 from clayport.routines import Routines
 from clayport.scheduling.cached_state import CachedState
-from clayport.settings import ConfigError, endpoint
+from clayport.settings import ConfigError, parse_endpoint
 from clayport.transport import http
 
 log = logging.getLogger(__name__)
@@ -47,11 +47,11 @@
         found = self.clients.get(address)
         if found is None:
             try:
-                host, port = endpoint(address, "address")
+                host, port = parse_endpoint(address, "address")
             except ConfigError as exc:
                 log.error("malformed worker address dropped: %s", exc)
                 return None
-            found = self.clients[address] = http.Client(host, port, keep=1)
+            found = self.clients[address] = http.Client(host, port, max_idle=1)
             if len(self.clients) > self.max_clients:
                 _, oldest = self.clients.popitem(last=False)
                 self.routines.spawn(oldest.close())
--- a/clayport/machines/evacuation.py
+++ b/clayport/machines/evacuation.py
@@ -12,7 +12,7 @@
 from clayport.machines.machine import Machine, TaskKey
 from clayport.machines.table import MachineTable
 from clayport.membership.state import MembershipState
-from clayport.model import Job, split_task
+from clayport.model import Job, split_task_id
 from clayport.routines import Routines
 from clayport.scheduling.policy import Policy
 from clayport.settings import Settings
@@ -136,7 +136,7 @@
 
     async def _movable(self, machine: Machine, key: TaskKey, job: Job, drain: bool) -> bool:
         """Return whether the leader of the replica's job can place it on another machine."""
-        number = split_task(key[0])[1]
+        number = split_task_id(key[0])[1]
         epoch = self.membership.epoch
         leader = epoch.member_for(job.id)
         if leader == self.membership.label:
--- a/clayport/machines/fencing.py
+++ b/clayport/machines/fencing.py
@@ -84,7 +84,7 @@
         epoch = self.membership.epoch
         try:
             while self.waiting:
-                await self.cloud.turn()
+                await self.cloud.wait_for_rate_limit()
                 if self.membership.epoch is not epoch:
                     # The machines may have new owners, which may have received reports since.
                     fences, self.waiting = self.waiting, {}
@@ -100,7 +100,7 @@
         fences = {name: self.waiting.pop(name) for name in names}
         error = ""
         try:
-            await self.cloud.return_now(names)
+            await self.cloud.return_unpaced(names)
             await self.removal.announce(names)
         except CloudError as exc:
             error = str(exc)
--- a/clayport/machines/silence.py
+++ b/clayport/machines/silence.py
@@ -33,7 +33,7 @@
     """Provides the cloud's list of machines as last read."""
 
     @property
-    def listed(self) -> dict[str, CloudMachine]:
+    def listed_machines(self) -> dict[str, CloudMachine]:
         """The listed machines, by name."""
         ...
 
@@ -177,7 +177,7 @@
         (15 in one case).
         """
         room = self.view.rooms.get(machine.name)
-        listed = self.provisioner.listed.get(machine.name)
+        listed = self.provisioner.listed_machines.get(machine.name)
         return (
             machine.address or (room.address if room else "") or (listed.address if listed else "")
         )
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -24,7 +24,7 @@
 )
 from clayport.machines.room import build_room
 from clayport.membership.epoch import TOKEN_COUNTER_BITS, Epoch
-from clayport.model import Job, MachineType, WorkerHeartbeat, split_task
+from clayport.model import Job, MachineType, WorkerHeartbeat, split_task_id
 from clayport.scheduling.room import Room
 
 log = logging.getLogger(__name__)
@@ -129,7 +129,7 @@
         machine = self.machines.get(name)
         if machine is None:
             return set()
-        return {split_task(key[0])[0] for key in (*machine.desired, *machine.reported_tasks)}
+        return {split_task_id(key[0])[0] for key in (*machine.desired, *machine.reported_tasks)}
 
     # -- changes of rooms ------------------------------------------------
 
--- a/clayport/membership/failover.py
+++ b/clayport/membership/failover.py
@@ -119,7 +119,7 @@
             return  # records are missing, and the rebuild restores them
         loaded = self._parse_chunks(entries, epoch)
         ended = await self._ended_jobs(loaded.chunks)
-        if self.membership.epoch is not epoch or self.rebuild.in_doubt:
+        if self.membership.epoch is not epoch or self.rebuild.records_suspect:
             return
         for job_id, (job, rev) in self.jobs.live.items():
             if (
--- a/clayport/membership/heartbeats.py
+++ b/clayport/membership/heartbeats.py
@@ -44,13 +44,13 @@
     Attributes:
         label: The sender.
         epoch: The number of the newest epoch that the sender knows.
-        state_ok: Whether the state service answers the sender.
+        state_service_ok: Whether the state service answers the sender.
         room_rev: A number that changes with the free room of the sender's machines.
     """
 
     label: str
     epoch: int
-    state_ok: bool
+    state_service_ok: bool
     room_rev: int
 
 
@@ -111,16 +111,16 @@
         sent = time.monotonic()
         fields = (*self.status(sent), self._demand_for(peer.label))
         if not self.upgrade.promises_enabled:
-            label, epoch, state_ok, room_rev = await peer.call(frames.PING, fields)
+            label, epoch, state_service_ok, room_rev = await peer.call(frames.PING, fields)
         else:
-            label, epoch, state_ok, room_rev, incarnation, promised = await peer.call(
+            label, epoch, state_service_ok, room_rev, incarnation, promised = await peer.call(
                 frames.HEARTBEAT,
                 (*fields, self.membership.incarnation, self.progress.known_rev),
             )
             if promised and label == peer.label:
                 self.watermark.note_promise(label, incarnation, sent, time.monotonic())
         if label == peer.label:
-            self._note_heard(peer, epoch, state_ok, room_rev)
+            self._note_heard(peer, epoch, state_service_ok, room_rev)
 
     def _update_isolation(self, now: float) -> None:
         """Leave the members while this controller is isolated, and rejoin afterwards."""
@@ -142,14 +142,14 @@
             self.routines.signal("lease")
 
     def receive(
-        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
+        self, label: str, epoch: int, state_service_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> bool:
         """Process a heartbeat that a peer has sent.
 
         Args:
             label: The sender.
             epoch: The number of the newest epoch that the sender knows.
-            state_ok: Whether the state service answers the sender.
+            state_service_ok: Whether the state service answers the sender.
             room_rev: A number that changes with the free room of the sender's machines.
             demand: The demand of the sender's waiting jobs, if this controller rents machines.
 
@@ -159,17 +159,17 @@
         peer = self.peers.get(label)
         if peer is None:
             return False
-        self._note_heard(peer, epoch, state_ok, room_rev)
+        self._note_heard(peer, epoch, state_service_ok, room_rev)
         before = self.placer.demand_report.peer_rows.get(label)
         self.placer.demand_report.peer_rows[label] = demand
         if demand and not before:
             self.routines.signal("demand")
         return True
 
-    def _note_heard(self, peer: Peer, epoch: int, state_ok: bool, room_rev: int) -> None:
+    def _note_heard(self, peer: Peer, epoch: int, state_service_ok: bool, room_rev: int) -> None:
         """Record the status that a peer has just sent."""
         peer.last_heard_at = time.monotonic()
-        peer.state_ok, peer.epoch = state_ok, epoch
+        peer.state_service_ok, peer.epoch = state_service_ok, epoch
         if room_rev != peer.room_rev:
             peer.room_rev = room_rev
             if self.cached_state.lacks_room:
--- a/clayport/membership/registration.py
+++ b/clayport/membership/registration.py
@@ -132,8 +132,10 @@
                 .put(node_key, {"inc": self.membership.incarnation}, lease)
             )
             number, rev = self.upgrade.formats.get(self.membership.label, (0, 0))
-            if number < self.rebuild.format:
-                txn.require(version_key, rev).put(version_key, {"format": self.rebuild.format})
+            if number < self.rebuild.supported_format:
+                txn.require(version_key, rev).put(
+                    version_key, {"format": self.rebuild.supported_format}
+                )
             try:
                 await self.store.commit(txn, priority_s=LEASE_PRIORITY_S, allow_in_doubt=True)
                 return
--- a/clayport/membership/stalls.py
+++ b/clayport/membership/stalls.py
@@ -28,10 +28,10 @@
     """A routine that waits for a while after each start.
 
     Attributes:
-        began_at: When it last started, on the monotonic clock.
+        resumed_at: When it last started, on the monotonic clock.
     """
 
-    began_at: float
+    resumed_at: float
 
 
 class StallDetector:
@@ -114,5 +114,5 @@
         for peer in self.peers.values():
             peer.last_heard_at += gap_s
         self.machines.exclude_stall(gap_s)
-        self.provisioner.began_at = now
+        self.provisioner.resumed_at = now
         self.routines.signal("lease")
--- a/clayport/membership/transition.py
+++ b/clayport/membership/transition.py
@@ -57,7 +57,7 @@
         if self.rebuild.recovery is not None:
             # Other members may have seen higher revisions than the records show, so histories are
             # compared before the next commit.
-            self.rebuild.recovery.history.needs_check_in = True
+            self.rebuild.recovery.history.needs_loss_check = True
         for managed in self.jobs.managed.values():
             self.routines.signal(managed.name)
         self.jobs.begin_epoch()
--- a/clayport/model.py
+++ b/clayport/model.py
@@ -16,7 +16,7 @@
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 # The form of a job id in records, where `$` also matches before a trailing line feed: early
-# versions accepted such ids. Requests are checked with `valid_id`, which is stricter.
+# versions accepted such ids. Requests are checked with `is_valid_job_id`, which is stricter.
 JobId = Annotated[str, msgspec.Meta(pattern=r"^j-[0-9]{1,30}$")]
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,30}")
 Prereqs = Annotated[list[JobId], msgspec.Meta(max_length=MAX_PREREQS)]
@@ -28,7 +28,7 @@
 RANKS = {"production": 3, "high": 2, "normal": 1, "best_effort": 0}
 
 
-class Description(
+class JobDescription(
     msgspec.Struct,
     frozen=True,
     omit_defaults=True,
@@ -100,7 +100,7 @@
     prereqs: Prereqs | None = None
 
 
-class Job(Description, frozen=True, rename={"without_objective": "aimless"}):
+class Job(JobDescription, frozen=True, rename={"without_objective": "aimless"}):
     """The description of a job with the fields that controllers add.
 
     Attributes:
@@ -242,12 +242,12 @@
     age_s: float = 0.0
 
 
-def valid_id(name: str) -> bool:
+def is_valid_job_id(name: str) -> bool:
     """Return whether a text has the form of a job id."""
     return JOB_ID_PATTERN.fullmatch(name) is not None
 
 
-def split_task(task: str) -> tuple[str, int]:
+def split_task_id(task: str) -> tuple[str, int]:
     """Split the id of a task into the job id and the task number.
 
     Raises:
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -118,18 +118,18 @@
     # -- requests of any epoch --------------------------------------
 
     async def ping(
-        self, label: str, epoch: int, state_ok: bool, room_rev: int, demand: list[DemandRow]
+        self, label: str, epoch: int, state_service_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> Answer:
         """PING: a heartbeat that asks for no promise."""
         heartbeats = self.heartbeats
-        heartbeats.receive(label, epoch, state_ok, room_rev, demand)
+        heartbeats.receive(label, epoch, state_service_ok, room_rev, demand)
         return frames.PONG, heartbeats.status(time.monotonic())
 
     async def heartbeat(
         self,
         label: str,
         epoch: int,
-        state_ok: bool,
+        state_service_ok: bool,
         room_rev: int,
         demand: list[DemandRow],
         _incarnation: str,
@@ -138,7 +138,7 @@
         """HEARTBEAT: a heartbeat that asks for a promise about cancellations."""
         now = time.monotonic()
         heartbeats = self.heartbeats
-        is_peer = heartbeats.receive(label, epoch, state_ok, room_rev, demand)
+        is_peer = heartbeats.receive(label, epoch, state_service_ok, room_rev, demand)
         status = heartbeats.status(now)
         promised = is_peer and heartbeats.promise(label, known_rev, now)
         return frames.HEARTBEAT_REPLY, (*status, self.membership.incarnation, promised)
@@ -153,13 +153,13 @@
         """HISTORY: exchange the record histories in which the sender and this controller act."""
         if self.rebuild.recovery is None:
             return NO_HISTORY
-        return self.rebuild.recovery.answer(frames.HISTORY, values)
+        return self.rebuild.recovery.handle_request(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
         """EVIDENCE: one part of this controller's evidence about the records to be rebuilt."""
         if self.rebuild.recovery is None:
             return NO_EVIDENCE
-        return self.rebuild.recovery.answer(frames.EVIDENCE, values)
+        return self.rebuild.recovery.handle_request(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
         """INSPECT: whether a machine that is silent to its owner answers this controller."""
--- a/clayport/rebuild/commands.py
+++ b/clayport/rebuild/commands.py
@@ -20,7 +20,7 @@
 from clayport.rebuild.restore import RestoreRefusedError
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.store import StateStore
-from clayport.settings import ConfigError, Settings, endpoint, load
+from clayport.settings import ConfigError, Settings, load, parse_endpoint
 
 
 def parser() -> argparse.ArgumentParser:
@@ -99,7 +99,7 @@
     """
     state, workers = settings.cluster.state, settings.cluster.workers
     return StateStore(
-        *endpoint(settings.services.state, "services.state"),
+        *parse_endpoint(settings.services.state, "services.state"),
         state.rps,
         state.write_rps,
         0.2 * workers.lease_s,
@@ -229,7 +229,7 @@
         snapshot.header,
         records,
         merged.changes,
-        settings.cluster.state.least().txn_ops,
+        settings.cluster.state.strictest().txn_ops,
     )
     print("written; start the controllers, which ask the machines for what runs")
     return 0
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -67,7 +67,7 @@
         raise ValueError(str(exc)) from None
 
 
-def only_news(evidence: Evidence, known: Evidence) -> None:
+def drop_known(evidence: Evidence, known: Evidence) -> None:
     """Remove the live jobs and the job ends that other evidence already has.
 
     Every controller knows nearly all of them, so keeping each copy would multiply the memory of
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -60,11 +60,11 @@
         highest_revision: The highest revision that this controller or a peer has seen in an
             answer of the state service.
         suspicion: Why the history is suspect; empty if it isn't.
-        needs_check_in: Whether `Recovery.check_in` has to run before the next request: the state
-            service has failed to answer, and may have lost records since.
+        needs_loss_check: Whether `Recovery.check_for_loss` has to run before the next request: the
+            state service has failed to answer, and may have lost records since.
     """
 
-    ANCHORS = len(PREFIXES)  # conditions that `conditions` may add to a commit
+    MAX_ANCHOR_CONDITIONS = len(PREFIXES)  # conditions that `conditions` may add to a commit
 
     def __init__(self, on_suspicion: Callable[[], None] = lambda: None) -> None:
         self.name = ""
@@ -72,7 +72,7 @@
         self.anchors: dict[str, int] = {}
         self.highest_revision = 0
         self.suspicion = ""
-        self.needs_check_in = False
+        self.needs_loss_check = False
         self._on_suspicion = on_suspicion
 
     def conditions(self, keys: Iterable[str]) -> dict[str, int]:
@@ -161,4 +161,4 @@
             dict(anchors),
             highest_revision,
         )
-        self.suspicion, self.needs_check_in = "", False
+        self.suspicion, self.needs_loss_check = "", False
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from clayport.membership.epoch import TOKEN_COUNTER_BITS
-from clayport.model import WorkerHeartbeat, split_task
+from clayport.model import WorkerHeartbeat, split_task_id
 from clayport.rebuild.evidence import Evidence, Task
 from clayport.scaling.cloud import MAX_MACHINES_PER_RETURN, CloudError
 from clayport.transport import http
@@ -165,7 +165,7 @@
         ):
             return report.token, None
         return report.token, [
-            Task(*split_task(p.task), p.attempt, machine)
+            Task(*split_task_id(p.task), p.attempt, machine)
             for p in report.tasks
             if p.task.partition("/")[0] in known_jobs
         ]
@@ -193,7 +193,7 @@
         ]
         if names:
             try:
-                await controller.cloud.give_back(names)
+                await controller.cloud.return_machines(names)
             except CloudError as exc:
                 log.info("event=not-fenced machines=%d cause=%s", len(names), exc)
                 return
--- a/clayport/rebuild/rebuilder.py
+++ b/clayport/rebuild/rebuilder.py
@@ -136,7 +136,7 @@
         )
         written = 0
         for txn in plan.transactions(
-            merged.changes, current, anchor, controller.settings.cluster.state.least().txn_ops
+            merged.changes, current, anchor, controller.settings.cluster.state.strictest().txn_ops
         ):
             await self._write(txn)
             written += len(txn.writes)
@@ -223,7 +223,9 @@
                 if label not in evidence_by_label:
                     received = await self._evidence_of(label, name)
                     if received is not None:
-                        evidence.only_news(received, evidence_by_label[controller.membership.label])
+                        evidence.drop_known(
+                            received, evidence_by_label[controller.membership.label]
+                        )
                         evidence_by_label[label] = received
             if len(evidence_by_label) == len(controller.settings.labels):
                 break
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -30,7 +30,7 @@
 MIN_LOG_BYTES = 256 * 1024
 
 
-def remembered(snapshot: files.Snapshot, label: str) -> Evidence:
+def snapshot_evidence(snapshot: files.Snapshot, label: str) -> Evidence:
     """Convert a snapshot into evidence.
 
     The evidence has no machines. The assignments in its chunks decide nothing, because the
@@ -64,7 +64,7 @@
         self.records: dict[str, tuple[Any, int]] = {}
         self.rev = 0
         self.synced_revision = 0  # all changes up to this revision are on disk
-        self.log: ChangeLog | None = None
+        self.change_log: ChangeLog | None = None
         self.base_bytes = 0
 
     def load(self) -> Evidence | None:
@@ -77,7 +77,7 @@
         for reason in snapshot.refused:
             log.info("event=snapshot-refused cause=%r", reason)
         log.info("event=snapshot-read revision=%d records=%d", snapshot.rev, len(snapshot.records))
-        return remembered(snapshot, self.controller.membership.label)
+        return snapshot_evidence(snapshot, self.controller.membership.label)
 
     async def run(self) -> None:
         """Record all changes while the history is not suspect; start a new base for each history.
@@ -118,11 +118,13 @@
         header = Header(
             "base", list(self.controller.settings.labels), name, number, self.rev, time.time()
         )
-        if self.log is not None:
-            self.log.close()
-            self.log = None
+        if self.change_log is not None:
+            self.change_log.close()
+            self.change_log = None
         records = dict(self.records)
-        self.log, self.base_bytes = await curio.run_in_thread(self._write_files, header, records)
+        self.change_log, self.base_bytes = await curio.run_in_thread(
+            self._write_files, header, records
+        )
         self.synced_revision = self.rev
         log.info(
             "event=snapshot revision=%d records=%d bytes=%d",
@@ -146,10 +148,10 @@
             "", self.rev, controller.membership.lease_ttl_s, second_connection=True
         )
         rows = self.apply_changes(changes, rev)
-        if rows and self.log is not None:
-            await curio.run_in_thread(self.log.append, rows)
+        if rows and self.change_log is not None:
+            await curio.run_in_thread(self.change_log.append, rows)
             self.synced_revision = self.rev
-            if self.log.bytes > max(MIN_LOG_BYTES, MAX_LOG_RATIO * self.base_bytes):
+            if self.change_log.bytes > max(MIN_LOG_BYTES, MAX_LOG_RATIO * self.base_bytes):
                 await self._write_base(name, number)
 
     def apply_changes(self, changes: list[Change], rev: int) -> list[Row]:
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -113,7 +113,7 @@
                         await group.spawn(self._exchange_histories, label)
             highest_revision = history.highest_revision
             _, rev = await controller.store.scan(HISTORY_KEY, allow_in_doubt=True)
-            history.needs_check_in = False
+            history.needs_loss_check = False
             history.check_revision(rev, highest_revision)
         except OutcomeUnknownError as exc:
             raise UnavailableError(str(exc)) from None
@@ -143,7 +143,7 @@
         history.note_peer(*reply[:4])
         return reply
 
-    async def second(self, rev: int, deadline: Deadline) -> None:
+    async def wait_for_second_copy(self, rev: int, deadline: Deadline) -> None:
         """Wait until a second copy of the commit exists: in the local snapshot or at a peer.
 
         Raises:
@@ -171,7 +171,7 @@
     def _supports_histories(self, label: str) -> bool:
         return understands_histories(self.controller.upgrade.formats.get(label, (0, 0))[0])
 
-    def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+    def handle_request(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """Answer a HISTORY or EVIDENCE request of a peer.
 
         An EVIDENCE request makes this controller's history suspect, because the peer has begun a
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -22,7 +22,7 @@
     is_anchor,
 )
 from clayport.rebuild.merge import Merged, merge
-from clayport.rebuild.recorder import remembered
+from clayport.rebuild.recorder import snapshot_evidence
 from clayport.records.chunk import chunk_size
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import NODE_PREFIX
@@ -123,7 +123,7 @@
 def plan_restore(settings: Settings, snapshot: Snapshot, records: Records) -> Merged:
     """Compute the changes of the records that restore the snapshot."""
     limits = {team.name: (team.cpus_max, team.gpus_max) for team in settings.cluster.teams}
-    evidence = remembered(snapshot, "snapshot")
+    evidence = snapshot_evidence(snapshot, "snapshot")
     return merge(
         {key: row for key, row in records.items() if not is_anchor(key)},
         {evidence.label: evidence},
--- a/clayport/rebuild/support.py
+++ b/clayport/rebuild/support.py
@@ -40,10 +40,10 @@
     async def run(self) -> None:
         """Check and recover the records as long as the process runs."""
 
-    async def second(self, rev: int, deadline: Deadline) -> None:
+    async def wait_for_second_copy(self, rev: int, deadline: Deadline) -> None:
         """Wait until the local snapshot or a peer has the commit at the revision."""
 
-    def answer(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
+    def handle_request(self, kind: int, values: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
         """Answer a peer's request for the history or the evidence."""
         ...
 
@@ -68,7 +68,7 @@
         self.make_recovery = make_recovery
         self.recovery: Recovery | None = None
 
-    def enable(self, snapshots: str = "", second_copy: bool = False) -> None:
+    def enable_recovery(self, snapshots: str = "", second_copy: bool = False) -> None:
         """Turn the recovery on.
 
         Args:
@@ -84,9 +84,9 @@
             # The recovery is off in the settings. But a commit without the conditions on the
             # anchors could be applied after a loss, so the recovery has to be on.
             log.info("event=rebuild-enabled cause='the records have a history'")
-            self.enable()
+            self.enable_recovery()
             assert self.recovery is not None
-            self.routines.spawn(self.routines.duty(self.recovery.run))
+            self.routines.spawn(self.routines.run_forever(self.recovery.run))
         else:
             self.recovery.note_head(value)
 
@@ -102,11 +102,11 @@
         return True
 
     @property
-    def format(self) -> int:
+    def supported_format(self) -> int:
         """The record format that this controller announces in its version record."""
         return PROMISES_FORMAT if self.recovery is None else PROMISES_FORMAT + 1
 
     @property
-    def in_doubt(self) -> bool:
+    def records_suspect(self) -> bool:
         """Whether the records may have been lost in part, so that nothing may rely on them."""
         return self.recovery is not None and bool(self.recovery.history.suspicion)
--- a/clayport/records/paced_client.py
+++ b/clayport/records/paced_client.py
@@ -117,9 +117,9 @@
         controllers: int,
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
-        self.client = http.Client(host, port, keep=KEPT_CONNECTIONS)
-        self.watch_client = http.Client(host, port, keep=1)
-        self.snapshot_watch_client = http.Client(host, port, keep=1)
+        self.client = http.Client(host, port, max_idle=KEPT_CONNECTIONS)
+        self.watch_client = http.Client(host, port, max_idle=1)
+        self.snapshot_watch_client = http.Client(host, port, max_idle=1)
         self.timeout_s = timeout_s
         self.controllers = controllers
         now = time.monotonic()
@@ -141,7 +141,7 @@
     @property
     def anchor_conditions(self) -> int:
         """The number of conditions that a commit may need for the anchors of the history."""
-        return 0 if self.history is None else self.history.ANCHORS
+        return 0 if self.history is None else self.history.MAX_ANCHOR_CONDITIONS
 
     def backlog(self, priority_s: float = 0.0) -> float:
         """Return the seconds that a write with this priority would have to wait for its turn."""
@@ -243,7 +243,7 @@
         """
         name, min_revision = "", 0
         if self.history is not None and not allow_in_doubt:
-            if self.history.needs_check_in and self.check_for_loss is not None:
+            if self.history.needs_loss_check and self.check_for_loss is not None:
                 await self.check_for_loss()
             if self.history.suspicion:
                 raise UnavailableError(RECORDS_IN_DOUBT, self.timeout_s)
@@ -295,5 +295,5 @@
         """Record a failure; the service may have lost commits when it answers again."""
         self.last_failed_at = time.monotonic()
         if self.history is not None:
-            self.history.needs_check_in = True
+            self.history.needs_loss_check = True
         await self.retry_coordinator.record(False)
--- a/clayport/records/upgrade.py
+++ b/clayport/records/upgrade.py
@@ -24,4 +24,4 @@
         self.complete = False
         self.promises_enabled = False
         self.limits = limits
-        self.chunk_size = chunk_size(limits.least().value_kb)
+        self.chunk_size = chunk_size(limits.strictest().value_kb)
--- a/clayport/records/versions.py
+++ b/clayport/records/versions.py
@@ -66,7 +66,7 @@
         if self.upgrade.complete or any(number < FORMAT for number, _ in found):
             return
         self.upgrade.complete = True
-        self.upgrade.limits = self.settings.cluster.state.least()
+        self.upgrade.limits = self.settings.cluster.state.strictest()
         self.store.set_rates(self.upgrade.limits.rps, self.upgrade.limits.write_rps)
         self.revision_checks.max_conditions = 4 * self.upgrade.limits.txn_ops
         log.info(
--- a/clayport/routines.py
+++ b/clayport/routines.py
@@ -26,33 +26,33 @@
         rng: Draws the lengths of pauses.
         duty_pause_s: The mean pause before a long-lived routine is restarted.
         events: By name, the event of each signal that was set or waited for.
-        signalled: The signals to be set by the next flush (an ordered set).
-        coroutines: The coroutines to be started by the next flush.
+        pending_signals: The signals to be set by the next flush (an ordered set).
+        pending_coroutines: The coroutines to be started by the next flush.
     """
 
     def __init__(self, rng: random.Random, duty_pause_s: float) -> None:
         self.rng = rng
         self.duty_pause_s = duty_pause_s
         self.events: dict[str, curio.Event] = {}
-        self.signalled: dict[str, None] = {}
-        self.coroutines: list[Coroutine[Any, Any, Any]] = []
+        self.pending_signals: dict[str, None] = {}
+        self.pending_coroutines: list[Coroutine[Any, Any, Any]] = []
 
     def signal(self, name: str) -> None:
         """Record that the next flush sets the signal `name`."""
-        self.signalled[name] = None
+        self.pending_signals[name] = None
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
         """Record that the next flush starts a short-lived routine.
 
         An exception that the routine raises is logged and not propagated.
         """
-        self.coroutines.append(coroutine)
+        self.pending_coroutines.append(coroutine)
 
     async def flush(self) -> None:
         """Start the recorded routines and set the recorded signals, until none are left."""
-        while self.coroutines or self.signalled:
-            coroutines, self.coroutines = self.coroutines, []
-            signalled, self.signalled = self.signalled, {}
+        while self.pending_coroutines or self.pending_signals:
+            coroutines, self.pending_coroutines = self.pending_coroutines, []
+            signalled, self.pending_signals = self.pending_signals, {}
             for coroutine in coroutines:
                 await curio.spawn(self._run_spawned(coroutine), daemon=True)
             for name in signalled:
@@ -77,7 +77,9 @@
         """Return a random pause around `base_s` seconds, so that controllers do not act in step."""
         return base_s * self.rng.uniform(0.5, 1.5)
 
-    async def duty(self, routine: Callable[..., Coroutine[Any, Any, None]], *args: Any) -> None:
+    async def run_forever(
+        self, routine: Callable[..., Coroutine[Any, Any, None]], *args: Any
+    ) -> None:
         """Run a long-lived routine and restart it whenever it ends.
 
         Errors are logged and do not end the process, because a restart of the process would
--- a/clayport/scaling/arrivals.py
+++ b/clayport/scaling/arrivals.py
@@ -23,7 +23,7 @@
 WARMUP_SHARE = 0.1
 
 
-class Arrivals:
+class ArrivalRates:
     """Arrivals of tasks by job class, counted over a sliding window.
 
     Args:
@@ -31,7 +31,8 @@
         now: The present time; counting begins `WARMUP_SHARE` of the window later.
 
     Attributes:
-        seen: For each job class, the jobs that arrived within the window, with their times.
+        jobs_by_class: For each job class, the jobs that arrived within the window, with their
+            times.
     """
 
     def __init__(self, window_s: float, now: float) -> None:
@@ -39,22 +40,22 @@
         # its start. A rate taken from the first ten seconds would make the provisioner rent
         # every machine that the cloud offers.
         self.window_s, self.counts_from = window_s, now + WARMUP_SHARE * window_s
-        self.seen: dict[str, deque[tuple[float, Job]]] = {}
+        self.jobs_by_class: dict[str, deque[tuple[float, Job]]] = {}
 
-    def note(self, job: Job, now: float) -> None:
+    def record(self, job: Job, now: float) -> None:
         """Record the arrival of a job."""
         if now < self.counts_from:
             return
         # The number of entries is not bounded: with a bound of 200, the rate of a large burst
         # came out at less than half of its true value.
-        seen = self.seen.setdefault(job.job_class, deque())
+        seen = self.jobs_by_class.setdefault(job.job_class, deque())
         while seen and now - seen[0][0] > self.window_s:
             seen.popleft()
         seen.append((now, job))
 
-    def expected(self, job_class: str, within_s: float, now: float) -> float:
+    def expected_tasks(self, job_class: str, within_s: float, now: float) -> float:
         """Return the expected number of tasks of the class that arrive within `within_s`."""
-        seen = self.seen.get(job_class)
+        seen = self.jobs_by_class.get(job_class)
         while seen and now - seen[0][0] > self.window_s:
             seen.popleft()
         span = max(min(self.window_s, now - self.counts_from), WARMUP_SHARE * self.window_s)
@@ -62,7 +63,11 @@
 
 
 def spare_room(
-    live: Iterable[Job], arrivals: Arrivals, types: list[MachineType], urgent: set[str], now: float
+    live: Iterable[Job],
+    arrivals: ArrivalRates,
+    types: list[MachineType],
+    urgent: set[str],
+    now: float,
 ) -> list[Demand]:
     """Return the expected demand that has to start sooner than a newly rented machine boots.
 
@@ -87,14 +92,14 @@
                 representatives[job.job_class] = job
             tasks[job.job_class] = tasks.get(job.job_class, 0) + job.tasks
     for name in urgent:
-        if name not in representatives and arrivals.seen.get(name):
-            representatives[name] = arrivals.seen[name][-1][1]
+        if name not in representatives and arrivals.jobs_by_class.get(name):
+            representatives[name] = arrivals.jobs_by_class[name][-1][1]
     found = []
     for name, job in sorted(representatives.items()):
         ready_times_s = [
             ready_s(job, machine_type) for machine_type in types if fits(job, machine_type)
         ]
-        mean = arrivals.expected(name, min(ready_times_s, default=0.0), now)
+        mean = arrivals.expected_tasks(name, min(ready_times_s, default=0.0), now)
         expected = mean + P90_DEVIATIONS * math.sqrt(mean)
         lost = SPARE_REPLICA_SHARE * tasks.get(name, 0) if job.kind == SERVICE else 0.0
         found.append(Demand(job, max(1, math.ceil(max(expected, lost)))))
--- a/clayport/scaling/boot_times.py
+++ b/clayport/scaling/boot_times.py
@@ -25,13 +25,13 @@
     """A machine that has been rented and has not reported yet.
 
     Attributes:
-        since: When the machine was rented, in seconds on the monotonic clock.
+        rented_at: When the machine was rented, in seconds on the monotonic clock.
     """
 
-    __slots__ = ("kind", "name", "since")
+    __slots__ = ("kind", "name", "rented_at")
 
-    def __init__(self, name: str, kind: MachineKind, since: float) -> None:
-        self.name, self.kind, self.since = name, kind, since
+    def __init__(self, name: str, kind: MachineKind, rented_at: float) -> None:
+        self.name, self.kind, self.rented_at = name, kind, rented_at
 
 
 class BootTimes:
@@ -49,13 +49,13 @@
         self.window_s = window_s
         self.seen: dict[str, deque[tuple[float, float]]] = {}
 
-    def note(self, machine_type: MachineType, took_s: float, now: float) -> None:
+    def record(self, machine_type: MachineType, took_s: float, now: float) -> None:
         """Record that a machine of the type took `took_s` seconds to come up."""
         self.seen.setdefault(machine_type.name, deque(maxlen=MAX_BOOTS)).append(
             (now, took_s / max(machine_type.boot_s, 1.0))
         )
 
-    def observed(
+    def with_observed_boot_times(
         self, types: Iterable[MachineType], booting: Iterable[BootingMachine], now: float
     ) -> list[MachineType]:
         """Return the machine types with their boot times corrected by recent boots.
@@ -67,7 +67,7 @@
         """
         booting_ages_s: dict[str, list[float]] = {}
         for boot in booting:
-            booting_ages_s.setdefault(boot.kind[0], []).append(now - boot.since)
+            booting_ages_s.setdefault(boot.kind[0], []).append(now - boot.rented_at)
         corrected = []
         for machine_type in types:
             seen = self.seen.get(machine_type.name, deque())
--- a/clayport/scaling/catalogue.py
+++ b/clayport/scaling/catalogue.py
@@ -50,7 +50,7 @@
         self.lease_s = lease_s
         self.types: list[MachineType] = []
 
-    async def keep_current(self) -> None:
+    async def refresh_periodically(self) -> None:
         """Read the catalogue every `REFRESH_LEASES` leases, for as long as the process runs."""
         attempt = self.cloud.begin_request()
         while True:
--- a/clayport/scaling/cloud.py
+++ b/clayport/scaling/cloud.py
@@ -80,7 +80,7 @@
         timeout_s: float,
         uniform: Callable[[float, float], float] = random.uniform,
     ) -> None:
-        self.client = http.Client(host, port, keep=2)
+        self.client = http.Client(host, port, max_idle=2)
         now = time.monotonic()
         self.bucket = TokenBucket(rps * RATE_SHARE, now)
         self.timeout_s = timeout_s
@@ -98,7 +98,7 @@
             self.retry_coordinator.back_off,
         )
 
-    async def turn(self) -> None:
+    async def wait_for_rate_limit(self) -> None:
         """Wait until the rate limit allows another request."""
         delay_s = self.bucket.take_tokens(1, time.monotonic())
         if delay_s > 0:
@@ -106,7 +106,7 @@
 
     async def _call(self, method: str, path: str, body: Any = None) -> tuple[int, bytes]:
         """Wait for the rate limit, then send a request as `_send` does."""
-        await self.turn()
+        await self.wait_for_rate_limit()
         return await self._send(method, path, body)
 
     async def _send(self, method: str, path: str, body: Any) -> tuple[int, bytes]:
@@ -202,17 +202,19 @@
             raise NoCapacityError(f"no {market} machine of type {machine_type} in zone {zone}")
         return self._decode(status, payload, _Rented).machines
 
-    async def give_back(self, names: list[str]) -> None:
+    async def return_machines(self, names: list[str]) -> None:
         """Return up to `MAX_MACHINES_PER_RETURN` machines, which ends everything on them.
 
         Raises:
             CloudError: The request was refused or not answered; it may still be executed.
         """
-        await self.turn()
-        await self.return_now(names)
+        await self.wait_for_rate_limit()
+        await self.return_unpaced(names)
 
-    async def return_now(self, names: list[str]) -> None:
-        """Return machines as `give_back` does, for a caller that has awaited `turn` itself.
+    async def return_unpaced(self, names: list[str]) -> None:
+        """Return machines as `return_machines` does, without waiting for the rate limit.
+
+        The caller has awaited `wait_for_rate_limit` itself.
 
         Raises:
             CloudError: The request was refused or not answered; it may still be executed.
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -18,8 +18,8 @@
 from clayport.scheduling.spread import Spread
 
 # Users' estimates of durations are often wrong by half. Estimated durations are therefore
-# multiplied by `LINE`, and the time allowed for a job by `DEADLINE_SHARE`.
-LINE, DEADLINE_SHARE = 1.5, 0.8
+# multiplied by `ESTIMATE_FACTOR`, and the time allowed for a job by `DEADLINE_SHARE`.
+ESTIMATE_FACTOR, DEADLINE_SHARE = 1.5, 0.8
 # For an array that has time for at least this many waves of its tasks, rentals are planned from the
 # rate at which its tasks complete.
 MIN_WAVES = 4.0
@@ -114,7 +114,7 @@
     job: Job,
     age_s: float,
     limits: dict[str, float],
-    estimate_factor: float = LINE,
+    estimate_factor: float = ESTIMATE_FACTOR,
     deadline_share: float = DEADLINE_SHARE,
 ) -> float:
     """Return the seconds that the job's tasks can still wait; negative if the job will be late.
@@ -171,7 +171,7 @@
     if limit is None or job.kind != ARRAY:
         return None
     left_s = max(DEADLINE_SHARE * limit - need.age_s, boot_s)
-    wave_s = LINE * max(job.estimate_s, 1.0)
+    wave_s = ESTIMATE_FACTOR * max(job.estimate_s, 1.0)
     if left_s < MIN_WAVES * wave_s or need.tasks <= 1:
         return None
     tasks = min(need.tasks, math.ceil(need.tasks * wave_s / left_s))
@@ -184,7 +184,7 @@
     demand: Iterable[Demand],
     limits: dict[str, float],
     fleet_cpus: float,
-    estimate_factor: float = LINE,
+    estimate_factor: float = ESTIMATE_FACTOR,
     deadline_share: float = DEADLINE_SHARE,
     boot_s: float = 0.0,
 ) -> list[Demand]:
--- a/clayport/scaling/machine_list.py
+++ b/clayport/scaling/machine_list.py
@@ -31,7 +31,7 @@
     """Keeps track of listed, booting and returned machines.
 
     Attributes:
-        listed: The machines of the cloud's list as last read, by id.
+        listed_machines: The machines of the cloud's list as last read, by id.
         listed_at: When the list was last read, in seconds on the monotonic clock.
         booting: The rented machines that have not reported yet, by name.
         returned: By name, when a machine was returned; kept for as long as the cloud's list may
@@ -54,7 +54,7 @@
         self.removal = removal
         self.settings = settings
         self.view = view
-        self.listed: dict[str, CloudMachine] = {}
+        self.listed_machines: dict[str, CloudMachine] = {}
         self.listed_at = -1e9
         self.booting: dict[str, BootingMachine] = {}
         self.returned: dict[str, float] = {}
@@ -71,13 +71,16 @@
         rooms = []
         for boot in self.booting.values():
             machine_type = types.get(boot.kind[0])
-            if machine_type is not None and now - boot.since < LATE_FACTOR * machine_type.boot_s:
+            if (
+                machine_type is not None
+                and now - boot.rented_at < LATE_FACTOR * machine_type.boot_s
+            ):
                 rooms.append(empty_room(machine_type, boot.name, boot.kind[1], boot.kind[2]))
         return rooms
 
     def observed_types(self, now: float) -> list[MachineType]:
         """Return the machine types with their boot times corrected by recent boots."""
-        return self._boot_times.observed(
+        return self._boot_times.with_observed_boot_times(
             self.catalogue.types,
             (boot for name, boot in self.booting.items() if name in self._rented_here),
             now,
@@ -91,7 +94,7 @@
         """
         found = await self.cloud.machines()
         self.listed_at = now
-        self.listed = {machine.id: machine for machine in found}
+        self.listed_machines = {machine.id: machine for machine in found}
         settled_s = 4 * self.settings.cluster.cloud.list_lag_s + self.membership.lease_ttl_s
         self.returned = {
             name: returned_at
@@ -101,7 +104,7 @@
         failed = self._note_listed(found, now)
         self._drop_settled(settled_s, now)
         for first in range(0, len(failed), MAX_MACHINES_PER_RETURN):
-            await self.give_back(failed[first : first + MAX_MACHINES_PER_RETURN], now)
+            await self.return_machines(failed[first : first + MAX_MACHINES_PER_RETURN], now)
 
     def _note_listed(self, found: list[CloudMachine], now: float) -> list[str]:
         """Record as booting the listed machines that have not reported; return the failed ones."""
@@ -125,7 +128,7 @@
     def _drop_settled(self, settled_s: float, now: float) -> None:
         """Drop booting machines that came up, were returned or are unlisted after `settled_s`."""
         for name, boot in list(self.booting.items()):
-            unlisted = name not in self.listed and now - boot.since > settled_s
+            unlisted = name not in self.listed_machines and now - boot.rented_at > settled_s
             if name in self.view.rooms or name in self.returned or unlisted:
                 if name in self.view.rooms and name in self._rented_here:
                     self._note_boot_time(boot, now)
@@ -135,7 +138,7 @@
     def _note_boot_time(self, boot: BootingMachine, now: float) -> None:
         for machine_type in self.catalogue.types:
             if machine_type.name == boot.kind[0]:
-                self._boot_times.note(machine_type, now - boot.since, now)
+                self._boot_times.record(machine_type, now - boot.rented_at, now)
 
     async def give_up_late(self, types: dict[str, MachineType], now: float) -> None:
         """Return machines that have not come up after `GIVE_UP_FACTOR` times their boot time.
@@ -149,22 +152,22 @@
             boot.name
             for boot in self.booting.values()
             if boot.kind[0] in types
-            and now - boot.since > GIVE_UP_FACTOR * types[boot.kind[0]].boot_s
+            and now - boot.rented_at > GIVE_UP_FACTOR * types[boot.kind[0]].boot_s
         ]
         if late:
             log.info("event=boot-timeout machines=%s", late)
             for name in late:
                 if name in self._rented_here:
                     self._note_boot_time(self.booting[name], now)
-            await self.give_back(late[:MAX_MACHINES_PER_RETURN], now)
+            await self.return_machines(late[:MAX_MACHINES_PER_RETURN], now)
 
-    async def give_back(self, names: list[str], now: float) -> None:
+    async def return_machines(self, names: list[str], now: float) -> None:
         """Return machines to the cloud, and announce their removal to all controllers.
 
         Raises:
             CloudError: The return was refused or not answered.
         """
-        await self.cloud.give_back(names)
+        await self.cloud.return_machines(names)
         for name in names:
             self.returned[name] = now
             self.booting.pop(name, None)
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -17,7 +17,7 @@
 from clayport.membership.state import MembershipState
 from clayport.model import CloudMachine, MachineType
 from clayport.routines import Routines
-from clayport.scaling.arrivals import Arrivals, spare_room
+from clayport.scaling.arrivals import ArrivalRates, spare_room
 from clayport.scaling.boot_times import MachineKind
 from clayport.scaling.catalogue import Catalogue
 from clayport.scaling.cloud import Cloud, CloudError, NoCapacityError
@@ -57,14 +57,14 @@
         machine_list: The listed, booting and returned machines.
         planner: Decides which machines to rent.
         consolidation: Empties machines whose replicas fit elsewhere.
-        began_at: When this controller became the provisioner or last resumed after a stall, in
+        resumed_at: When this controller became the provisioner or last resumed after a stall, in
             seconds on the monotonic clock.
     """
 
     def __init__(
         self,
         *,
-        arrivals: Arrivals,
+        arrivals: ArrivalRates,
         cached_state: CachedState,
         catalogue: Catalogue,
         cloud: Cloud,
@@ -116,12 +116,12 @@
         self._known_epoch: Epoch | None = None
         self._rent_from = 0.0  # no machine is rented before this time
         self._evacuated_at = -1e9
-        self.began_at = -1e9
+        self.resumed_at = -1e9
 
     @property
-    def listed(self) -> dict[str, CloudMachine]:
+    def listed_machines(self) -> dict[str, CloudMachine]:
         """The machines of the cloud's list as last read, by id."""
-        return self.machine_list.listed
+        return self.machine_list.listed_machines
 
     async def run(self) -> None:
         """Run rounds of renting and returning for as long as the process runs."""
@@ -203,8 +203,10 @@
             # provisioner in epoch 1, even if machines exist already, or in an epoch up to
             # `FIRST_EPOCHS` if the cloud lists no machine.
             self._known_epoch = epoch
-            self.began_at = now
-            first_start = epoch.number == 1 or (epoch.number <= FIRST_EPOCHS and not self.listed)
+            self.resumed_at = now
+            first_start = epoch.number == 1 or (
+                epoch.number <= FIRST_EPOCHS and not self.listed_machines
+            )
             self._rent_from = now + (0.0 if first_start else 2 * lag_s)
 
     async def _give_up_late(self, types: dict[str, MachineType], now: float) -> None:
@@ -213,7 +215,7 @@
         At that time working machines look as if they had not come up, until their reports reach
         the new owners.
         """
-        if now - self.began_at < 2 * self.settings.cluster.workers.lease_s:
+        if now - self.resumed_at < 2 * self.settings.cluster.workers.lease_s:
             return
         await self.machine_list.give_up_late(types, now)
 
@@ -305,7 +307,7 @@
         # All candidates are checked together first, because one check is enough for all of them if
         # there is plenty of spare room. On a shrinking fleet, separate checks would take half of
         # the processor time.
-        all_spare = sum(room.open for room in candidates) > 1 and not self._lost(
+        all_spare = sum(room.open for room in candidates) > 1 and not self._unplaced_tasks(
             self.cached_state.index(),
             [room.machine for room in candidates if room.open],
             needs,
@@ -338,7 +340,7 @@
                 )
         if names:
             log.info("event=scaled-in machines=%s cause=idle", names)
-            await self.machine_list.give_back(names, now)
+            await self.machine_list.return_machines(names, now)
 
     def _idle_rooms(self, index: Index, types: dict[str, MachineType], now: float) -> list[Room]:
         """Return the machines that could be returned: closed ones first, then on-demand ones."""
@@ -360,7 +362,9 @@
         return idle
 
     @staticmethod
-    def _lost(index: Index, without: Sequence[str], needs: list[Demand], policy: Policy) -> int:
+    def _unplaced_tasks(
+        index: Index, without: Sequence[str], needs: list[Demand], policy: Policy
+    ) -> int:
         """Return the number of tasks of the demand that don't fit without the machines."""
         if surely_fits(index, needs, policy, without):
             return 0
@@ -375,5 +379,5 @@
 
         The other machines are excluded in either case.
         """
-        lost = cls._lost(index, without, needs, policy)
-        return lost > 0 and lost > cls._lost(index, without[1:], needs, policy)
+        lost = cls._unplaced_tasks(index, without, needs, policy)
+        return lost > 0 and lost > cls._unplaced_tasks(index, without[1:], needs, policy)
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -21,7 +21,7 @@
 from sortedcontainers import SortedList
 
 from clayport.model import ARRAY, SERVICE
-from clayport.scaling.demand import LINE
+from clayport.scaling.demand import ESTIMATE_FACTOR
 from clayport.scheduling.queueing.shares import FairShares, account_keys
 
 if TYPE_CHECKING:
@@ -302,7 +302,10 @@
         # Estimates are often wrong by half. When they were treated as exact, an overlong queue
         # served each job just when the job could no longer finish on time. A job's own deadline
         # is derived from the estimate and has the same error, so no factor applies to it.
-        limits, estimate_s = self.finish_limits.get(job.job_class, ()), LINE * job.estimate_s
+        limits, estimate_s = (
+            self.finish_limits.get(job.job_class, ()),
+            ESTIMATE_FACTOR * job.estimate_s,
+        )
         if job.deadline_s is not None:
             estimate_s = job.estimate_s
             limits = [
--- a/clayport/scheduling/urgency.py
+++ b/clayport/scheduling/urgency.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from clayport.model import SERVICE, Description, Job
-from clayport.scaling.demand import LINE, slack_s, time_left_s
+from clayport.model import SERVICE, Job, JobDescription
+from clayport.scaling.demand import ESTIMATE_FACTOR, slack_s, time_left_s
 from clayport.scheduling.objectives import Objectives
 from clayport.settings import Objective
 
@@ -25,7 +25,7 @@
         self.patience_s = patience_s
         self.classes_with_wait_limit = set(self.wait_limits)
 
-    def job_from_description(self, description: Description) -> Job:
+    def job_from_description(self, description: JobDescription) -> Job:
         """Return the job of a description, with the flag whether no objective applies to it."""
         without_objective = (
             description.deadline_s is None and description.job_class not in self.classes
@@ -55,5 +55,5 @@
         return (
             job.spot
             and job.checkpoint_s == 0
-            and time_left_s(job, age_s, self.finish_limits) < LINE * job.estimate_s
+            and time_left_s(job, age_s, self.finish_limits) < ESTIMATE_FACTOR * job.estimate_s
         )
--- a/clayport/settings.py
+++ b/clayport/settings.py
@@ -103,7 +103,7 @@
     txn_ops: Annotated[int, msgspec.Meta(ge=4)]
     next: NextLimits | None = None
 
-    def least(self) -> StateSettings:
+    def strictest(self) -> StateSettings:
         """Return the limits that hold before and after the upgrade: the smaller of each pair."""
         next_limits = self.next or NextLimits()
         return StateSettings(
@@ -160,7 +160,7 @@
         return sorted([self.label, *(m.label for m in self.members)])
 
 
-def endpoint(text: str, field: str) -> tuple[str, int]:
+def parse_endpoint(text: str, field: str) -> tuple[str, int]:
     """Split `host:port`.
 
     Raises:
@@ -195,12 +195,12 @@
 
 
 def _check_addresses(settings: Settings) -> None:
-    endpoint(settings.bind, "bind")
-    endpoint(settings.peer_bind, "peer_bind")
-    endpoint(settings.services.cloud, "services.cloud")
-    endpoint(settings.services.state, "services.state")
+    parse_endpoint(settings.bind, "bind")
+    parse_endpoint(settings.peer_bind, "peer_bind")
+    parse_endpoint(settings.services.cloud, "services.cloud")
+    parse_endpoint(settings.services.state, "services.state")
     for index, member in enumerate(settings.members):
-        endpoint(member.address, f"members[{index}].address")
+        parse_endpoint(member.address, f"members[{index}].address")
 
 
 def _check_members(settings: Settings) -> None:
--- a/clayport/transport/http.py
+++ b/clayport/transport/http.py
@@ -276,11 +276,11 @@
     Args:
         host: The host of the address.
         port: The port of the address.
-        keep: The most idle connections in the pool.
+        max_idle: The most idle connections in the pool.
     """
 
-    def __init__(self, host: str, port: int, keep: int) -> None:
-        self.host, self.port, self.keep = host, port, keep
+    def __init__(self, host: str, port: int, max_idle: int) -> None:
+        self.host, self.port, self.max_idle = host, port, max_idle
         self.name = f"{host}:{port}"
         self.idle: deque[Any] = deque()
 
@@ -308,7 +308,7 @@
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     sent = True
                 status, payload, reusable = await self._exchange(sock, method, path, body)
-            if reusable and len(self.idle) < self.keep:
+            if reusable and len(self.idle) < self.max_idle:
                 self.idle.append(sock)
                 sock = None
             return status, payload
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -87,7 +87,7 @@
 
     Attributes:
         last_heard_at: When the peer last answered or sent a heartbeat, on the monotonic clock.
-        state_ok: Whether the state service answers the peer, by its latest heartbeat.
+        state_service_ok: Whether the state service answers the peer, by its latest heartbeat.
         epoch: The epoch in which the peer acts, by its latest heartbeat.
         room_rev: The revision of the peer's table of free room, by its latest heartbeat.
     """
@@ -102,7 +102,7 @@
     ) -> None:
         self.label, self.host, self.port, self.timeout_s = label, host, port, timeout_s
         self.last_heard_at = DISTANT_PAST_S
-        self.state_ok = False
+        self.state_service_ok = False
         self.epoch = 0
         self.room_rev = 0
         self.retry_coordinator = RetryCoordinator(
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -23,7 +23,7 @@
 from clayport.machines.fleet import Fleet
 from clayport.membership.stalls import StallDetector
 from clayport.membership.state import MembershipState
-from clayport.model import Description, Job, valid_id
+from clayport.model import Job, JobDescription, is_valid_job_id
 from clayport.rebuild.support import RebuildSupport
 from clayport.records.errors import ConflictError, OutcomeUnknownError, UnavailableError
 from clayport.records.keys import end_key, live_key
@@ -113,7 +113,7 @@
         self.admission = AdmissionControl(RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S, MAX_RETRY_AFTER_S)
         # Refuses submissions when CPU time is short, so that polls, reports and cancellations are
         # still answered in time.
-        self.processor_admission = AdmissionControl(
+        self.cpu_admission = AdmissionControl(
             RESPONSE_TIME_SHARE * POLL_TIMEOUT_S, MAX_RETRY_AFTER_S
         )
         self.status = JobStatus(
@@ -179,7 +179,7 @@
 
     async def _poll(self, job: str) -> Response:
         """Answer a poll of a job's state."""
-        if not valid_id(job):
+        if not is_valid_job_id(job):
             return NO_SUCH_JOB
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * POLL_TIMEOUT_S)
         status = await self.status.find(job, deadline)
@@ -190,14 +190,16 @@
     async def _submit(self, body: bytes) -> Response:
         """Answer a submission; a repeated one returns the state of the accepted job."""
         try:
-            job = self.objectives.job_from_description(msgspec.json.decode(body, type=Description))
+            job = self.objectives.job_from_description(
+                msgspec.json.decode(body, type=JobDescription)
+            )
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return Response(400, {"error": str(exc)})
         if not self.stalls.confirm_no_stall(time.monotonic()):
             # The process has stalled, so the request may be so old that its user has left.
             raise UnavailableError("just awake")
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
-        if not all(valid_id(name) for name in (job.id, *(job.prereqs or ()))):
+        if not all(is_valid_job_id(name) for name in (job.id, *(job.prereqs or ()))):
             return await self._refuse(job, 400, "not in the form of a job's id", deadline)
         submitted = time.time()
         value = live_value(job, submitted)
@@ -228,7 +230,7 @@
 
     def _exceeds_value_limit(self, value: dict[str, Any]) -> bool:
         """Return whether the live or final record of the job would exceed the value size limit."""
-        limit = self.settings.cluster.state.least().value_kb * 1024 - END_OVERHEAD_BYTES
+        limit = self.settings.cluster.state.strictest().value_kb * 1024 - END_OVERHEAD_BYTES
         return len(msgspec.json.encode(value)) > limit
 
     def _can_ever_run(self, job: Job) -> bool:
@@ -292,7 +294,7 @@
         )
         self.lifecycle.note_live(job, rev, self.lifecycle.to_monotonic(submitted))
         if self.rebuild.recovery is not None:
-            await self.rebuild.recovery.second(rev, deadline)
+            await self.rebuild.recovery.wait_for_second_copy(rev, deadline)
         return Response(201, {"id": job.id, "status": "queued"})
 
     async def _refuse(self, job: Job, status: int, cause: str, deadline: Deadline) -> Response:
@@ -314,7 +316,7 @@
         """
         retry_after_s = max(
             self.admission.retry_after_s(self.store.backlog(priority_s)),
-            self.processor_admission.retry_after_s(CPU_WAITS * self.stalls.timer_delay_s),
+            self.cpu_admission.retry_after_s(CPU_WAITS * self.stalls.timer_delay_s),
         )
         if retry_after_s:
             raise UnavailableError("too much is waiting", retry_after_s)
@@ -326,7 +328,7 @@
             UnavailableError: The cancellation was not committed in time, or the user may not be
                 told yet.
         """
-        if not valid_id(job):
+        if not is_valid_job_id(job):
             return NO_SUCH_JOB
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
         attempt = self.store.begin_request(deadline)
--- a/tests/jobs/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -37,11 +37,11 @@
     """One controller that leads every job and owns every machine, with a clock set by the test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        from tests.test_program import GOOD
+        from tests.test_program import VALID_SETTINGS
 
         self.now = 1000.0
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
-        self.c = Controller(parse(json.dumps(GOOD).encode()))
+        self.c = Controller(parse(json.dumps(VALID_SETTINGS).encode()))
         self.c.catalogue.types = msgspec.convert(TYPES, list[MachineType])
         self.c.machines.types = {t.name: t for t in self.c.catalogue.types}
         self.c.membership.epoch = Epoch(1, {"c0": "x"}, 1)
@@ -75,17 +75,17 @@
         """Run one scheduling pass and its preemption requests; no task is started."""
         self.c.queue.mark_all_changed()
         self.c.placer._pass(self.now)
-        coros, self.c.routines.coroutines = self.c.routines.coroutines, []
+        coros, self.c.routines.pending_coroutines = self.c.routines.pending_coroutines, []
 
         async def run() -> None:
             for coro in coros:
                 await coro
 
         curio.run(run)
-        for coro in self.c.routines.coroutines:
+        for coro in self.c.routines.pending_coroutines:
             coro.close()  # commands to workers, which don't exist here
-        self.c.routines.coroutines.clear()
-        self.c.routines.signalled.clear()
+        self.c.routines.pending_coroutines.clear()
+        self.c.routines.pending_signals.clear()
 
 
 def test_room_held_after_preemption_expires(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -643,7 +643,7 @@
         with pytest.raises(ConfigError, match=error):
             parse(raw)
     else:
-        found = parse(raw).cluster.state.least()
+        found = parse(raw).cluster.state.strictest()
         assert (found.rps, found.write_rps, found.value_kb, found.txn_ops) == least
 
 
--- a/tests/machines/test_fencing.py
+++ b/tests/machines/test_fencing.py
@@ -28,10 +28,10 @@
         parts: Any = self
         return MachineFencing(cloud=parts, membership=parts, removal=parts)
 
-    async def turn(self) -> None:
+    async def wait_for_rate_limit(self) -> None:
         await curio.sleep(0)
 
-    async def return_now(self, names: list[str]) -> None:
+    async def return_unpaced(self, names: list[str]) -> None:
         self.sent.append(names)
         await curio.sleep(0)
         if len(self.sent) in self.failing_requests:
@@ -87,10 +87,10 @@
     fake = FakeController()
     fencing = fake.fencing()
 
-    async def turn() -> None:
+    async def wait_for_rate_limit() -> None:
         fake.epoch = object()  # type: ignore[assignment]
 
-    fake.turn = turn  # type: ignore[method-assign]
+    fake.wait_for_rate_limit = wait_for_rate_limit  # type: ignore[method-assign]
     errors = curio.run(fence_all, fencing, ["i-000001", "i-000002"])
     assert fake.sent == [] and all("epoch" in error for error in errors)
 
@@ -101,7 +101,7 @@
     async def fail(_: Any) -> None:
         raise ValueError("malformed")
 
-    fake.return_now = fail  # type: ignore[method-assign]
+    fake.return_unpaced = fail  # type: ignore[method-assign]
     fencing = fake.fencing()
     assert all(curio.run(fence_all, fencing, ["i-000001"]))
     assert not fencing.waiting and not fencing.sending
--- a/tests/records/test_stored_data.py
+++ b/tests/records/test_stored_data.py
@@ -28,10 +28,10 @@
 import pytest
 
 from clayport.membership.epoch import Epoch
-from clayport.model import Description, Job
+from clayport.model import Job, JobDescription
 from clayport.rebuild import evidence, files, history
 from clayport.rebuild.merge import merge
-from clayport.rebuild.recorder import remembered
+from clayport.rebuild.recorder import snapshot_evidence
 from clayport.records import keys
 from clayport.records import values as record_values
 from clayport.records.chunk import Chunk
@@ -99,13 +99,13 @@
 
 
 def test_description_fields_are_mapped_to_attributes() -> None:
-    job = msgspec.convert(values("c/live/")["j-000024"]["j"], Description)
+    job = msgspec.convert(values("c/live/")["j-000024"]["j"], JobDescription)
     assert (job.job_class, job.team, job.kind, job.priority) == ("train", "tight", "sweep", "high")
     assert (job.tasks, job.cpus, job.gpus, job.memory_gb) == (2, 4.0, 2.0, 4.0)
     assert (job.image, job.image_gb, job.types, job.zone) == ("img-1", 1.0, ["accel"], None)
     assert (job.one_zone, job.spread, job.spot) == (False, False, True)
     assert (job.estimate_s, job.checkpoint_s, job.save_s) == (8.0, 20.0, 4.0)
-    later = msgspec.convert(values("c/live/")["j-000021"]["j"], Description)
+    later = msgspec.convert(values("c/live/")["j-000021"]["j"], JobDescription)
     assert (later.deadline_s, later.prereqs) == (300.0, ["j-000000"])
 
 
@@ -148,7 +148,7 @@
         assert record_values.parse_quota(value) == (value["c"], value["g"])
     others = {k: v for k, v in RECORDS.items() if k.startswith(("c/live/", "end/", "run/"))}
     limits = {team: (1000.0, 1000.0) for team in values("quota/")}
-    recovered = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
+    recovered = snapshot_evidence(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
     written = merge(others, {"c0": recovered}, (), limits, 1000).changes
     for team, value in values("quota/").items():
         assert_same_json(written[keys.quota_key(team)], value)
@@ -167,7 +167,7 @@
 
     Assignments are not compared, because a rebuild takes them from the machines.
     """
-    recovered = remembered(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
+    recovered = snapshot_evidence(files.Snapshot(header(), dict(RECORDS), 1, []), "c0")
     assert recovered.epoch == RECORDS[keys.EPOCH_KEY][0]["number"]
     assert recovered.members == RECORDS[keys.EPOCH_KEY][0]["members"]
     assert recovered.chunks == {f"run/{rest}": value for rest, value in values("run/").items()}
@@ -185,7 +185,7 @@
     assert "t" not in WITHOUT_TIMES[live] and "t" not in WITHOUT_TIMES[end]
     assert record_values.parse_end(WITHOUT_TIMES[end]) == ("done", None)
     found = files.Snapshot(header(), {key: (v, 1) for key, v in WITHOUT_TIMES.items()}, 1, [])
-    recovered = remembered(found, "c0")
+    recovered = snapshot_evidence(found, "c0")
     assert recovered.live == {live.removeprefix("c/live/"): (WITHOUT_TIMES[live]["j"], 0.0)}
     written = merge({}, {"c0": recovered}, (), {}, 1000).changes
     assert_same_json(written[end], WITHOUT_TIMES[end])
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -8,7 +8,7 @@
 import pytest
 
 from clayport.model import Job, MachineType, fits
-from clayport.scaling.arrivals import Arrivals, spare_room
+from clayport.scaling.arrivals import ArrivalRates, spare_room
 from clayport.scaling.demand import Demand, unmet_demand, urgent_demand
 from clayport.scaling.provisioning import plan_rentals
 from clayport.scheduling.index import Index
@@ -250,23 +250,23 @@
 
 
 def test_spare_room_covers_arrivals_while_a_machine_boots() -> None:
-    arrivals = Arrivals(300.0, 0.0)
+    arrivals = ArrivalRates(300.0, 0.0)
     web = make_job(1, jobclass="web", shape="daemon", pieces=2, loaners=False)
     for at in range(30, 300, 10):
-        arrivals.note(web, float(at))
+        arrivals.record(web, float(at))
     found = spare_room([web], arrivals, MACHINE_TYPES, {"web"}, 300.0)
     assert [(n.job.job_class, n.tasks) for n in found] == [("web", 4)]
-    assert spare_room([], Arrivals(300.0, 0.0), MACHINE_TYPES, {"web"}, 10.0) == []
+    assert spare_room([], ArrivalRates(300.0, 0.0), MACHINE_TYPES, {"web"}, 10.0) == []
 
 
 def test_backlog_at_start_does_not_count_as_arrival_rate() -> None:
-    arrivals = Arrivals(300.0, 0.0)
+    arrivals = ArrivalRates(300.0, 0.0)
     web = make_job(1, jobclass="web", shape="daemon", pieces=5, loaners=False)
     for at in range(70):
-        arrivals.note(web, at / 7)
-    assert arrivals.expected("web", 50.0, 11.0) == 0.0
-    arrivals.note(web, 40.0)
-    assert arrivals.expected("web", 30.0, 60.0) == 5.0
+        arrivals.record(web, at / 7)
+    assert arrivals.expected_tasks("web", 50.0, 11.0) == 0.0
+    arrivals.record(web, 40.0)
+    assert arrivals.expected_tasks("web", 30.0, 60.0) == 5.0
 
 
 def test_fits() -> None:
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -344,7 +344,7 @@
 ) -> None:
     """Repeated submissions, polls, cancellations and reports are still answered.
 
-    Without `processor_admission` the submissions of the last three rows are accepted.
+    Without `cpu_admission` the submissions of the last three rows are accepted.
     """
     harness = SingleController(monkeypatch)
     c = harness.c
@@ -500,14 +500,14 @@
     kind = msgspec.convert(TYPES[0], MachineType)
     boots = BootTimes(200.0)
     for ratio in took:
-        boots.note(kind, ratio * kind.boot_s, 100.0)
+        boots.record(kind, ratio * kind.boot_s, 100.0)
     waiting = [
         BootingMachine(f"m{n}", (kind.name, "north", False), 100.0 - r * kind.boot_s)
         for n, r in enumerate(booting)
     ]
-    [seen] = boots.observed([kind], waiting, 100.0)
+    [seen] = boots.with_observed_boot_times([kind], waiting, 100.0)
     assert seen.boot_s == pytest.approx(factor * kind.boot_s)
-    assert boots.observed([kind], [], 400.0) == [
+    assert boots.with_observed_boot_times([kind], [], 400.0) == [
         kind
     ]  # old boots no longer count, so the type is tried again
 
@@ -624,10 +624,10 @@
                 TaskStatus("exited", "done", False)
             )
 
-    async def give_back(names: list[str]) -> None:
+    async def return_machines(names: list[str]) -> None:
         returned.extend(names)
 
-    monkeypatch.setattr(c.cloud, "give_back", give_back)
+    monkeypatch.setattr(c.cloud, "return_machines", return_machines)
     harness.now += 1000.0
     types = {t.name: t for t in c.catalogue.types}
 
@@ -657,17 +657,17 @@
     for number in range(6):  # of 8 CPUs each
         harness.report(f"m{number}", "north", "plain")
 
-    async def give_back(names: list[str]) -> None:
+    async def return_machines(names: list[str]) -> None:
         returned_names.extend(names)
 
-    lost = c.provisioner._lost
+    lost = c.provisioner._unplaced_tasks
 
     def count(*args: Any) -> int:
         evaluated.append(args[1])
         return lost(*args)
 
-    monkeypatch.setattr(c.cloud, "give_back", give_back)
-    monkeypatch.setattr(type(c.provisioner), "_lost", staticmethod(count))
+    monkeypatch.setattr(c.cloud, "return_machines", return_machines)
+    monkeypatch.setattr(type(c.provisioner), "_unplaced_tasks", staticmethod(count))
     harness.now += 1000.0
     c.machines.mark_all_changed()
     needs = [Demand(make_job(1, vcpus=2.0), spare_tasks)] if spare_tasks else []
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -12,7 +12,7 @@
 from clayport.jobs import eligibility
 from clayport.model import Job
 from clayport.records.keys import live_key
-from tests.test_program import api
+from tests.test_program import build_user_api
 from tests.world import TYPES, job
 
 RAW = json.dumps(job(1))
@@ -30,7 +30,7 @@
 
     The test fails if another field has a default, or one of these three has none.
     """
-    handler, _ = api()
+    handler, _ = build_user_api()
     null = {**job(1), field: None}
     missing = {k: v for k, v in job(1).items() if k != field}
     answers = [submit(handler, json.dumps(value).encode()) for value in (null, missing)]
@@ -67,7 +67,7 @@
 )
 def test_field_values(field: str, values: list[Any], status: int) -> None:
     for value in values:
-        handler, _ = api()
+        handler, _ = build_user_api()
         raw = json.dumps({**job(1), field: value}).encode()
         assert submit(handler, raw) == status, value
 
@@ -97,7 +97,7 @@
     ],
 )
 def test_request_bodies(raw: str | bytes, status: int) -> None:
-    handler, _ = api()
+    handler, _ = build_user_api()
     assert submit(handler, raw if isinstance(raw, bytes) else raw.encode()) == status
 
 
@@ -122,7 +122,7 @@
     The test fails if `Job` validates records as strictly as requests, or if `_refuse` does not
     look up the record.
     """
-    handler, c = api()
+    handler, c = build_user_api()
     value = {**job(1), **record}
     stored = {k: v for k, v in value.items() if v is not None}
 
@@ -159,7 +159,7 @@
     ],
 )
 def test_job_ids_in_paths(path: str, status: int) -> None:
-    handler, _ = api()
+    handler, _ = build_user_api()
     assert submit(handler, RAW.encode()) == 201
     assert curio.run(handler.handle, "GET", "/api/jobs/" + path, b"")[0] == status
 
@@ -199,7 +199,7 @@
 def test_jobs_that_no_machine_type_fits_are_refused(
     fields: dict[str, Any], types: list[dict[str, Any]], placeable: bool
 ) -> None:
-    handler, c = api()
+    handler, c = build_user_api()
     c.catalogue.types = msgspec.convert(types, list[type(c.catalogue.types[0])])  # type: ignore[misc]
     assert (
         eligibility.can_be_placed(msgspec.convert(job(1, **fields), Job), c.catalogue.types)
@@ -226,5 +226,5 @@
 def test_jobs_that_exceed_their_teams_limit_are_refused(
     fields: dict[str, Any], status: int
 ) -> None:
-    handler, _ = api()
+    handler, _ = build_user_api()
     assert submit(handler, json.dumps(job(1, **fields)).encode()) == status
--- a/tests/system/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -9,7 +9,7 @@
 
 from clayport.membership.epoch import Epoch
 from clayport.model import Job
-from clayport.scaling.arrivals import Arrivals
+from clayport.scaling.arrivals import ArrivalRates
 from clayport.transport import frames
 from tests.jobs.test_dispatch import SingleController
 from tests.world import job as wire_job
@@ -66,10 +66,10 @@
 def test_every_arrival_of_a_flood_is_counted(jobs: int) -> None:
     """Every arrival counts, because a limit of 200 counted jobs would lower the expected number
     of tasks as more jobs arrive."""
-    arrivals = Arrivals(300.0, 0.0)
+    arrivals = ArrivalRates(300.0, 0.0)
     job = msgspec.convert(wire_job(1, pieces=4), Job)
     for n in range(jobs):
-        arrivals.note(job, 30.0 + 270.0 * n / jobs)
-    assert arrivals.expected("batch", 270.0, 300.0) == pytest.approx(4 * jobs, rel=0.01)
-    arrivals.note(job, 1e4)
-    assert len(arrivals.seen["batch"]) == 1
+        arrivals.record(job, 30.0 + 270.0 * n / jobs)
+    assert arrivals.expected_tasks("batch", 270.0, 300.0) == pytest.approx(4 * jobs, rel=0.01)
+    arrivals.record(job, 1e4)
+    assert len(arrivals.jobs_by_class["batch"]) == 1
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -21,7 +21,7 @@
 from tests.world import SETTINGS, TYPES, ZONES, State, World, job
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_SETTINGS: dict[str, Any] = {
     "label": "c0",
     "location": ZONES[0],
     "bind": "127.0.0.1:8080",
@@ -48,7 +48,7 @@
 
 
 def settings_with(path: str, value: Any) -> bytes:
-    settings = json.loads(json.dumps(GOOD))
+    settings = json.loads(json.dumps(VALID_SETTINGS))
     *parents, field = path.split(".")
     node = settings
     for step in parents:
@@ -61,7 +61,7 @@
 
 
 def test_valid_settings_are_accepted() -> None:
-    assert parse(json.dumps(GOOD).encode()).labels == ["c0", "c1"]
+    assert parse(json.dumps(VALID_SETTINGS).encode()).labels == ["c0", "c1"]
 
 
 @pytest.mark.parametrize(
@@ -104,12 +104,12 @@
 @pytest.mark.parametrize(
     "content, args, log_level, exit_status, text",
     [
-        (GOOD, ["--check"], "info", 0, "valid"),
-        (GOOD, ["--check"], "loud", 2, "error, info, debug"),
+        (VALID_SETTINGS, ["--check"], "info", 0, "valid"),
+        (VALID_SETTINGS, ["--check"], "loud", 2, "error, info, debug"),
         ("{", ["--check"], "info", 2, "not JSON"),
         ({}, ["--check"], "info", 2, "label"),
         (None, ["--check"], "info", 2, "No such file"),
-        (GOOD, ["--version"], "info", 0, __version__),
+        (VALID_SETTINGS, ["--version"], "info", 0, __version__),
     ],
 )
 def test_command_line(
@@ -136,7 +136,7 @@
 )
 def test_operator_file(tmp_path: Path, text: str, exit_status: int, expected: str) -> None:
     settings, operator = tmp_path / "settings.json", tmp_path / "operator.txtpb"
-    settings.write_text(json.dumps(GOOD))
+    settings.write_text(json.dumps(VALID_SETTINGS))
     operator.write_text(text)
     found = run_program("--config", str(settings), "--operator", str(operator), "--check")
     assert (found.returncode, expected in found.stdout + found.stderr) == (exit_status, True), found
@@ -211,8 +211,8 @@
 # -- requests of users -----------------------------------------------------
 
 
-def api() -> tuple[UserApi, Controller]:
-    c = Controller(parse(json.dumps(GOOD).encode()))
+def build_user_api() -> tuple[UserApi, Controller]:
+    c = Controller(parse(json.dumps(VALID_SETTINGS).encode()))
     import msgspec
 
     from clayport.model import MachineType
@@ -273,7 +273,7 @@
     ],
 )
 def test_submissions(body: Any, status: int) -> None:
-    handler, _ = api()
+    handler, _ = build_user_api()
     raw = body.encode() if isinstance(body, str) else json.dumps(body).encode()
     assert curio.run(handler.handle, "POST", "/api/jobs", raw)[0] == status
 
@@ -294,13 +294,13 @@
     ],
 )
 def test_paths_and_methods(method: str, path: str, status: int) -> None:
-    handler, _ = api()
+    handler, _ = build_user_api()
     assert curio.run(handler.handle, method, path, b"[]")[0] == status
 
 
 def test_job_states_as_a_user_sees_them() -> None:
     async def main() -> None:
-        handler, c = api()
+        handler, c = build_user_api()
         raw = json.dumps(job(1)).encode()
         notified = []
         for peer in c.peers.values():
@@ -337,7 +337,7 @@
 
 def test_a_state_service_outage_is_answered_with_retry_after() -> None:
     async def main() -> None:
-        handler, c = api()
+        handler, c = build_user_api()
 
         async def unavailable(*_: Any) -> Any:
             return 503, b"{}"
@@ -355,7 +355,7 @@
     """
     from clayport.membership.epoch import Epoch
 
-    handler, c = api()
+    handler, c = build_user_api()
     c.transition.begin_epoch(Epoch(3, {"c0": c.membership.incarnation}, 7))
     c.membership.serving, c.membership.records_loaded = True, True
     report = dict(REPORT)
@@ -374,14 +374,14 @@
     c.watermark.note_records_read(now)
     assert send() == 200
     peer = c.peers["c1"]
-    peer.last_heard_at, peer.epoch, peer.state_ok = now, 4, True
+    peer.last_heard_at, peer.epoch, peer.state_service_ok = now, 4, True
     assert send() == 200  # the state service answers, so the watch will report the new epoch
     c.store.last_failed_at, c.store.last_served_at = now + 1, now - 100
     assert send() == 421
     # If no peer is known to reach the state service, leases are renewed for as long as this
     # controller knows which cancellations users were told of, less the time that the leases
     # take to expire.
-    peer.state_ok = False
+    peer.state_service_ok = False
     for read_at, promised_at, status in (
         (now, -1e9, 200),
         (now - 23, -1e9, 200),
@@ -401,7 +401,7 @@
     """Otherwise the machine would be open for tasks until its silence is noticed."""
     from clayport.membership.epoch import Epoch
 
-    handler, c = api()
+    handler, c = build_user_api()
     c.transition.begin_epoch(Epoch(3, {"c0": c.membership.incarnation}, 7))
     c.membership.serving, c.membership.records_loaded = True, True
     c.watermark.note_records_read(time.monotonic())
@@ -415,7 +415,7 @@
 
 def test_a_malformed_value_fails_only_its_request() -> None:
     async def main() -> None:
-        handler, c = api()
+        handler, c = build_user_api()
 
         async def malformed(method: str, path: str, *_: Any) -> Any:
             if "/end/" in path:
@@ -430,7 +430,7 @@
 
 def test_the_largest_job_is_accepted_and_polled() -> None:
     async def main() -> None:
-        handler, _ = api()
+        handler, _ = build_user_api()
         raw = json.dumps(job(1, pieces=100_000)).encode()
         assert (await handler.handle("POST", "/api/jobs", raw))[0] == 201
         assert (await handler.handle("GET", "/api/jobs/j-000001", b""))[0] == 200
--- a/tests/test_real_restarts.py
+++ b/tests/test_real_restarts.py
@@ -24,7 +24,7 @@
 import pytest
 
 from clayport.transport import http as clayport_http
-from tests.test_program import GOOD
+from tests.test_program import VALID_SETTINGS
 from tests.world import State, World
 
 # Only one pytest process at a time may pick free ports, because another could take them.
@@ -109,9 +109,9 @@
     ports = {"bind": free_port(), "peer_bind": free_port()}
     services = FakeServices()
     services.thread.start()
-    cluster = {**GOOD["cluster"], "size": 1}
+    cluster = {**VALID_SETTINGS["cluster"], "size": 1}
     settings = {
-        **GOOD,
+        **VALID_SETTINGS,
         "members": [],
         "cluster": cluster,
         **{name: f"127.0.0.1:{port}" for name, port in ports.items()},
--- a/tests/transport/test_peer_requests.py
+++ b/tests/transport/test_peer_requests.py
@@ -14,7 +14,7 @@
 from clayport.peer_requests import HANDLERS
 from clayport.settings import parse
 from clayport.transport import frames
-from tests.test_program import GOOD
+from tests.test_program import VALID_SETTINGS
 
 REPLY_KINDS = {
     frames.PONG,
@@ -67,7 +67,7 @@
         raise AssertionError("the request was handled")
 
     monkeypatch.setitem(HANDLERS, kind, HANDLERS[kind]._replace(method=must_not_run))
-    c = Controller(parse(json.dumps(GOOD).encode()))
+    c = Controller(parse(json.dumps(VALID_SETTINGS).encode()))
     c.membership.epoch, c.membership.serving = (
         Epoch(epoch, {c.membership.label: c.membership.incarnation}, 1),
         serving,
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -107,11 +107,12 @@
     async def _run_duties(self, controller: Controller) -> None:
         """Run the controller's duties without its listeners until the controller crashes."""
         duties: list[Any] = [
-            await curio.spawn(controller.routines.duty, r, daemon=True) for r in controller.duties()
+            await curio.spawn(controller.routines.run_forever, r, daemon=True)
+            for r in controller.long_lived_routines()
         ]
         duties += [
             await curio.spawn(
-                controller.routines.duty,
+                controller.routines.run_forever,
                 controller.heartbeats.exchange_heartbeats,
                 peer,
                 daemon=True,
@@ -120,7 +121,7 @@
         ]
         duties += [
             await curio.spawn(
-                controller.routines.duty, controller.fleet.deliver_events, label, daemon=True
+                controller.routines.run_forever, controller.fleet.deliver_events, label, daemon=True
             )
             for label in self.labels
         ]
@@ -140,9 +141,9 @@
         if (
             controller.rebuild.recovery is not None
             and controller.rebuild.recovery.recorder is not None
-            and controller.rebuild.recovery.recorder.log
+            and controller.rebuild.recovery.recorder.change_log
         ):
-            controller.rebuild.recovery.recorder.log.close()
+            controller.rebuild.recovery.recorder.change_log.close()
 
         # Routines of the crashed controller that still run must have no further effect.
         async def never_answer(*_: Any, **__: Any) -> Any:
