--- a/bench/capacity/__main__.py
+++ b/bench/capacity/__main__.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from . import page, single, whole
-from .figures import Figure, Host, Slopes, pooled, read, write_slopes
+from .figures import Figure, Host, Slopes, pool_runs, read_slopes, write_slopes
 
 SLOPES_PATH = Path("docs/capacity/slopes.json")
 PAGE_PATH = Path("docs/CAPACITY.md")
@@ -72,9 +72,9 @@
 def update_page(check: bool) -> int:
     """Write the page's tables from the slopes, or check whether they are up to date."""
     try:
-        slopes = read(SLOPES_PATH)
+        slopes = read_slopes(SLOPES_PATH)
         text = PAGE_PATH.read_text(encoding="utf-8")
-        updated = page.renewed(text, slopes)
+        updated = page.rendered(text, slopes)
     except (OSError, msgspec.MsgspecError, KeyError, ValueError) as exc:
         print(f"cannot update the page: {exc!r}", file=sys.stderr)
         return 2
@@ -108,7 +108,7 @@
         return update_page(args.check)
     if args.pool:
         try:
-            write_slopes(args.output, pooled([read(path) for path in args.pool]))
+            write_slopes(args.output, pool_runs([read_slopes(path) for path in args.pool]))
         except (OSError, msgspec.MsgspecError, ValueError) as exc:
             print(f"cannot pool the runs: {exc}", file=sys.stderr)
             return 2
--- a/bench/capacity/figures.py
+++ b/bench/capacity/figures.py
@@ -40,7 +40,7 @@
         return self.figures[name].median
 
 
-def figure(unit: str, values: Sequence[float]) -> Figure:
+def summarize(unit: str, values: Sequence[float]) -> Figure:
     """Return the median and quartiles of repeated measurements."""
     if not values:
         raise ValueError("no measurement")
@@ -50,7 +50,7 @@
     return Figure(unit, median, lower, upper, len(values))
 
 
-def pooled(runs: Sequence[Slopes]) -> Slopes:
+def pool_runs(runs: Sequence[Slopes]) -> Slopes:
     """Combine runs into one: medians of their medians, and their outermost quartiles.
 
     The load of the machine shifts a whole run further than the repeats within the run show.
@@ -74,7 +74,7 @@
     return Slopes(first.measured_at, host, figures)
 
 
-def read(path: Path) -> Slopes:
+def read_slopes(path: Path) -> Slopes:
     """Read the slopes file; msgspec's error tells what is wrong with its content."""
     return msgspec.json.decode(path.read_bytes(), type=Slopes)
 
--- a/bench/capacity/model.py
+++ b/bench/capacity/model.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .figures import Slopes
-from .size import DAY_S, LIMITS, MIXES, QUOTA_PORTION_INTERVAL_S, SIZE, Layout
+from .size import DAY_S, JOB_SIZES, LIMITS, QUOTA_PORTION_INTERVAL_S, TARGET_SIZE, Layout
 
 MECHANISM_EXISTS, DESIGN_ONLY = "exists, not run at this size", "on paper"
 MEASURED_CONTROLLERS = 3  # controllers of the simulated world that was measured
@@ -22,20 +22,20 @@
     role: str
     resource: str
     unit: str
-    needed: tuple[float, ...]  # in the order of MIXES
+    demand: tuple[float, ...]  # in the order of JOB_SIZES
     limit: float
     carried_by: str
     state: str
 
     @property
-    def factor(self) -> float:
+    def lowest_load_ratio(self) -> float:
         """Demand divided by the limit, for the mix of jobs with the lowest demand."""
-        return min(self.needed) / self.limit
+        return min(self.demand) / self.limit
 
     @property
-    def worst(self) -> float:
+    def highest_load_ratio(self) -> float:
         """Demand divided by the limit, for the mix of jobs with the highest demand."""
-        return max(self.needed) / self.limit
+        return max(self.demand) / self.limit
 
 
 class Demand:
@@ -48,9 +48,9 @@
         self, slopes: Slopes, layout: Layout, job_size: int, team: str = "limited"
     ) -> None:
         self.slopes, self.layout, self.job_size, self.team = slopes, layout, job_size, team
-        self.starts = SIZE.starts_a_second / layout.cells
-        self.workers = SIZE.workers / layout.cells
-        self.running = SIZE.running_tasks / layout.cells
+        self.starts = TARGET_SIZE.starts_per_second / layout.cells
+        self.workers = TARGET_SIZE.workers / layout.cells
+        self.running = TARGET_SIZE.running_tasks / layout.cells
         self.live_jobs = self.running / job_size
 
     def day_slope(self, part: str, name: str, team: str = "") -> float:
@@ -177,12 +177,12 @@
         return self.layout.controllers * chunks / 1000 / LIMITS.state_requests
 
 
-def rows(slopes: Slopes, layout: Layout) -> list[Row]:
+def layout_rows(slopes: Slopes, layout: Layout) -> list[Row]:
     """Return the rows of all roles for one cell of a layout.
 
     The rows of an undivided fleet cover the whole fleet.
     """
-    mixes = [Demand(slopes, layout, tasks) for tasks in MIXES]
+    mixes = [Demand(slopes, layout, tasks) for tasks in JOB_SIZES]
     result = [
         *state_service_rows(mixes),
         *processor_rows(mixes),
@@ -312,7 +312,7 @@
 
 def memory_and_cloud_rows(mixes: list[Demand]) -> list[Row]:
     """Return the demand on memory, on loading a new epoch, and on the cloud."""
-    lost_per_second = (SIZE.failures_per_day + SIZE.replacements_per_day) / DAY_S
+    lost_per_second = (TARGET_SIZE.failures_per_day + TARGET_SIZE.replacements_per_day) / DAY_S
     return [
         existing_row(
             "controller",
@@ -359,9 +359,9 @@
 
 def cross_cell_rows(layout: Layout) -> list[Row]:
     """Return the traffic of all cells with the one service that spans them."""
-    portions = SIZE.teams * layout.cells / QUOTA_PORTION_INTERVAL_S
-    changes = SIZE.config_changes_per_day / DAY_S * layout.cells
-    mix_count = len(MIXES)
+    portions = TARGET_SIZE.teams * layout.cells / QUOTA_PORTION_INTERVAL_S
+    changes = TARGET_SIZE.config_changes_per_day / DAY_S * layout.cells
+    mix_count = len(JOB_SIZES)
     return [
         Row(
             "what spans regions",
@@ -394,7 +394,7 @@
         slopes.median(f"report.8_tasks.{part}") for part in ("bytes", "answer.bytes")
     )
     head_bytes = 60  # HTTP head of an answer
-    starts_per_worker = SIZE.starts_a_second / SIZE.workers
+    starts_per_worker = TARGET_SIZE.starts_per_second / TARGET_SIZE.workers
     yield "nothing changes", (report_bytes + head_bytes) / LIMITS.report_s
     yield (
         "its share of the peak, one report for each start and end",
@@ -403,34 +403,34 @@
     yield "all it may send, one report in half a second", (report_bytes + head_bytes) * 2.0
 
 
-def operations(slopes: Slopes) -> list[tuple[int, str, float, float, float, float]]:
+def state_operations(slopes: Slopes) -> list[tuple[int, str, float, float, float, float]]:
     """Return the state service operations of a start and an end, for each mix and team.
 
     Each row holds the tasks per job, the team, the puts and deletes of a start, of an end and of
     both, and at the peak their ratio to the limit of one state service.
     """
     result = []
-    for tasks in MIXES:
+    for tasks in JOB_SIZES:
         for team in ("limited", "free"):
-            demand = Demand(slopes, Layout("", 1, SIZE.control_machines), tasks, team)
+            demand = Demand(slopes, Layout("", 1, TARGET_SIZE.controller_machines), tasks, team)
             start = demand.day_slope("start", "state.operations")
             end = demand.day_slope("end", "state.operations")
-            peak = SIZE.starts_a_second * (start + end) / LIMITS.state_writes
+            peak = TARGET_SIZE.starts_per_second * (start + end) / LIMITS.state_writes
             result.append((tasks, team, start, end, start + end, peak))
     return result
 
 
 def failure_rates() -> dict[str, float]:
     """Return what a day's failures and replacements cause, as rates, counts and durations."""
-    lost_per_day = SIZE.failures_per_day + SIZE.replacements_per_day
-    lost_share = lost_per_day / SIZE.workers
-    controller_ends = lost_share * SIZE.control_machines
-    machines_per_zone = SIZE.workers / SIZE.zones
-    tasks_per_zone = SIZE.running_tasks / SIZE.zones
+    lost_per_day = TARGET_SIZE.failures_per_day + TARGET_SIZE.replacements_per_day
+    lost_share = lost_per_day / TARGET_SIZE.workers
+    controller_ends = lost_share * TARGET_SIZE.controller_machines
+    machines_per_zone = TARGET_SIZE.workers / TARGET_SIZE.zones
+    tasks_per_zone = TARGET_SIZE.running_tasks / TARGET_SIZE.zones
     return {
         "machines returned and rented a day": lost_per_day,
         "machines returned and rented an hour": lost_per_day / 24,
-        "tasks started again a day": lost_per_day * SIZE.running_tasks / SIZE.workers,
+        "tasks started again a day": lost_per_day * TARGET_SIZE.running_tasks / TARGET_SIZE.workers,
         "controllers that end a day (machines alike)": controller_ends,
         "epochs a day (two for each end)": 2 * controller_ends,
         "machines of a zone": machines_per_zone,
@@ -441,8 +441,9 @@
         "seconds to rent as many": machines_per_zone
         / LIMITS.rented_per_request
         / LIMITS.cloud_requests,
-        "configuration changes a second": SIZE.config_changes_per_day / DAY_S,
-        "jobs a second, a day's mean": SIZE.jobs_per_day / DAY_S,
-        "seconds for which a day's jobs last at the peak if each has one task": SIZE.jobs_per_day
-        / SIZE.starts_a_second,
+        "configuration changes a second": TARGET_SIZE.config_changes_per_day / DAY_S,
+        "jobs a second, a day's mean": TARGET_SIZE.jobs_per_day / DAY_S,
+        "seconds for which a day's jobs last at the peak if each has one task": (
+            TARGET_SIZE.jobs_per_day / TARGET_SIZE.starts_per_second
+        ),
     }
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -7,7 +7,16 @@
 
 from . import model
 from .figures import Slopes
-from .size import CELLS, LIMITS, MIXES, ONE_FLEET, PROCESS_CELLS, REGION_CELLS, SIZE, Layout
+from .size import (
+    CELLS,
+    JOB_SIZES,
+    LIMITS,
+    ONE_FLEET,
+    PROCESS_CELLS,
+    REGION_CELLS,
+    TARGET_SIZE,
+    Layout,
+)
 
 MARK = re.compile(r"(<!-- table: ([\w-]+) -->\n).*?(<!-- end -->)", re.DOTALL)
 
@@ -81,7 +90,7 @@
         ("poll", "a poll"),
         ("cancel", "a job's cancellation"),
     ):
-        for tasks in MIXES:
+        for tasks in JOB_SIZES:
             for team in ("limited", "free"):
                 prefix = f"{part}.{tasks}_task_jobs.{team}"
                 values = [
@@ -110,7 +119,7 @@
             "an end",
             "both",
             f"times one service's limit of {LIMITS.state_writes:g}/s",
-            f"times {SIZE.zones} services' limits",
+            f"times {TARGET_SIZE.zones} services' limits",
         ),
         (
             (
@@ -120,9 +129,9 @@
                 format_number(end),
                 format_number(both),
                 format_number(peak),
-                format_number(peak / SIZE.zones),
+                format_number(peak / TARGET_SIZE.zones),
             )
-            for tasks, team, start, end, both, peak in model.operations(slopes)
+            for tasks, team, start, end, both, peak in model.state_operations(slopes)
         ),
     )
 
@@ -133,7 +142,7 @@
         (
             "role",
             "resource",
-            *(f"{tasks}-task jobs" for tasks in MIXES),
+            *(f"{tasks}-task jobs" for tasks in JOB_SIZES),
             "limit",
             "times the limit",
             "carried by",
@@ -143,13 +152,14 @@
             (
                 row.role,
                 row.resource,
-                *map(format_number, row.needed),
+                *map(format_number, row.demand),
                 f"{format_number(row.limit)} {row.unit}".strip(),
-                f"{format_number(row.factor)} to {format_number(row.worst)}",
+                f"{format_number(row.lowest_load_ratio)}"
+                f" to {format_number(row.highest_load_ratio)}",
                 row.carried_by,
                 row.state,
             )
-            for row in model.rows(slopes, layout)
+            for row in model.layout_rows(slopes, layout)
         ),
     )
 
@@ -158,15 +168,15 @@
     """Return the table of rows over their limit, per layout, the highest ratios first."""
     rows = []
     for layout in (ONE_FLEET, REGION_CELLS, CELLS, PROCESS_CELLS):
-        exceeded = [row for row in model.rows(slopes, layout) if row.worst > 1]
-        exceeded.sort(key=lambda row: (row.factor, row.worst), reverse=True)
+        exceeded = [row for row in model.layout_rows(slopes, layout) if row.highest_load_ratio > 1]
+        exceeded.sort(key=lambda row: (row.lowest_load_ratio, row.highest_load_ratio), reverse=True)
         rows += [
             (
                 layout.name,
                 row.role,
                 row.resource,
-                format_number(row.factor),
-                format_number(row.worst),
+                format_number(row.lowest_load_ratio),
+                format_number(row.highest_load_ratio),
             )
             for row in exceeded
         ]
@@ -182,8 +192,8 @@
             (
                 what,
                 format_number(value),
-                format_number(SIZE.worker_bytes_per_second),
-                format_number(value / SIZE.worker_bytes_per_second),
+                format_number(TARGET_SIZE.worker_bytes_per_second),
+                format_number(value / TARGET_SIZE.worker_bytes_per_second),
             )
             for what, value in model.worker_traffic(slopes)
         ),
@@ -213,7 +223,7 @@
 }
 
 
-def renewed(text: str, slopes: Slopes) -> str:
+def rendered(text: str, slopes: Slopes) -> str:
     """Return the page with every generated table written anew.
 
     Raises:
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -20,7 +20,7 @@
 from clayport.transport.peers import Peer
 
 from . import fixtures, sockets
-from .figures import Figure, figure
+from .figures import Figure, summarize
 
 Figures = dict[str, Figure]
 
@@ -41,7 +41,7 @@
 def repeat(measure: Callable[[], float], unit: str = "s", repeats: int = REPEATS) -> Figure:
     """Return the figure of a repeated measurement; a first warm-up run does not count."""
     measure()
-    return figure(unit, [measure() for _ in range(repeats)])
+    return summarize(unit, [measure() for _ in range(repeats)])
 
 
 def processor_seconds(work: Callable[[], Any], count: int) -> float:
@@ -88,12 +88,12 @@
                 name = f"report.{tasks}_tasks{'.changed' if changing else ''}.seconds"
                 seconds.setdefault(name, []).append(case.seconds(changing))
     for name, values in seconds.items():
-        figures[name] = figure("s", values[1:])
+        figures[name] = summarize("s", values[1:])
     for tasks, case in cases.items():
         report = case.request(0, False)
         answer = sockets.exchange(case.server.sock, report)
-        figures[f"report.{tasks}_tasks.bytes"] = figure("bytes", [len(report)])
-        figures[f"report.{tasks}_tasks.answer.bytes"] = figure("bytes", [len(answer)])
+        figures[f"report.{tasks}_tasks.bytes"] = summarize("bytes", [len(report)])
+        figures[f"report.{tasks}_tasks.answer.bytes"] = summarize("bytes", [len(answer)])
     return figures
 
 
@@ -126,8 +126,8 @@
         lambda: sockets.http_client_seconds(60, body, EXCHANGES_PER_SAMPLE)
     )
     pairs = [sockets.peer_call_seconds(EXCHANGES_PER_SAMPLE) for _ in range(REPEATS + 1)][1:]
-    figures["exchange.peer.asking.seconds"] = figure("s", [asking for asking, _ in pairs])
-    figures["exchange.peer.answering.seconds"] = figure("s", [answer for _, answer in pairs])
+    figures["exchange.peer.asking.seconds"] = summarize("s", [asking for asking, _ in pairs])
+    figures["exchange.peer.answering.seconds"] = summarize("s", [answer for _, answer in pairs])
     return figures
 
 
@@ -193,7 +193,7 @@
             frames.decode_body(reply_kind, frames.encode(reply_kind, 1, reply_values)[header_size:])
 
     seconds = repeat(lambda: processor_seconds(lambda: curio.run(exchange_heartbeats), 100))
-    return seconds, figure("bytes", [len(frames.encode(frames.HEARTBEAT, 1, values))])
+    return seconds, summarize("bytes", [len(frames.encode(frames.HEARTBEAT, 1, values))])
 
 
 def owned_workers(owner: Controller, count: int) -> list[fixtures.WorkerStub]:
@@ -259,9 +259,9 @@
                 requester_s.append(time.process_time() - before - call_costs["answering"])
                 owner_s.append(call_costs["answering"])
             name = f"refresh.{fleet}_machines.{part}"
-            figures[f"{name}.asking.seconds"] = figure("s", requester_s[1:])
-            figures[f"{name}.answering.seconds"] = figure("s", owner_s[1:])
-            figures[f"{name}.bytes"] = figure("bytes", [call_costs["bytes"]])
+            figures[f"{name}.asking.seconds"] = summarize("s", requester_s[1:])
+            figures[f"{name}.answering.seconds"] = summarize("s", owner_s[1:])
+            figures[f"{name}.bytes"] = summarize("bytes", [call_costs["bytes"]])
     return figures
 
 
@@ -269,7 +269,7 @@
     """Measure a job's placement by fleet size, and a placer's pass by number of waiting jobs."""
     figures: Figures = {}
     for fleet in DECISION_FLEET_SIZES:
-        figures[f"decision.{fleet}_machines.seconds"] = figure(
+        figures[f"decision.{fleet}_machines.seconds"] = summarize(
             "s",
             [
                 placement.time_rounds(20, fleet, True, clock=time.process_time) / 20
@@ -288,8 +288,8 @@
         figures[f"demand.{job_count}_waiting.seconds"] = repeat(
             lambda controller=controller: processor_seconds(controller.placer.demand, 1)
         )
-        figures[f"pass.{job_count}_waiting.first.seconds"] = figure("s", [first_s])
-        figures[f"pass.{job_count}_waiting.later.seconds"] = figure("s", later_s)
+        figures[f"pass.{job_count}_waiting.first.seconds"] = summarize("s", [first_s])
+        figures[f"pass.{job_count}_waiting.later.seconds"] = summarize("s", later_s)
     return figures
 
 
@@ -339,10 +339,10 @@
     rooms = passes.fleets.random_rooms(MEMORY_UNITS + 1, random.Random(1))
     one_task, nine_tasks = bytes_per_unit(machine(1), 500), bytes_per_unit(machine(9), 500)
     return {
-        "memory.live_job.bytes": figure("bytes", [bytes_per_unit(live_job, leader="host-1")]),
-        "memory.live_job.at_home.bytes": figure("bytes", [bytes_per_unit(live_job)]),
-        "memory.ended_job.bytes": figure("bytes", [bytes_per_unit(ended_job)]),
-        "memory.machine.owned.bytes": figure("bytes", [bytes_per_unit(machine(0), 500)]),
-        "memory.task.owned.bytes": figure("bytes", [(nine_tasks - one_task) / 8]),
-        "memory.room.bytes": figure("bytes", [bytes_per_unit(room)]),
+        "memory.live_job.bytes": summarize("bytes", [bytes_per_unit(live_job, leader="host-1")]),
+        "memory.live_job.at_home.bytes": summarize("bytes", [bytes_per_unit(live_job)]),
+        "memory.ended_job.bytes": summarize("bytes", [bytes_per_unit(ended_job)]),
+        "memory.machine.owned.bytes": summarize("bytes", [bytes_per_unit(machine(0), 500)]),
+        "memory.task.owned.bytes": summarize("bytes", [(nine_tasks - one_task) / 8]),
+        "memory.room.bytes": summarize("bytes", [bytes_per_unit(room)]),
     }
--- a/bench/capacity/size.py
+++ b/bench/capacity/size.py
@@ -14,7 +14,7 @@
     running_tasks: int = 240_000
     gang_tasks: int = 512
     jobs_per_day: int = 270_000
-    starts_a_second: float = 14_000.0
+    starts_per_second: float = 14_000.0
     teams: int = 270
     urgent_s: float = 1.6
     regions: int = 6
@@ -24,7 +24,7 @@
     worker_core: float = 0.031
     worker_mb: float = 64.0
     worker_bytes_per_second: float = 7_000.0
-    control_machines: int = 47
+    controller_machines: int = 47
     failures_per_day: int = 170
     replacements_per_day: int = 1_900
 
@@ -66,17 +66,23 @@
     controllers_per_machine: int = 1
 
 
-SIZE = TargetSize()
+TARGET_SIZE = TargetSize()
 LIMITS = Limits()
-ONE_FLEET = Layout("one fleet", 1, SIZE.control_machines)
+ONE_FLEET = Layout("one fleet", 1, TARGET_SIZE.controller_machines)
 # 47 controller machines give two to each of the 19 cells, and nine are left over.
-CELLS = Layout("a cell for each zone", SIZE.zones, SIZE.control_machines // SIZE.zones)
+CELLS = Layout(
+    "a cell for each zone", TARGET_SIZE.zones, TARGET_SIZE.controller_machines // TARGET_SIZE.zones
+)
 PROCESS_CELLS = Layout("a cell for each zone, three controllers a machine", CELLS.cells, 6, 3)
-REGION_CELLS = Layout("a cell for each region", SIZE.regions, SIZE.control_machines // SIZE.regions)
+REGION_CELLS = Layout(
+    "a cell for each region",
+    TARGET_SIZE.regions,
+    TARGET_SIZE.controller_machines // TARGET_SIZE.regions,
+)
 # Interval at which a cell requests or returns a portion of a team's quota. Such portions are a
 # design that is not implemented.
 QUOTA_PORTION_INTERVAL_S = 60.0
 # Numbers of tasks per job. The cost of a start depends on which of them the peak consists of, and
 # the target size does not specify that. With one-task jobs, the peak rate would use up
 # `jobs_per_day` within seconds.
-MIXES = (100, 10, 1)
+JOB_SIZES = (100, 10, 1)
--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -25,7 +25,7 @@
 from tests.world import Clock, job, simulate
 
 from .counted_world import CountedWorld
-from .figures import Figure, figure
+from .figures import Figure, summarize
 from .sampler import Sampler
 
 Figures = dict[str, Figure]
@@ -155,14 +155,14 @@
     ]
 
 
-class Day:
+class SimulatedDay:
     """A simulated day of equal jobs of one team, which has a quota or none."""
 
     def __init__(self, seed: int, tasks: int, team: str, monkeypatch: pytest.MonkeyPatch) -> None:
         self.seed, self.tasks, self.team, self.monkeypatch = seed, tasks, team, monkeypatch
-        self.found: dict[str, dict[str, float]] = {}
+        self.costs_by_part: dict[str, dict[str, float]] = {}
 
-    async def play(self, clock: Clock) -> None:
+    async def run(self, clock: Clock) -> None:
         """Run all parts of the day in order."""
         world = CountedWorld(clock, CONTROLLER_COUNT, self.monkeypatch)
         world.rng.seed(self.seed)
@@ -182,7 +182,7 @@
             half = len(job_ids) // 2
             await self._end(world, meter, job_ids[:half])
             await self._cancel(world, meter, job_ids[half:])
-        self.found["quiet"] = {**meter.baseline, "seconds": meter.baseline_processor_s}
+        self.costs_by_part["quiet"] = {**meter.baseline, "seconds": meter.baseline_processor_s}
 
     async def _start(self, world: CountedWorld, meter: Meter) -> list[str]:
         """Measure jobs from their submission until the workers report all tasks running."""
@@ -194,7 +194,7 @@
             await curio.sleep(SPACING_S * self.tasks)
         await wait_until(world, lambda: len(running_tasks(world)) == TOTAL_TASKS)
         await curio.sleep(5.0)
-        self.found["start"] = meter.cost(start, TOTAL_TASKS)
+        self.costs_by_part["start"] = meter.cost(start, TOTAL_TASKS)
         return job_ids
 
     async def _poll(self, world: CountedWorld, meter: Meter, job_ids: list[str]) -> None:
@@ -207,7 +207,7 @@
                 await curio.spawn(world.user, label, "GET", f"/api/jobs/{job_id}", daemon=True)
                 await curio.sleep(SPACING_S)
         await curio.sleep(2.0)
-        self.found["poll"] = meter.cost(start, rounds * len(job_ids))
+        self.costs_by_part["poll"] = meter.cost(start, rounds * len(job_ids))
 
     async def _end(self, world: CountedWorld, meter: Meter, job_ids: list[str]) -> None:
         """Measure tasks that complete one by one, until their jobs' final records are written."""
@@ -224,7 +224,7 @@
             world, lambda: all(f"end/{job_id}" in world.state.keys for job_id in job_ids)
         )
         await curio.sleep(5.0)
-        self.found["end"] = meter.cost(start, len(selected))
+        self.costs_by_part["end"] = meter.cost(start, len(selected))
 
     async def _cancel(self, world: CountedWorld, meter: Meter, job_ids: list[str]) -> None:
         """Measure the cancellation of the other jobs, until their tasks are gone."""
@@ -234,7 +234,7 @@
             await curio.sleep(SPACING_S * self.tasks)
         await wait_until(world, lambda: not running_tasks(world))
         await curio.sleep(5.0)
-        self.found["cancel"] = meter.cost(start, len(job_ids))
+        self.costs_by_part["cancel"] = meter.cost(start, len(job_ids))
 
 
 def jobs() -> Figures:
@@ -243,15 +243,15 @@
     for tasks, team in itertools.product(MEASURED_JOB_SIZES, ("limited", "free")):
         for seed in range(SEED_COUNT):
             with pytest.MonkeyPatch.context() as monkeypatch:
-                settings(monkeypatch)
-                day = Day(seed, tasks, team, monkeypatch)
-                simulate(monkeypatch, day.play)
-            for part, costs in day.found.items():
+                patch_settings(monkeypatch)
+                day = SimulatedDay(seed, tasks, team, monkeypatch)
+                simulate(monkeypatch, day.run)
+            for part, costs in day.costs_by_part.items():
                 for name, value in costs.items():
                     values_by_figure.setdefault(
                         f"{part}.{tasks}_task_jobs.{team}.{name}", []
                     ).append(value)
-    return {name: figure(figure_unit(name), values) for name, values in values_by_figure.items()}
+    return {name: summarize(figure_unit(name), values) for name, values in values_by_figure.items()}
 
 
 def figure_unit(name: str) -> str:
@@ -265,7 +265,7 @@
     await curio.sleep(FOREVER_S)
 
 
-def settings(monkeypatch: pytest.MonkeyPatch) -> None:
+def patch_settings(monkeypatch: pytest.MonkeyPatch) -> None:
     """Replace the tests' settings by a large deployment's limits and stop renting."""
     monkeypatch.setattr(Provisioner, "run", skip_renting)
     monkeypatch.setitem(simulated.SETTINGS, "state", STATE_LIMITS)
@@ -307,11 +307,11 @@
         results = []
         for _ in range(SEED_COUNT):
             with pytest.MonkeyPatch.context() as monkeypatch:
-                settings(monkeypatch)
+                patch_settings(monkeypatch)
                 load = EpochLoad(live_jobs, monkeypatch)
                 simulate(monkeypatch, load.run)
             results.append(load)
         name = f"load.{live_jobs}_live_jobs"
-        figures[f"{name}.seconds"] = figure("s", [load.seconds for load in results])
-        figures[f"{name}.bytes"] = figure("bytes", [load.bytes_read for load in results])
+        figures[f"{name}.seconds"] = summarize("s", [load.seconds for load in results])
+        figures[f"{name}.bytes"] = summarize("bytes", [load.bytes_read for load in results])
     return figures
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -51,9 +51,9 @@
         if (
             previous is not None
             and previous != worker.name
-            and key[0] in (k[0] for k in self.workers[previous].on())
+            and key[0] in (k[0] for k in self.workers[previous].occupying_tasks())
         ):
-            self.broken.append(f"ran_twice {key[0]} on {worker.name} and {previous}")
+            self.violations.append(f"ran_twice {key[0]} on {worker.name} and {previous}")
         self.running_on[key[0]] = worker.name
 
     def cloud(self, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -157,7 +157,7 @@
     )
     lost_at, processor_before = clock(), time.process_time()
     world.state.outage(lost_at, 3.0)
-    world.state.lose(1e9)
+    world.state.roll_back(1e9)
     for worker in list(world.workers.values())[:20]:
         for task in worker.tasks.values():
             task.until = lost_at + 1.0  # so that waiting tasks can be launched
@@ -206,7 +206,7 @@
         f"longest without an answer that renews a lease: {longest_unanswered_s:.1f} s; "
         "leases ended: "
         f"{sum(w.session > 1 for w in world.workers.values())}; rules broken: "
-        f"{len(world.broken)}; live jobs "
+        f"{len(world.violations)}; live jobs "
         f"{sum(key.startswith('c/live/') for key in world.state.keys)} of {args.jobs}"
     )
 
--- a/clayport/machines/health.py
+++ b/clayport/machines/health.py
@@ -8,7 +8,7 @@
 
 log = logging.getLogger(__name__)
 
-# The most jobs that are kept in each of `failing_jobs` and `healthy_jobs`.
+# The most jobs that are kept in each of `jobs_at_fault` and `healthy_jobs`.
 MAX_JUDGED_JOBS = 1000
 # A machine is unhealthy after errors of this many jobs, or after this many errors of one job
 # that runs well on other machines.
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -266,7 +266,7 @@
 
     async def main(clock: Clock) -> Any:
         world = World(clock, 1, 2)
-        world.old.add("c1")
+        world.old_version_controllers.add("c1")
         for label in world.labels:
             await world.start(label)
         await curio.sleep(20.0)
@@ -277,7 +277,7 @@
             await world.crash("c1")
             await curio.sleep(2.0)
             if not old:
-                world.old.clear()
+                world.old_version_controllers.clear()
             await world.start("c1")
             await curio.sleep(20.0)
             assert [c.upgrade.complete for c in world.controllers.values()] == [not old] * 2
@@ -328,7 +328,7 @@
         assert set(ends.values()) == {"cancelled"} and len(ends) == len(world.accepted)
         return world
 
-    assert simulate(monkeypatch, main).broken == []
+    assert simulate(monkeypatch, main).violations == []
 
 
 def test_a_lost_watch_event_delays_a_dependent_for_a_bounded_time(
--- a/tests/rebuild/test_rebuild.py
+++ b/tests/rebuild/test_rebuild.py
@@ -14,7 +14,7 @@
 import curio
 import pytest
 
-from tests.system.test_model import JOBS, JOBS_A_DAY, until_over, work
+from tests.system.test_model import JOBS, JOBS_A_DAY, submit_daily_jobs, wait_until_jobs_end
 from tests.world import Clock, World, job, simulate
 
 Loss = Callable[[World], Any]
@@ -60,12 +60,12 @@
         if number in at:
             await curio.spawn(lose, world, loss, outage_s, controllers_crash, daemon=True)
 
-    await work(world, after_submit)
-    return await until_over(world)
+    await submit_daily_jobs(world, after_submit)
+    return await wait_until_jobs_end(world)
 
 
 def lose_last(seconds: float) -> Loss:
-    return lambda world: world.state.lose(seconds)
+    return lambda world: world.state.roll_back(seconds)
 
 
 def lose_prefix(name: str) -> Loss:
@@ -74,9 +74,10 @@
 
 def unfinished_jobs(world: World) -> dict[str, Any]:
     return {
-        i: world.told.get(i)
+        i: world.last_status.get(i)
         for i in world.accepted
-        if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
+        if world.jobs[i]["shape"] != "daemon"
+        and world.last_status.get(i) not in ("done", "cancelled")
     }
 
 
@@ -104,7 +105,7 @@
     outage_s: float,
 ) -> None:
     world = simulate(monkeypatch, lambda clock: day_with_losses(clock, seed, loss, outage_s, False))
-    assert world.broken == []
+    assert world.violations == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
@@ -159,32 +160,32 @@
 async def controller_disconnected(world: World, loss: Loss) -> None:
     """A controller is disconnected during the rebuild and reconnects with old evidence."""
     label = world.rng.choice(world.labels)
-    world.cut.add(label)
+    world.partitioned.add(label)
     await curio.sleep(world.rng.uniform(0.2, 3.0))
     await lose(world, loss)
     await curio.sleep(world.rng.uniform(5.0, 30.0))
-    world.cut.discard(label)
+    world.partitioned.discard(label)
 
 
 async def delayed_commits(world: World, loss: Loss) -> None:
     """Commits that were sent before the loss arrive after the rebuild."""
     label = world.rng.choice(world.labels)
     world.hold_s = (3.0, 30.0)
-    world.cut.add(f"{label}>state")
+    world.partitioned.add(f"{label}>state")
     await curio.sleep(world.rng.uniform(0.5, 2.0))
     await lose(world, loss)
     await curio.sleep(world.rng.uniform(1.0, 8.0))
-    world.cut.discard(f"{label}>state")
+    world.partitioned.discard(f"{label}>state")
 
 
 async def machines_disconnected(world: World, loss: Loss) -> None:
     """Machines can't be asked for their tasks while the controller that knew them is down."""
     machines = sorted(world.workers)
     disconnected = world.rng.sample(machines, min(2, len(machines)))
-    world.cut.update(disconnected)
+    world.partitioned.update(disconnected)
     await controller_restarts(world, loss)
     await curio.sleep(world.rng.uniform(3.0, 20.0))
-    world.cut.difference_update(disconnected)
+    world.partitioned.difference_update(disconnected)
 
 
 SCENARIOS: list[Scenario] = [
@@ -212,7 +213,7 @@
         if number == at:
             await curio.spawn(scenario, world, loss, daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 3.0))
-    return await until_over(world)
+    return await wait_until_jobs_end(world)
 
 
 FEWER_LOSSES = [(name, loss) for name, loss in LOSSES if name in ("0.5 s", "5 s", "all", "run/")]
@@ -234,7 +235,7 @@
     world = simulate(
         monkeypatch, lambda clock: day_with_scenario(clock, seed, scenario, loss, controllers)
     )
-    assert world.broken == []
+    assert world.violations == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
@@ -250,7 +251,7 @@
     """
     world = simulate(monkeypatch, lambda clock: day_with_losses(clock, seed, loss, 3.0, True))
     safety_rules = ("ran_twice", "quota", "wrong_place", "ran_cancelled", "invented", "not_done")
-    assert [b for b in world.broken if b.startswith(safety_rules)] == []
+    assert [b for b in world.violations if b.startswith(safety_rules)] == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
 
 
@@ -276,7 +277,7 @@
     world = simulate(
         monkeypatch, lambda clock: day_with_losses(clock, seed, loss, 3.0, True, disks=tmp_path)
     )
-    assert world.broken == [] and world.lost == set()
+    assert world.violations == [] and world.lost == set()
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY and unfinished_jobs(world) == {}
 
@@ -298,20 +299,20 @@
     world.jobs[value["id"]], world.run_s[value["id"]] = value, 5.0
     world.results[value["id"]] = set()
     links = {"c1>state", "c2>state"}
-    world.cut.update(links)
+    world.partitioned.update(links)
     await curio.sleep(0.5)
     answers = [(await world.user("c0", "POST", "/api/jobs", value))[0]]
     await curio.sleep(1.0)
-    world.cut.difference_update(links)
+    world.partitioned.difference_update(links)
     if not second_copy:
-        world.state.lose(2.0)
+        world.state.roll_back(2.0)
         await world.crash("c0")
         await curio.sleep(15.0)
         answers.append((await world.user("c1", "GET", "/api/jobs/j-000002"))[0])
         return answers, world
     await curio.sleep(3.0)
     answers.append((await world.user("c0", "POST", "/api/jobs", value))[0])
-    world.state.lose(0.05)
+    world.state.roll_back(0.05)
     await world.crash("c0")
     await curio.sleep(15.0)
     answers.append((await world.user("c1", "GET", "/api/jobs/j-000002"))[0])
@@ -325,4 +326,4 @@
     answers, world = simulate(
         monkeypatch, lambda clock: submit_known_to_one_controller(clock, second_copy)
     )
-    assert answers == expected and world.broken == []
+    assert answers == expected and world.violations == []
--- a/tests/rebuild/test_snapshots.py
+++ b/tests/rebuild/test_snapshots.py
@@ -199,7 +199,7 @@
         await commands.restore_snapshot(controller_settings, directory, True)
     for label in world.labels:
         await world.crash(label)
-    world.state.lose(1e6)
+    world.state.roll_back(1e6)
     assert (
         await commands.restore_snapshot(controller_settings, directory, False) == 0
         and world.state.keys == {}
@@ -209,10 +209,10 @@
     for label in world.labels:
         await world.start(label)
     end = clock() + 200.0
-    while clock() < end and not world.broken:
+    while clock() < end and not world.violations:
         await curio.sleep(2.0)
         if all(
-            world.told.get(i) == "done"
+            world.last_status.get(i) == "done"
             for i in world.accepted
             if world.jobs[i]["shape"] != "daemon"
         ):
@@ -225,9 +225,11 @@
     world = simulate(
         monkeypatch, lambda clock: crash_and_restore(clock, tmp_path, monkeypatch, lines)
     )
-    assert world.broken == [] and len(world.accepted) == 8
+    assert world.violations == [] and len(world.accepted) == 8
     assert all(
-        world.told.get(i) == "done" for i in world.accepted if world.jobs[i]["shape"] != "daemon"
+        world.last_status.get(i) == "done"
+        for i in world.accepted
+        if world.jobs[i]["shape"] != "daemon"
     )
     assert any("nothing written" in line for line in lines)
 
--- a/tests/system/test_answers.py
+++ b/tests/system/test_answers.py
@@ -7,9 +7,15 @@
 import curio
 import pytest
 
-from tests.system.test_meetings import Scene, cut_leader, held_up, late_writes, there_and_back
-from tests.system.test_model import until_over, work
-from tests.system.test_restarts import again
+from tests.system.test_meetings import (
+    FaultScenario,
+    delay_unanswered_writes,
+    exclude_and_restart_all,
+    isolate_from_store_and_peers,
+    violations_and_unserved_jobs,
+)
+from tests.system.test_model import submit_daily_jobs, wait_until_jobs_end
+from tests.system.test_restarts import restart_controller
 from tests.world import Clock, World, simulate
 
 OUTAGE_S = 12.0
@@ -21,7 +27,7 @@
     """A simulated day: what the users do, and which faults occur."""
 
     name: str
-    scenes: tuple[Scene, ...] = ()
+    scenes: tuple[FaultScenario, ...] = ()
     with_bursts: bool = False
     cancel_at_once: float = 0.0
     with_odd_requests: bool = False
@@ -34,7 +40,7 @@
     """Restart random controllers, one after another."""
     for _ in range(6):
         await curio.sleep(world.rng.uniform(2.0, 8.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
 
 
 async def outages(world: World) -> None:
@@ -64,7 +70,7 @@
     }
 
 
-def act_around_ends(action: str) -> Scene:
+def act_around_ends(action: str) -> FaultScenario:
     """Return a scene in which users query, resubmit or cancel jobs as their last tasks end."""
 
     async def act_at_end(world: World, name: str, at: float) -> None:
@@ -120,9 +126,9 @@
         for scene, controllers in (
             (restarts, 3),
             (outages, 5),
-            (late_writes, 3),
-            (there_and_back, 5),
-            (cut_leader, 3),
+            (delay_unanswered_writes, 3),
+            (exclude_and_restart_all, 5),
+            (isolate_from_store_and_peers, 3),
         )
     ),
     # Fails if nothing is refused, or if the queries about one job are never answered.
@@ -130,8 +136,8 @@
     # Both fail if a submission lacks the condition that no final record exists.
     Row("odd requests while restarts", (restarts,), with_odd_requests=True),
     Row(
-        "odd requests while there_and_back",
-        (there_and_back,),
+        "odd requests while exclude_and_restart_all",
+        (exclude_and_restart_all,),
         with_odd_requests=True,
         controllers=5,
     ),
@@ -147,20 +153,20 @@
     world.slow_s = world.watch_delay_s = row.slow_s
     await world.open()
     troubles = [await curio.spawn(scene, world, daemon=True) for scene in row.scenes]
-    await work(world)
+    await submit_daily_jobs(world)
     for trouble in troubles:
         await trouble.join()
     world.late_writes = world.slow_s = 0.0
-    world.cut.clear()
+    world.partitioned.clear()
     world.state.refused.clear()
-    world.calm_at = clock()
-    return await until_over(world)
+    world.faults_end_at = clock()
+    return await wait_until_jobs_end(world)
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: f"{row.name}-{row.controllers}-{row.seed}")
 def test_no_controller_gives_an_older_answer(monkeypatch: pytest.MonkeyPatch, row: Row) -> None:
     world = simulate(monkeypatch, lambda clock: day(clock, row))
-    assert held_up(world) == []
+    assert violations_and_unserved_jobs(world) == []
     assert (world.burst_query_count > 100) == row.with_bursts and (
         world.odd_request_count > 50
     ) == row.with_odd_requests
--- a/tests/system/test_meetings.py
+++ b/tests/system/test_meetings.py
@@ -10,9 +10,9 @@
 import pytest
 
 from clayport.machines.machine import SENT
-from tests.system.test_model import JOBS_A_DAY, until_over, work
-from tests.system.test_restarts import again
-from tests.troubles import CANCEL_S, LEASE_S, LONG_S, busiest, last_missed_s
+from tests.system.test_model import JOBS_A_DAY, submit_daily_jobs, wait_until_jobs_end
+from tests.system.test_restarts import restart_controller
+from tests.troubles import CANCEL_S, LEASE_S, LONG_S, busiest, time_to_recover_s
 from tests.world import Clock, World, job, simulate
 
 KINDS: dict[str, dict[str, Any]] = {
@@ -50,7 +50,7 @@
 async def wait_for_tasks(world: World, wanted: int) -> None:
     """Wait until so many tasks are on machines."""
     end = world.clock() + 120.0
-    while sum(len(w.on()) for w in world.workers.values()) < wanted:
+    while sum(len(w.occupying_tasks()) for w in world.workers.values()) < wanted:
         await curio.sleep(0.5)
         assert world.clock() < end, "the tasks were not placed in time"
 
@@ -62,11 +62,11 @@
     """
     epoch = next(iter(world.controllers.values())).membership.epoch
     for name in sorted(world.accepted - set(world.cancelled)):
-        if world.kinds[name] != row.kind:
+        if world.job_groups[name] != row.kind:
             continue
         leader = epoch.member_for(name)
         for worker in world.workers.values():
-            if not any(k[0].startswith(name + "/") for k in worker.on()):
+            if not any(k[0].startswith(name + "/") for k in worker.occupying_tasks()):
                 continue
             owner = epoch.member_for(worker.name)
             others = [x for x in world.labels if x != owner]
@@ -111,39 +111,39 @@
         await world.crash(confirmer)
     elif message_loss == "cut, then crash":
         await world.crash(confirmer)
-        world.cut.discard(f"{confirmer}>{refused}")
+        world.partitioned.discard(f"{confirmer}>{refused}")
     elif message_loss == "cut in two steps":
-        world.cut.add(f"{refused}>{confirmer}")
+        world.partitioned.add(f"{refused}>{confirmer}")
     elif message_loss == "confirmer cut off":
-        world.cut.add(confirmer)
+        world.partitioned.add(confirmer)
 
 
-async def launching(world: World) -> tuple[str, str, str]:
+async def job_with_delayed_launch(world: World) -> tuple[str, str, str]:
     """Return a job whose start is committed while its launch command is delayed for long, the
     sender of the command and another controller."""
     refused, confirmer = "c0", "c1"
-    world.held.add(refused)
+    world.held_senders.add(refused)
     world.hold_s = (20.0, 60.0)
     for number in range(100, 112):
-        world.kinds[job(number)["id"]] = "launch"
+        world.job_groups[job(number)["id"]] = "launch"
         await curio.spawn(world.submit, job(number, vcpus=0.5, guess_s=LONG_S), LONG_S, daemon=True)
     end = world.clock() + 20.0
     while world.clock() < end:
         await curio.sleep(0.05)
         for m in world.controllers[refused].machines.machines.values():
             for (task, _), desired in m.desired.items():
-                if world.kinds[task.partition("/")[0]] == "launch" and desired.phase == SENT:
+                if world.job_groups[task.partition("/")[0]] == "launch" and desired.phase == SENT:
                     return task.partition("/")[0], refused, confirmer
     raise AssertionError("the refused controller sent no launch")
 
 
-async def fill(world: World) -> None:
+async def start_long_jobs(world: World) -> None:
     """Open the world and start long jobs of each kind, with all tasks on machines."""
     await world.open()
     for number in range(24):
         kind = sorted(KINDS)[number % len(KINDS)]
         value = job(number, **{"vcpus": 0.5, "guess_s": LONG_S, **KINDS[kind]})
-        world.kinds[value["id"]] = kind
+        world.job_groups[value["id"]] = kind
         await curio.spawn(world.submit, value, LONG_S, daemon=True)
     await wait_for_tasks(world, 48)
     await curio.sleep(10.0)
@@ -151,14 +151,16 @@
 
 async def simulate_gap(clock: Clock, row: Gap, seed: int = 41) -> World:
     world = World(clock, seed, row.controllers)
-    await fill(world)
+    await start_long_jobs(world)
     for _ in range(row.times):
         name, refused, confirmer = (
-            choose_roles(world, row) if row.kind != "launch" else await launching(world)
+            choose_roles(world, row)
+            if row.kind != "launch"
+            else await job_with_delayed_launch(world)
         )
         world.state.refused.add(refused)
         if row.message_loss == "isolated":
-            world.cut |= {
+            world.partitioned |= {
                 f"{a}>{b}"
                 for a in world.labels
                 for b in world.labels
@@ -166,9 +168,9 @@
             }
         await curio.sleep(row.refused_s)
         if row.message_loss in ("cut in two steps", "cut, then crash"):
-            world.cut.add(f"{confirmer}>{refused}")
+            world.partitioned.add(f"{confirmer}>{refused}")
         if row.message_loss == "cut":
-            world.cut.update({f"{confirmer}>{refused}", f"{refused}>{confirmer}"})
+            world.partitioned.update({f"{confirmer}>{refused}", f"{refused}>{confirmer}"})
         await curio.ignore_after(30.0, confirm_cancellation, world, row, name, confirmer)
         assert name in world.cancelled, "no answer confirmed the cancellation"
         world.state.outage(clock(), row.outage_s)
@@ -178,7 +180,7 @@
             await world.start(confirmer)
         await curio.sleep(row.outage_s)
         world.state.refused.clear()
-        world.cut.clear()
+        world.partitioned.clear()
         await curio.sleep(30.0)
     return world
 
@@ -241,7 +243,7 @@
     monkeypatch: pytest.MonkeyPatch, row: Gap
 ) -> None:
     world = simulate(monkeypatch, lambda clock: simulate_gap(clock, row))
-    assert world.broken == []
+    assert world.violations == []
 
 
 async def outage_without_cancellation(
@@ -249,7 +251,7 @@
 ) -> World:
     """Simulate a long outage without a cancellation, in which some controllers restart."""
     world = World(clock, 43, controllers)
-    await fill(world)
+    await start_long_jobs(world)
     world.state.outage(clock(), 3 * CANCEL_S)
     await curio.sleep(5.0)
     for number in restarted:
@@ -288,14 +290,14 @@
         monkeypatch,
         lambda clock: outage_without_cancellation(clock, controllers, restarted, restart_after_s),
     )
-    assert world.broken == []
+    assert world.violations == []
     assert all(w.session == 1 for w in world.workers.values() if not w.gone) == leases_kept
 
 
-Scene = Callable[[World], Coroutine[Any, Any, None]]
+FaultScenario = Callable[[World], Coroutine[Any, Any, None]]
 
 
-async def cut_leader(world: World) -> None:
+async def isolate_from_store_and_peers(world: World) -> None:
     """1: a controller loses the state service and its peers, but not its workers and users."""
     for _ in range(2):
         label = world.rng.choice(world.labels)
@@ -304,13 +306,13 @@
             *(f"{label}>{x}" for x in world.labels if x != label),
             *(f"{x}>{label}" for x in world.labels if x != label),
         }
-        world.cut |= lost
+        world.partitioned |= lost
         await curio.sleep(world.rng.uniform(15.0, 60.0))
-        world.cut -= lost
+        world.partitioned -= lost
         await curio.sleep(world.rng.uniform(3.0, 10.0))
 
 
-async def there_and_back(world: World) -> None:
+async def exclude_and_restart_all(world: World) -> None:
     """2: a controller is left out of the epoch and returns, then all controllers restart, one
     before the others."""
     for _ in range(3):
@@ -330,10 +332,10 @@
 
 async def spread_task_ends(world: World) -> None:
     """3: the tasks of a job end far apart, and its leader changes between them."""
-    world.apart = 1.5
+    world.run_time_spread = 1.5
     for _ in range(6):
         await curio.sleep(world.rng.uniform(3.0, 9.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
 
 
 async def repeat_reports(world: World) -> None:
@@ -341,7 +343,7 @@
     world.late_reports = 0.4
     for _ in range(5):
         await curio.sleep(world.rng.uniform(3.0, 12.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
         for worker in world.workers.values():
             if world.rng.random() < 0.1:
                 worker.hung_until = world.clock() + world.rng.uniform(5.0, 14.0)
@@ -352,21 +354,21 @@
     world.hold_s = (2.0, 15.0)
     for _ in range(6):
         label = world.rng.choice(world.labels)
-        world.held.add(label)
+        world.held_senders.add(label)
         for worker in world.workers.values():
             if world.rng.random() < 0.3:
                 worker.hung_until = world.clock() + world.rng.uniform(2.0, 9.0)
         await curio.sleep(world.rng.uniform(2.0, 6.0))
-        world.held.discard(label)
+        world.held_senders.discard(label)
         await curio.sleep(world.rng.uniform(1.0, 4.0))
 
 
-async def late_writes(world: World) -> None:
+async def delay_unanswered_writes(world: World) -> None:
     """6: transactions without an answer are applied after newer ones."""
     world.late_writes = 0.25
     for _ in range(5):
         await curio.sleep(world.rng.uniform(2.0, 10.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
 
 
 async def slow_then_outage(world: World) -> None:
@@ -386,56 +388,62 @@
     for _ in range(3):
         names = sorted(n for n, w in world.workers.items() if w.alive())
         chosen = set(world.rng.sample(names, len(names) // 4))
-        (world.deaf if world.rng.random() < 0.6 else world.cut).update(chosen)
+        (world.replies_blocked if world.rng.random() < 0.6 else world.partitioned).update(chosen)
         await curio.sleep(world.rng.uniform(0.5, 4.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
         await curio.sleep(world.rng.uniform(5.0, 20.0))
-        world.deaf.clear()
-        world.cut.clear()
+        world.replies_blocked.clear()
+        world.partitioned.clear()
 
 
-SCENES: list[Scene] = [
-    cut_leader,
-    there_and_back,
+SCENES: list[FaultScenario] = [
+    isolate_from_store_and_peers,
+    exclude_and_restart_all,
     spread_task_ends,
     repeat_reports,
     delay_commands,
-    late_writes,
+    delay_unanswered_writes,
     slow_then_outage,
     block_answers,
 ]
 
 
 async def simulate_faults(
-    clock: Clock, scenes: tuple[Scene, ...], seed: int, controllers: int
+    clock: Clock, scenes: tuple[FaultScenario, ...], seed: int, controllers: int
 ) -> World:
     world = World(clock, seed, controllers)
     await world.open()
     faults = [await curio.spawn(scene, world, daemon=True) for scene in scenes]
-    await work(world)
+    await submit_daily_jobs(world)
     for fault in faults:
         await fault.join()
     world.late_reports = world.late_writes = world.slow_s = 0.0
-    for holder in (world.cut, world.held, world.deaf, world.state.refused):
+    for holder in (
+        world.partitioned,
+        world.held_senders,
+        world.replies_blocked,
+        world.state.refused,
+    ):
         holder.clear()
-    world.calm_at = world.clock()
-    await until_over(world)
+    world.faults_end_at = world.clock()
+    await wait_until_jobs_end(world)
     for name in sorted(world.accepted):
         for label in world.labels:
             status, _ = await world.user(label, "GET", f"/api/jobs/{name}")
             if status != 200:
-                world.broken.append(f"unanswered {name} at {label}: {status}")
+                world.violations.append(f"unanswered {name} at {label}: {status}")
     return world
 
 
-def held_up(world: World) -> list[str]:
+def violations_and_unserved_jobs(world: World) -> list[str]:
     """Return the broken rules and the jobs that were not served after the faults."""
     return [
-        *world.broken,
+        *world.violations,
         *(
             f"waits {i}"
             for i in sorted(world.accepted)
-            if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
+            if world.jobs[i]["shape"] != "daemon"
+            and world.last_status.get(i) not in ("done", "cancelled")
         ),
         *(["not all were accepted"] if len(world.accepted) != JOBS_A_DAY else []),
     ]
@@ -446,17 +454,17 @@
     "scenes",
     [
         *((s,) for s in SCENES),
-        (cut_leader, late_writes),
+        (isolate_from_store_and_peers, delay_unanswered_writes),
         (slow_then_outage, repeat_reports),
-        (block_answers, there_and_back),
+        (block_answers, exclude_and_restart_all),
     ],
     ids=lambda scenes: "+".join(s.__name__ for s in scenes),
 )
 def test_rules_hold_under_combined_faults(
-    monkeypatch: pytest.MonkeyPatch, scenes: tuple[Scene, ...], controllers: int
+    monkeypatch: pytest.MonkeyPatch, scenes: tuple[FaultScenario, ...], controllers: int
 ) -> None:
     world = simulate(monkeypatch, lambda clock: simulate_faults(clock, scenes, 50, controllers))
-    assert held_up(world) == []
+    assert violations_and_unserved_jobs(world) == []
 
 
 async def repeat_transactions(clock: Clock, seed: int, controllers: int) -> tuple[World, list[Any]]:
@@ -487,10 +495,10 @@
     world.state.commit = remember  # type: ignore[method-assign]
     await world.open()
     await curio.spawn(apply_copies, daemon=True)
-    await curio.spawn(there_and_back, world, daemon=True)
-    await curio.spawn(cut_leader, world, daemon=True)
-    await work(world)
-    return await until_over(world), found
+    await curio.spawn(exclude_and_restart_all, world, daemon=True)
+    await curio.spawn(isolate_from_store_and_peers, world, daemon=True)
+    await submit_daily_jobs(world)
+    return await wait_until_jobs_end(world), found
 
 
 @pytest.mark.parametrize("seed, controllers", [(71, 3), (72, 3), (73, 5)])
@@ -502,7 +510,7 @@
     world, found = simulate(
         monkeypatch, lambda clock: repeat_transactions(clock, seed, controllers)
     )
-    assert found == [] and held_up(world) == []
+    assert found == [] and violations_and_unserved_jobs(world) == []
 
 
 async def simulate_blocked_answers(
@@ -515,9 +523,11 @@
         until all of their tasks ran again for good.
     """
     world = World(clock, 44)
-    await fill(world)
+    await start_long_jobs(world)
     chosen = busiest(world, share)
-    missed_s = await last_missed_s(world, world.deaf, chosen, for_s, owner_restarts, 3 * CANCEL_S)
+    missed_s = await time_to_recover_s(
+        world, world.replies_blocked, chosen, for_s, owner_restarts, 3 * CANCEL_S
+    )
     return world, sum(w.gone for w in chosen), missed_s
 
 
@@ -544,5 +554,5 @@
     world, returned, missed_s = simulate(
         monkeypatch, lambda clock: simulate_blocked_answers(clock, share, for_s, owner_restarts)
     )
-    assert world.broken == []
+    assert world.violations == []
     assert bool(returned) == expect_returned and missed_s <= most_s
--- a/tests/system/test_meetings_page.py
+++ b/tests/system/test_meetings_page.py
@@ -12,20 +12,20 @@
 import curio
 import pytest
 
-from tests.system.test_model import work
-from tests.system.test_restarts import again
+from tests.system.test_model import submit_daily_jobs
+from tests.system.test_restarts import restart_controller
 from tests.troubles import (
     CANCEL_S,
     FIRST_EXTRA,
     LEASE_S,
     LONG_S,
-    ask_for_all,
-    calm,
     cancel,
     cancel_now,
-    changed,
-    deposed,
+    check_final_answers,
+    end_faults,
+    exclude_from_epoch,
     long_jobs,
+    restart_or_exclude_controller,
     running,
     some_machines,
     until_finished,
@@ -33,19 +33,19 @@
 )
 from tests.world import ZONES, Clock, World, job, simulate
 
-Scene = Callable[[World], Coroutine[Any, Any, None]]
+FaultScenario = Callable[[World], Coroutine[Any, Any, None]]
 
 
 async def isolated_zone(world: World) -> None:
     """The workers of a zone and a controller reach only each other for longer than a lease."""
     names = await long_jobs(world, 8)
     for half in (names[:4], names[4:]):
-        world.enclosed = {world.rng.choice(world.labels)}
-        world.enclosed_zone = world.rng.choice(ZONES)
+        world.isolated_controllers = {world.rng.choice(world.labels)}
+        world.isolated_zone = world.rng.choice(ZONES)
         await curio.sleep(world.rng.uniform(0.5, 4.0))
         await cancel(world, half, LEASE_S)
         await curio.sleep(world.rng.uniform(1.2, 4.5) * LEASE_S)
-        world.enclosed_zone = ""
+        world.isolated_zone = ""
         await curio.sleep(world.rng.uniform(2.0, 8.0))
 
 
@@ -62,19 +62,23 @@
     for _ in range(6):
         await curio.sleep(world.rng.uniform(2.0, 6.0))
         zone = world.rng.choice(ZONES)
-        there = [w for w in world.workers.values() if w.alive() and w.zone == zone and w.on()]
+        there = [
+            w
+            for w in world.workers.values()
+            if w.alive() and w.zone == zone and w.occupying_tasks()
+        ]
         for worker in there[: 1 + len(there) // 2]:
             draw = world.rng.random()
             if draw < 0.4:
                 world.kill(worker)
             elif draw < 0.8:
-                world.cut.add(worker.name)
+                world.partitioned.add(worker.name)
             else:
                 worker.hung_until = world.clock() + world.rng.uniform(3.0, 12.0)
         if world.rng.random() < 0.5:
-            await changed(world)
+            await restart_or_exclude_controller(world)
         if world.rng.random() < 0.5:
-            world.cut.clear()
+            world.partitioned.clear()
 
 
 async def ten_changes(world: World, outage: bool = False) -> None:
@@ -85,7 +89,7 @@
     await cancel(world, names, 100.0)
     for _ in range(10):
         await curio.sleep(world.rng.uniform(4.0, 12.0))
-        await changed(world)
+        await restart_or_exclude_controller(world)
 
 
 async def answers_lost(world: World) -> None:
@@ -95,7 +99,7 @@
     await cancel(world, names, 25.0)
     for _ in range(5):
         await curio.sleep(world.rng.uniform(2.0, 8.0))
-        await changed(world)
+        await restart_or_exclude_controller(world)
 
 
 async def cancelled_as_one_controller_is_refused(world: World) -> None:
@@ -121,7 +125,7 @@
     names = await long_jobs(world, 8)
     for name in names:
         await cancel(world, [name], 2.0)
-        await changed(world)
+        await restart_or_exclude_controller(world)
         await curio.sleep(world.rng.uniform(0.5, 5.0))
 
 
@@ -133,20 +137,20 @@
     for half in (names[:2], names[2:]):
         machines = [w for name in half for w in running(world, name)]
         if change_first:
-            await curio.spawn(changed, world, daemon=True)
+            await curio.spawn(restart_or_exclude_controller, world, daemon=True)
             await curio.sleep(world.rng.uniform(0.0, 1.0))
         for worker in machines:
             if world.rng.random() < 0.5:
-                world.cut.add(worker.name)
+                world.partitioned.add(worker.name)
             else:
                 worker.hung_until = world.clock() + world.rng.uniform(3.0, 14.0)
         await curio.sleep(world.rng.uniform(0.0, 1.0))
         await cancel(world, half, 1.0)
         if not change_first:
             await curio.sleep(world.rng.uniform(0.0, 1.5))
-            await changed(world)
+            await restart_or_exclude_controller(world)
         await curio.sleep(world.rng.uniform(5.0, 20.0))
-        world.cut.clear()
+        world.partitioned.clear()
         await curio.sleep(world.rng.uniform(2.0, 12.0))
 
 
@@ -175,7 +179,7 @@
             await curio.sleep(world.rng.uniform(3.0, 8.0))
             await world.start(label)
         else:
-            await deposed(world, label, world.rng.uniform(3.0, 8.0))
+            await exclude_from_epoch(world, label, world.rng.uniform(3.0, 8.0))
         await curio.sleep(world.rng.uniform(2.0, 6.0))
 
 
@@ -183,13 +187,13 @@
     """Workers can't connect to any controller, while commands still reach them."""
     names = await long_jobs(world, 8)
     for n in range(0, len(names), 2):
-        world.mute = set(some_machines(world, 0.4))
+        world.reports_blocked = set(some_machines(world, 0.4))
         await curio.sleep(world.rng.uniform(0.5, 6.0))
         await cancel(world, names[n : n + 2], 3.0)
         if world.rng.random() < 0.6:
-            await changed(world)
+            await restart_or_exclude_controller(world)
         await curio.sleep(world.rng.uniform(2.0, 18.0))
-        world.mute.clear()
+        world.reports_blocked.clear()
         await curio.sleep(world.rng.uniform(1.0, 5.0))
 
 
@@ -207,7 +211,7 @@
         await curio.sleep(world.rng.uniform(2.0, 8.0))
         for machine in some_machines(world, 0.1):
             world.workers[machine].hung_until = world.clock() + world.rng.uniform(5.0, 14.0)
-        await changed(world)
+        await restart_or_exclude_controller(world)
     await copies.cancel()
 
 
@@ -220,7 +224,7 @@
         large = job(number, pieces=4, vcpus=7.0, rank="high")
         await curio.spawn(world.submit, large, 5.0, daemon=True)
         await curio.sleep(world.rng.uniform(0.3, 4.0))
-        await again(world, world.rng.choice(world.labels))
+        await restart_controller(world, world.rng.choice(world.labels))
         await curio.sleep(world.rng.uniform(1.0, 5.0))
 
 
@@ -232,7 +236,7 @@
         large = job(number, pieces=20, vcpus=2.0, rank=rank, due_s=60.0 if rank == "high" else None)
         await curio.spawn(world.submit, large, 6.0, daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 2.0))
-    await changed(world)
+    await restart_or_exclude_controller(world)
     await curio.sleep(30.0)
 
 
@@ -261,7 +265,7 @@
     for n in range(0, len(names), 4):
         await cancel_now(world, names[n : n + 4], world.rng.uniform(0.5, 1.4) * LEASE_S)
         if world.rng.random() < 0.5:
-            await changed(world)
+            await restart_or_exclude_controller(world)
         await curio.sleep(world.rng.uniform(5.0, 15.0))
 
 
@@ -271,7 +275,7 @@
 # rule that only a report under the current token reports an adopted task as gone (ten_changes,
 # new_machines_at_once, old_reports_in_new_epoch, lack_of_room); the zones of spread jobs
 # (zone_constraints); the kills of cancelled tasks (all others).
-SCENES: dict[str, Scene] = {
+SCENES: dict[str, FaultScenario] = {
     "isolated_zone": isolated_zone,
     "zone_constraints": zone_constraints,
     "ten_changes": ten_changes,
@@ -303,14 +307,14 @@
     await world.open()
     await curio.spawn(watch_waiting, world, daemon=True)
     fault = await curio.spawn(SCENES[name], world, daemon=True)
-    await work(world)
+    await submit_daily_jobs(world)
     await fault.join()
-    calm(world)
+    end_faults(world)
     await cancel(world, [name for name, run_s in world.run_s.items() if run_s == LONG_S])
     left = await until_finished(world)
-    if not world.broken:
-        world.broken += [f"waits {name}" for name in left]
-        await ask_for_all(world)
+    if not world.violations:
+        world.violations += [f"waits {name}" for name in left]
+        await check_final_answers(world)
     return world
 
 
@@ -321,4 +325,4 @@
     world = simulate(
         monkeypatch, lambda clock: run_day_with_scene(clock, name, SEEDS.get(name, 60), 3)
     )
-    assert world.broken == []
+    assert world.violations == []
--- a/tests/system/test_model.py
+++ b/tests/system/test_model.py
@@ -62,8 +62,10 @@
     "slow_s": 0.8,
     "link_s": 0.2,
 }
-MACHINE_FAULTS = ("mute", "deaf")
-FAULT_PAIRS = list(itertools.combinations((*FAULT_VALUES, *MACHINE_FAULTS, "enclosed"), 2))
+MACHINE_FAULTS = ("reports_blocked", "replies_blocked")
+FAULT_PAIRS = list(
+    itertools.combinations((*FAULT_VALUES, *MACHINE_FAULTS, "isolated_controllers"), 2)
+)
 
 
 async def inject_fault_pairs(world: World, end_at: float) -> None:
@@ -79,12 +81,15 @@
                 names = sorted(world.workers)
                 getattr(world, fault).update(rng.sample(names, len(names) // 4))
             else:
-                world.enclosed, world.enclosed_zone = {rng.choice(world.labels)}, rng.choice(ZONES)
+                world.isolated_controllers, world.isolated_zone = (
+                    {rng.choice(world.labels)},
+                    rng.choice(ZONES),
+                )
         await curio.sleep(rng.uniform(5.0, 20.0))
         for fault in FAULT_VALUES:
             setattr(world, fault, 0.0)
-        world.enclosed_zone = ""
-        for holder in (world.mute, world.deaf, world.enclosed):
+        world.isolated_zone = ""
+        for holder in (world.reports_blocked, world.replies_blocked, world.isolated_controllers):
             holder.clear()
     await copies.cancel()
 
@@ -125,7 +130,9 @@
             }[fault]
             await curio.spawn(partition_for, world, entry, rng.uniform(2.0, 25.0), daemon=True)
         elif fault == "held":
-            await curio.spawn(held, world, rng.choice(world.labels), daemon=True)
+            await curio.spawn(
+                hold_commands_and_restart, world, rng.choice(world.labels), daemon=True
+            )
         elif fault == "loss":
             world.loss = rng.choice([0.0, 0.02, 0.1])
         elif fault == "outage":
@@ -137,25 +144,25 @@
             elif fault == "die" and rng.random() < 0.4:
                 world.kill(worker)
     world.loss = 0.0
-    world.cut.clear()
-    world.held.clear()
+    world.partitioned.clear()
+    world.held_senders.clear()
 
 
 async def partition_for(world: World, entry: str, for_s: float) -> None:
     """Disconnect an endpoint or a directed link for a while."""
-    world.cut.add(entry)
+    world.partitioned.add(entry)
     await curio.sleep(for_s)
-    world.cut.discard(entry)
+    world.partitioned.discard(entry)
 
 
-async def held(world: World, label: str) -> None:
+async def hold_commands_and_restart(world: World, label: str) -> None:
     """Hold a controller's commands in the network, and maybe restart the controller meanwhile."""
-    world.held.add(label)
+    world.held_senders.add(label)
     await curio.sleep(world.rng.uniform(0.5, 3.0))
     if world.rng.random() < 0.7:
         await curio.spawn(restart, world, label, daemon=True)
     await curio.sleep(world.rng.uniform(0.5, 3.0))
-    world.held.discard(label)
+    world.held_senders.discard(label)
 
 
 async def restart(world: World, label: str) -> None:
@@ -176,7 +183,7 @@
     for label in world.labels:
         await world.crash(label)
         await curio.sleep(world.rng.uniform(1.0, 4.0))
-        world.old.discard(label)
+        world.old_version_controllers.discard(label)
         await world.crash(label)  # a concurrent fault may have restarted the old version
         await world.start(label)
         await curio.sleep(world.rng.uniform(0.0, 8.0))
@@ -230,7 +237,7 @@
 async def upgrade_day(clock: Clock, seed: int, controllers: int, rebuild: bool) -> World:
     """Run a day on which the previous version is replaced."""
     world = World(clock, seed, controllers, rebuild)
-    world.old.update(world.labels)
+    world.old_version_controllers.update(world.labels)
     await world.open()
     await curio.spawn(inject_faults, world, clock() + 110.0, daemon=True)
     await curio.spawn(upgrade_controllers, world, daemon=True)
@@ -250,14 +257,14 @@
         for n in range(PIPELINES_A_DAY)
     ]
     end = clock() + 400.0
-    while clock() < end and not world.broken:
+    while clock() < end and not world.violations:
         await curio.sleep(2.0)
         finite = [i for i in world.accepted if world.jobs[i]["shape"] != "daemon"]
         if all(t.terminated for t in pipelines) and all(
-            world.told.get(i) in ("done", "cancelled") for i in finite
+            world.last_status.get(i) in ("done", "cancelled") for i in finite
         ):
             break
-    if not world.broken:
+    if not world.violations:
         await curio.sleep(40.0)
     return world
 
@@ -287,35 +294,36 @@
 ) -> None:
     monkeypatch.setitem(SETTINGS, "state", {**SETTINGS["state"], "next": LOWER_LIMITS})
     world = simulate(monkeypatch, lambda clock: upgrade_day(clock, seed, controllers, rebuild))
-    assert world.broken == []
+    assert world.violations == []
     assert ("c/lineage" in world.state.keys) == rebuild
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert world.rejected_writes == [] and len(world.accepted) == 16 + 4 * PIPELINES_A_DAY
     waiting = {
-        i: world.told.get(i)
+        i: world.last_status.get(i)
         for i in world.accepted
-        if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
+        if world.jobs[i]["shape"] != "daemon"
+        and world.last_status.get(i) not in ("done", "cancelled")
     }
     assert waiting == {}, "all finite jobs end after the faults"
     assert any(".0" in k for k in world.sized_chunk_keys), "no chunk was resized"
 
 
-async def until_over(world: World) -> World:
+async def wait_until_jobs_end(world: World) -> World:
     """Wait until all finite jobs have ended, a rule is broken or 260 s have passed."""
     end = world.clock() + 260.0
-    while world.clock() < end and not world.broken:
+    while world.clock() < end and not world.violations:
         await curio.sleep(2.0)
         finite = [i for i in world.accepted if world.jobs[i]["shape"] != "daemon"]
         if len(world.accepted) + len(world.lost or ()) == JOBS_A_DAY and all(
-            world.told.get(i) in ("done", "cancelled") for i in finite
+            world.last_status.get(i) in ("done", "cancelled") for i in finite
         ):
             break
-    if not world.broken:
+    if not world.violations:
         await curio.sleep(40.0)  # long enough for a cancelled task to be seen
     return world
 
 
-async def work(
+async def submit_daily_jobs(
     world: World, then: Callable[[int], Coroutine[Any, Any, None]] | None = None
 ) -> None:
     """Submit the day's jobs one after another and cancel some; await `then` after each."""
@@ -342,8 +350,8 @@
         await curio.spawn(inject_fault_pairs, world, clock() + 60.0, daemon=True)
     if troubled:
         await curio.spawn(inject_faults, world, clock() + 60.0, daemon=True)
-    await work(world)
-    return await until_over(world)
+    await submit_daily_jobs(world)
+    return await wait_until_jobs_end(world)
 
 
 @pytest.mark.parametrize(
@@ -369,15 +377,16 @@
     paired: bool,
 ) -> None:
     world = simulate(monkeypatch, lambda clock: day(clock, seed, troubled, controllers, paired))
-    assert world.broken == []
+    assert world.violations == []
     # A request that cannot be encoded, or a routine that fails, shows only in the log.
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY
     assert world.launches > 0
     waiting = {
-        i: world.told.get(i)
+        i: world.last_status.get(i)
         for i in world.accepted
-        if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
+        if world.jobs[i]["shape"] != "daemon"
+        and world.last_status.get(i) not in ("done", "cancelled")
     }
     assert waiting == {}, "all finite jobs end after the faults"
 
@@ -404,13 +413,13 @@
         clock, 1, job(1, pieces=1, loaners=False), job(2, pieces=3, loaners=False)
     )  # the second job keeps the machine in use
     world.hold_s = (45.0, 45.0)
-    world.held.update(world.labels)
+    world.held_senders.update(world.labels)
     while not any(k.startswith("run/j-000001/") for k in world.state.keys):
         await curio.sleep(0.1)
     await curio.sleep(0.5)
     await world.abort("j-000001")
     await curio.sleep(1.5)
-    world.held.clear()
+    world.held_senders.clear()
     await curio.sleep(60.0)
     return world
 
@@ -425,7 +434,9 @@
     key = ("j-000001/0", 1)
 
     def machines_with_task() -> list[Any]:
-        return [w for w in world.workers.values() if any(k[0] == key[0] for k in w.on())]
+        return [
+            w for w in world.workers.values() if any(k[0] == key[0] for k in w.occupying_tasks())
+        ]
 
     while not machines_with_task():
         await curio.sleep(0.1)
@@ -444,7 +455,9 @@
     # The reservation makes the replica move to another machine.
     machine.held_for_job, machine.held_until = "other", clock() + 25.0
     owner.mark_room_changed(worker.name)
-    owner.stop([(worker.name, *next(k for k in worker.on() if k[0] == key[0]), 0.0, False)])
+    owner.stop(
+        [(worker.name, *next(k for k in worker.occupying_tasks() if k[0] == key[0]), 0.0, False)]
+    )
     while machines_with_task() in ([], [worker]):
         await curio.sleep(0.5)
     await curio.sleep(35.0)
@@ -511,4 +524,4 @@
 @pytest.mark.parametrize("scene", [held_launch_of_a_cancelled_job, launch_sent_twice])
 def test_delayed_commands_have_no_effect(monkeypatch: pytest.MonkeyPatch, scene: Any) -> None:
     world = simulate(monkeypatch, scene)
-    assert world.broken == [] and world.accepted
+    assert world.violations == [] and world.accepted
--- a/tests/system/test_restarts.py
+++ b/tests/system/test_restarts.py
@@ -13,14 +13,14 @@
 
 from clayport.membership.epoch import Epoch, may_propose, next_epoch
 from clayport.membership.flap_damping import FlapDamping
-from tests.system.test_model import JOBS, JOBS_A_DAY, held, until_over
+from tests.system.test_model import JOBS, JOBS_A_DAY, hold_commands_and_restart, wait_until_jobs_end
 from tests.world import Clock, World, job, simulate
 
 RESTART_S = (0.05, 0.5)
-Scene = Callable[[World], Coroutine[Any, Any, None]]
+FaultScenario = Callable[[World], Coroutine[Any, Any, None]]
 
 
-async def again(world: World, label: str) -> None:
+async def restart_controller(world: World, label: str) -> None:
     """Crash a controller and start it again within half a second."""
     if label in world.controllers:
         await world.crash(label)
@@ -31,7 +31,7 @@
 
 async def restart_all(world: World, times: int = 1, every_s: float = 1.3) -> None:
     for _ in range(times):
-        tasks = [await curio.spawn(again, world, label) for label in world.labels]
+        tasks = [await curio.spawn(restart_controller, world, label) for label in world.labels]
         await curio.sleep(every_s)
         for task in tasks:
             await task.join()
@@ -39,7 +39,7 @@
 
 async def restart_one_twenty_times(world: World) -> None:
     for _ in range(20):
-        await again(world, "c1")
+        await restart_controller(world, "c1")
         await curio.sleep(world.rng.uniform(1.0, 4.0))
 
 
@@ -54,7 +54,7 @@
     while world.clock() < end:
         c = world.controllers.get("c2")
         if c is not None and c.membership.serving:
-            await again(world, "c2")
+            await restart_controller(world, "c2")
         await curio.sleep(0.05)
 
 
@@ -62,7 +62,7 @@
     for _ in range(4):
         world.state.outage(world.clock(), world.rng.uniform(3.0, 9.0))
         for _ in range(4):
-            await again(world, world.rng.choice(world.labels))
+            await restart_controller(world, world.rng.choice(world.labels))
             await curio.sleep(world.rng.uniform(0.2, 2.0))
         await restart_all(world)
         await curio.sleep(world.rng.uniform(5.0, 12.0))
@@ -74,15 +74,15 @@
     for _ in range(10):
         label = world.rng.choice(world.labels)
         world.loss = 0.1
-        await curio.spawn(held, world, label, daemon=True)
+        await curio.spawn(hold_commands_and_restart, world, label, daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 1.5))
-        await again(world, label)
+        await restart_controller(world, label)
         await curio.sleep(world.rng.uniform(0.5, 4.0))
     world.loss = 0.0
-    world.held.clear()
+    world.held_senders.clear()
 
 
-SCENES: list[Scene] = [
+SCENES: list[FaultScenario] = [
     restart_one_twenty_times,
     restart_all_three_times_in_four_seconds,
     restart_as_soon_as_it_serves,
@@ -91,7 +91,7 @@
 ]
 
 
-async def run_day(clock: Clock, scene: Scene, seed: int, controllers: int) -> World:
+async def run_day(clock: Clock, scene: FaultScenario, seed: int, controllers: int) -> World:
     world = World(clock, seed, controllers)
     await world.open()
     fault = await curio.spawn(scene, world, daemon=True)
@@ -102,7 +102,7 @@
             await curio.spawn(world.abort, job(number - 1)["id"], daemon=True)
         await curio.sleep(world.rng.uniform(0.2, 3.0))
     await fault.join()
-    return await until_over(world)
+    return await wait_until_jobs_end(world)
 
 
 @pytest.mark.parametrize("scene", SCENES)
@@ -110,18 +110,19 @@
 def test_rules_hold_when_controllers_restart_at_once(
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
-    scene: Scene,
+    scene: FaultScenario,
     seed: int,
     controllers: int,
 ) -> None:
     world = simulate(monkeypatch, lambda clock: run_day(clock, scene, seed, controllers))
-    assert world.broken == []
+    assert world.violations == []
     assert [r.getMessage() for r in caplog.records if r.levelname == "ERROR"] == []
     assert len(world.accepted) == JOBS_A_DAY and world.launches > 0
     assert {
-        i: world.told.get(i)
+        i: world.last_status.get(i)
         for i in world.accepted
-        if world.jobs[i]["shape"] != "daemon" and world.told.get(i) not in ("done", "cancelled")
+        if world.jobs[i]["shape"] != "daemon"
+        and world.last_status.get(i) not in ("done", "cancelled")
     } == {}
     # A start leaves no records but the controller's own two.
     assert len([k for k in world.state.keys if k.startswith("c/node/")]) <= controllers
@@ -129,7 +130,7 @@
     assert all(c.membership.serving for c in world.controllers.values())
 
 
-async def count_epochs(clock: Clock, scene: Scene) -> tuple[int, list[str]]:
+async def count_epochs(clock: Clock, scene: FaultScenario) -> tuple[int, list[str]]:
     """Return the number of epochs that a scene causes, and the members of the last one."""
     world = World(clock, 33)
     for label in world.labels:
@@ -141,7 +142,7 @@
     await scene(world)
     count = world.controllers["c0"].membership.epoch.number - before
     await curio.sleep(90.0)
-    assert world.broken == []
+    assert world.violations == []
     return count, sorted(world.controllers["c0"].membership.epoch.members)
 
 
@@ -154,7 +155,7 @@
     ],
 )
 def test_repeated_restarts_cause_a_bounded_number_of_epochs(
-    monkeypatch: pytest.MonkeyPatch, scene: Scene, max_epochs: int
+    monkeypatch: pytest.MonkeyPatch, scene: FaultScenario, max_epochs: int
 ) -> None:
     """Without flap damping, each restart makes all other controllers announce an epoch and load
     their jobs again."""
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,12 +7,12 @@
 import pytest
 
 from bench.capacity import model, page, whole
-from bench.capacity.figures import Figure, Host, Slopes, figure, pooled, read
-from bench.capacity.size import CELLS, LIMITS, MIXES, ONE_FLEET, SIZE
+from bench.capacity.figures import Figure, Host, Slopes, pool_runs, read_slopes, summarize
+from bench.capacity.size import CELLS, JOB_SIZES, LIMITS, ONE_FLEET, TARGET_SIZE
 from tests.world import simulate
 
 ROOT = Path(__file__).parent.parent
-SLOPES = read(ROOT / "docs/capacity/slopes.json")
+SLOPES = read_slopes(ROOT / "docs/capacity/slopes.json")
 
 
 def uniform_slopes(value: float) -> Slopes:
@@ -27,16 +27,16 @@
 def test_page_tables_match_slopes_file() -> None:
     text = (ROOT / "docs/CAPACITY.md").read_text()
     assert {match[1] for match in page.MARK.findall(text)} == set(page.TABLES)
-    assert page.renewed(text, SLOPES) == text
+    assert page.rendered(text, SLOPES) == text
     with pytest.raises(KeyError):
-        page.renewed("<!-- table: unheard-of -->\n<!-- end -->", SLOPES)
+        page.rendered("<!-- table: unheard-of -->\n<!-- end -->", SLOPES)
 
 
 def test_figure_has_median_and_quartiles() -> None:
-    assert figure("s", [4.0, 1.0, 3.0, 2.0, 5.0]) == Figure("s", 3.0, 2.0, 4.0, 5)
-    assert figure("s", [4.0]) == Figure("s", 4.0, 4.0, 4.0, 1)
+    assert summarize("s", [4.0, 1.0, 3.0, 2.0, 5.0]) == Figure("s", 3.0, 2.0, 4.0, 5)
+    assert summarize("s", [4.0]) == Figure("s", 4.0, 4.0, 4.0, 1)
     with pytest.raises(ValueError):
-        figure("s", [])
+        summarize("s", [])
 
 
 def test_pooled_runs_keep_outermost_quartiles() -> None:
@@ -48,11 +48,11 @@
         )
         for value, load in ((5.0, 1.0), (9.0, 2.0), (6.0, 3.0))
     ]
-    combined = pooled(runs)
+    combined = pool_runs(runs)
     assert combined.figures == {"x": Figure("s", 6.0, 4.0, 10.0, 9)}
     assert combined.host.loads == [1.0, 1.0, 2.0, 2.0, 3.0, 3.0]
     with pytest.raises(ValueError):
-        pooled([*runs, uniform_slopes(1.0)])
+        pool_runs([*runs, uniform_slopes(1.0)])
 
 
 @pytest.mark.parametrize(
@@ -61,35 +61,41 @@
         # With every slope 1, a task's start and end together cost two units of each resource.
         (
             "puts and deletes a second",
-            2 * SIZE.starts_a_second,
-            2 * SIZE.starts_a_second / SIZE.zones,
+            2 * TARGET_SIZE.starts_per_second,
+            2 * TARGET_SIZE.starts_per_second / TARGET_SIZE.zones,
         ),
         (
             "polls a second",
-            SIZE.running_tasks / MIXES[0] / 5,
-            SIZE.running_tasks / SIZE.zones / MIXES[0] / 5,
+            TARGET_SIZE.running_tasks / JOB_SIZES[0] / 5,
+            TARGET_SIZE.running_tasks / TARGET_SIZE.zones / JOB_SIZES[0] / 5,
         ),
         (
             "connections of peers (four for each controller)",
-            4.0 * SIZE.control_machines,
-            4.0 * (SIZE.control_machines // SIZE.zones),
+            4.0 * TARGET_SIZE.controller_machines,
+            4.0 * (TARGET_SIZE.controller_machines // TARGET_SIZE.zones),
         ),
         (
             "workers' connections, one machine for control ended",
-            SIZE.workers / (SIZE.control_machines - 1),
-            SIZE.workers / SIZE.zones,
+            TARGET_SIZE.workers / (TARGET_SIZE.controller_machines - 1),
+            TARGET_SIZE.workers / TARGET_SIZE.zones,
+        ),
+        (
+            "processor: reports",
+            2 * TARGET_SIZE.starts_per_second / TARGET_SIZE.controller_machines,
+            28_000 / 19 / 2,
         ),
-        ("processor: reports", 2 * SIZE.starts_a_second / SIZE.control_machines, 28_000 / 19 / 2),
     ],
 )
 def test_resource_needs_of_both_layouts(resource: str, fleet: float, cell: float) -> None:
     for layout, needed in ((ONE_FLEET, fleet), (CELLS, cell)):
-        row = next(r for r in model.rows(uniform_slopes(1.0), layout) if r.resource == resource)
-        assert row.needed[0] == pytest.approx(needed)
-        assert row.factor <= row.worst
+        row = next(
+            r for r in model.layout_rows(uniform_slopes(1.0), layout) if r.resource == resource
+        )
+        assert row.demand[0] == pytest.approx(needed)
+        assert row.lowest_load_ratio <= row.highest_load_ratio
     assert (
-        model.operations(uniform_slopes(1.0))[0][-1]
-        == 2 * SIZE.starts_a_second / LIMITS.state_writes
+        model.state_operations(uniform_slopes(1.0))[0][-1]
+        == 2 * TARGET_SIZE.starts_per_second / LIMITS.state_writes
     )
 
 
@@ -100,9 +106,9 @@
 def test_start_and_end_take_the_stated_state_operations(
     monkeypatch: pytest.MonkeyPatch, tasks: int
 ) -> None:
-    whole.settings(monkeypatch)
-    day = whole.Day(0, tasks, "free", monkeypatch)
-    simulate(monkeypatch, day.play)
+    whole.patch_settings(monkeypatch)
+    day = whole.SimulatedDay(0, tasks, "free", monkeypatch)
+    simulate(monkeypatch, day.run)
     for part in ("start", "end"):
         stated = SLOPES.median(f"{part}.{tasks}_task_jobs.free.state.operations")
-        assert day.found[part]["state.operations"] == pytest.approx(stated, rel=0.15)
+        assert day.costs_by_part[part]["state.operations"] == pytest.approx(stated, rel=0.15)
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from tests.system.test_restarts import again
+from tests.system.test_restarts import restart_controller
 from tests.world import SETTINGS, TYPES, ZONES, Worker, World, job
 
 CANCEL_S = SETTINGS["workers"]["cancel_s"]
@@ -99,11 +99,11 @@
     while True:
         await curio.sleep(5.0)
         for job_id in sorted(world.accepted):
-            waits = world.clock() >= world.calm_at and nothing_runs(world, job_id)
+            waits = world.clock() >= world.faults_end_at and nothing_runs(world, job_id)
             if not waits or not could_run(world, world.jobs[job_id]):
                 since.pop(job_id, None)
             elif world.clock() - since.setdefault(job_id, world.clock()) >= MAX_WAIT_S:
-                world.broken.append(f"left_waiting {job_id}")
+                world.violations.append(f"left_waiting {job_id}")
 
 
 # -- machines that are unreachable for a while --------------------------------
@@ -111,11 +111,14 @@
 
 def busiest(world: World, share: float) -> list[Worker]:
     """Return a share of the machines that have tasks, at least one, the fullest first."""
-    busy = sorted((w for w in world.workers.values() if w.on()), key=lambda w: -len(w.on()))
+    busy = sorted(
+        (w for w in world.workers.values() if w.occupying_tasks()),
+        key=lambda w: -len(w.occupying_tasks()),
+    )
     return busy[: max(1, int(share * len(busy)))]
 
 
-async def last_missed_s(
+async def time_to_recover_s(
     world: World,
     out_of_reach: set[str],
     chosen: list[Worker],
@@ -133,16 +136,18 @@
     Returns:
         Seconds until all tasks of the machines run on some machine and stay there.
     """
-    tasks = {k[0] for w in chosen for k in w.on()}
+    tasks = {k[0] for w in chosen for k in w.occupying_tasks()}
     out_of_reach.update(w.name for w in chosen)
     if leader_ends:
-        await again(world, world.controllers["c0"].membership.epoch.member_for(chosen[0].name))
+        await restart_controller(
+            world, world.controllers["c0"].membership.epoch.member_for(chosen[0].name)
+        )
     since = missed = world.clock()
     while world.clock() < since + watched_s:
         await curio.sleep(0.5)
         if world.clock() > since + for_s:
             out_of_reach.clear()
-        if not tasks <= {k[0] for w in world.workers.values() for k in w.on()}:
+        if not tasks <= {k[0] for w in world.workers.values() for k in w.occupying_tasks()}:
             missed = world.clock()
     return missed - since
 
@@ -167,7 +172,11 @@
 
 def running(world: World, job_id: str) -> list[Worker]:
     """Return the machines that tasks of the job are on."""
-    return [w for w in world.workers.values() if any(k[0].startswith(f"{job_id}/") for k in w.on())]
+    return [
+        w
+        for w in world.workers.values()
+        if any(k[0].startswith(f"{job_id}/") for k in w.occupying_tasks())
+    ]
 
 
 async def cancel(world: World, names: list[str], within_s: float = 0.0) -> None:
@@ -199,7 +208,7 @@
     return world.rng.sample(names, min(len(names), max(1, round(len(names) * share))))
 
 
-async def deposed(world: World, label: str, for_s: float) -> None:
+async def exclude_from_epoch(world: World, label: str, for_s: float) -> None:
     """Let the state service refuse a controller that machines and users still reach.
 
     The controller loses its membership, and the next epoch excludes it.
@@ -209,31 +218,31 @@
     world.state.refused.discard(label)
 
 
-async def changed(world: World) -> None:
+async def restart_or_exclude_controller(world: World) -> None:
     """Restart a random controller, or let it be excluded from the epoch for a while."""
     label = world.rng.choice(world.labels)
     if world.rng.random() < 0.6:
-        await again(world, label)
+        await restart_controller(world, label)
     else:
-        await deposed(world, label, world.rng.uniform(2.5, 6.0))
+        await exclude_from_epoch(world, label, world.rng.uniform(2.5, 6.0))
 
 
-def calm(world: World) -> None:
+def end_faults(world: World) -> None:
     """End all faults."""
     world.late_reports = world.late_writes = world.slow_s = world.link_s = world.loss = 0.0
     world.lost_answers = world.kept_reports = world.late_commands = 0.0
     world.cancelled_at_end = 0.0
-    world.enclosed_zone = ""
+    world.isolated_zone = ""
     for holder in (
-        world.cut,
-        world.held,
-        world.deaf,
-        world.mute,
-        world.enclosed,
+        world.partitioned,
+        world.held_senders,
+        world.replies_blocked,
+        world.reports_blocked,
+        world.isolated_controllers,
         world.state.refused,
     ):
         holder.clear()
-    world.calm_at = world.clock()
+    world.faults_end_at = world.clock()
 
 
 async def until_finished(world: World, most_s: float = 260.0) -> list[str]:
@@ -244,7 +253,7 @@
     """
     end = world.clock() + most_s
     unfinished: list[str] = ["not begun"]
-    while unfinished and world.clock() < end and not world.broken:
+    while unfinished and world.clock() < end and not world.violations:
         await curio.sleep(2.0)
         unfinished = [
             name
@@ -259,21 +268,21 @@
                 )
             )
         ]
-    if not world.broken:
+    if not world.violations:
         await curio.sleep(CANCEL_S + 5.0)  # long enough for a cancelled task to be seen
     return unfinished
 
 
-async def ask_for_all(world: World) -> None:
+async def check_final_answers(world: World) -> None:
     """Check that every controller answers for every job, with a final status for ended jobs."""
     for name in sorted(world.accepted):
         for label in world.labels:
             status, answer = await world.user(label, "GET", f"/api/jobs/{name}")
             if status != 200:
-                world.broken.append(f"unanswered {name} at {label}: {status}")
+                world.violations.append(f"unanswered {name} at {label}: {status}")
                 continue
             world.note(name, answer["status"])
             if world.jobs[name]["shape"] == "daemon" and name not in world.cancelled:
                 continue
             if answer["status"] not in ("done", "cancelled"):
-                world.broken.append(f"waits {name}: {answer['status']}")
+                world.violations.append(f"waits {name}: {answer['status']}")
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -58,7 +58,7 @@
 
     def kill(self, worker: Worker) -> None:
         """End a machine with all its tasks."""
-        for key in worker.on():
+        for key in worker.occupying_tasks():
             self.stop_gang_mates(worker, key)
         worker.gone = True
         worker.tasks.clear()
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -38,7 +38,7 @@
         controller = Controller(
             parse(json.dumps(settings).encode()),
             f"{label}-{self.rng.random()}",
-            self.rebuild and label not in self.old,
+            self.rebuild and label not in self.old_version_controllers,
             self.disks.get(label, ""),
             self.second_copy,
         )
@@ -62,11 +62,11 @@
                 and controller.membership.epoch.number
                 == max(x.membership.epoch.number for x in self.controllers.values())
             ):
-                self.broken.append(f"gone_too_early {event}")
+                self.violations.append(f"gone_too_early {event}")
             emit(job_id, event)
 
         controller.machines.emit = check_and_emit
-        if label in self.old:
+        if label in self.old_version_controllers:
             controller.versions.count_versions = lambda: None  # type: ignore[method-assign]
         self.controllers[label] = controller
         self.routines[label] = await curio.spawn(self._run_duties(controller), daemon=True)
--- a/tests/world/deployment.py
+++ b/tests/world/deployment.py
@@ -39,8 +39,8 @@
         self.controllers: dict[str, Controller] = {}
         self.routines: dict[str, curio.Task] = {}
         # Endpoints that are disconnected, and directed links "SOURCE>TARGET" that are.
-        self.cut: set[str] = set()
-        self.held: set[str] = set()  # controllers whose requests to workers are held
+        self.partitioned: set[str] = set()
+        self.held_senders: set[str] = set()  # controllers whose requests to workers are held
         self.hold_s = (1.0, 40.0)  # range of the time for which a held message is in flight
         self.duplicated_frame_kinds: set[int] = set()  # a copy of such frames arrives late
         self.loss = 0.0  # share of requests that are lost or lose their answer
@@ -55,17 +55,21 @@
         # last task completes.
         self.lost_answers = self.kept_reports = self.late_commands = self.cancelled_at_end = 0.0
         self.report_copies: list[tuple[str, bytes]] = []  # machine and body of each kept report
-        self.mute: set[str] = set()  # machines that reach no controller and still get commands
+        self.reports_blocked: set[str] = (
+            set()
+        )  # machines that reach no controller and still get commands
         # A zone, with the controllers in it, that is isolated from everything outside.
-        self.enclosed_zone = ""
-        self.enclosed: set[str] = set()
+        self.isolated_zone = ""
+        self.isolated_controllers: set[str] = set()
         self.boot_s: tuple[float, float] = (4.0, 12.0)
         self.link_s = 0.0  # upper bound of an additional delay of each request
-        self.deaf: set[str] = set()  # machines whose reports arrive and which receive nothing
+        self.replies_blocked: set[str] = (
+            set()
+        )  # machines whose reports arrive and which receive nothing
         self.slow_s = 0.0  # upper bound of an additional delay of the state service
         self.watch_delay_s = 0.0  # upper bound of an additional delay of each watch answer
         # Additional run time of a task, as a share of the job's run time for each task number.
-        self.apart = 0.0
+        self.run_time_spread = 0.0
         self.deferred_routines: list[Callable[[], Coroutine[Any, Any, None]]] = []
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}  # time for which each task of a job runs
@@ -79,9 +83,9 @@
         self.launches = 0
         self.sized_chunk_keys: set[str] = set()  # keys of chunks that contain the chunk size
         self.rejected_writes: list[str] = []  # writes above the limits of the state service
-        self.old: set[str] = set()  # controllers that run the previous version
+        self.old_version_controllers: set[str] = set()  # controllers that run the previous version
         self.upgraded_at = math.inf  # when no controller runs the previous version any longer
-        self.kinds: dict[str, str] = {}  # groups of jobs, where a test treats them differently
+        self.job_groups: dict[str, str] = {}  # groups of jobs, where a test treats them differently
 
     async def open(self) -> None:
         """Start the controllers, the users' requests, the rule checks and the spawner."""
--- a/tests/world/machine.py
+++ b/tests/world/machine.py
@@ -46,7 +46,7 @@
     def alive(self) -> bool:
         return not self.gone and self.world.clock() >= self.up_at
 
-    def on(self) -> list[tuple[str, int]]:
+    def occupying_tasks(self) -> list[tuple[str, int]]:
         """Return the tasks that the rules count as being on the machine."""
         return [k for k, t in self.tasks.items() if t.state in ("running", "saving", "waiting")]
 
@@ -114,7 +114,7 @@
         job = self.world.jobs[job_id]
         self.images.add(job["bundle"])
         task.state = "waiting" if job["shape"] == "ensemble" else "running"
-        task.until = now + self.world.run_s[job_id] * (1 + self.world.apart * int(number))
+        task.until = now + self.world.run_s[job_id] * (1 + self.world.run_time_spread * int(number))
         self.world.entered(self, key)
         if int(number) in self.world.results[job_id]:
             self.complete_task(key, task)
@@ -123,7 +123,7 @@
         """Advance the tasks to the current time, and drop all of them if the lease has expired."""
         now = self.world.clock()
         if now - self.answered > 10.0:
-            for key in self.on():
+            for key in self.occupying_tasks():
                 self.world.stop_gang_mates(self, key)
             self.tasks.clear()
             self.session += 1
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -34,19 +34,21 @@
     def in_isolated_zone(self, name: str) -> bool:
         """Return whether a controller or machine is in the isolated zone."""
         worker = self.workers.get(name)
-        return name in self.enclosed or (worker is not None and worker.zone == self.enclosed_zone)
+        return name in self.isolated_controllers or (
+            worker is not None and worker.zone == self.isolated_zone
+        )
 
     def reaches(self, source: str, target: str) -> bool:
         """Return whether messages from the source arrive at the target."""
         return (
-            source not in self.cut
-            and target not in self.cut
-            and f"{source}>{target}" not in self.cut
+            source not in self.partitioned
+            and target not in self.partitioned
+            and f"{source}>{target}" not in self.partitioned
             and (
-                not self.enclosed_zone
+                not self.isolated_zone
                 or self.in_isolated_zone(source) == self.in_isolated_zone(target)
             )
-            and (source not in self.mute or target not in self.labels)
+            and (source not in self.reports_blocked or target not in self.labels)
         )
 
     def draw_fault(self, fault: str) -> bool:
@@ -91,7 +93,7 @@
             raise http.NoAnswerError("held up")
         if self.link_s:
             await curio.sleep(self.rng.uniform(0.0, self.link_s))
-        if source in self.mute and target in self.labels:
+        if source in self.reports_blocked and target in self.labels:
             await curio.sleep(timeout_s)  # without a connection nothing can be held
             raise http.NoAnswerError("mute")
         if not self.reaches(source, target):
@@ -99,7 +101,7 @@
                 await curio.spawn(self._deliver_late(serve), daemon=True)
             await curio.sleep(timeout_s)
             raise http.NoAnswerError("cut")
-        if source in self.held and hold and target in self.workers:
+        if source in self.held_senders and hold and target in self.workers:
             await curio.spawn(self._deliver_late(serve), daemon=True)
             await curio.sleep(timeout_s)
             raise http.NoAnswerError("held")
@@ -113,7 +115,7 @@
         answer = serve()
         if hasattr(answer, "__await__"):
             answer = await answer
-        if lost or not self.reaches(source, target) or source in self.deaf:
+        if lost or not self.reaches(source, target) or source in self.replies_blocked:
             await curio.sleep(timeout_s)
             raise http.NoAnswerError("answer lost")
         await curio.sleep(delay)
@@ -202,7 +204,11 @@
                     world.record_commands(value["orders"])
 
                 def serve() -> Any:
-                    if host == "state" and path == "/commit" and source in world.old:
+                    if (
+                        host == "state"
+                        and path == "/commit"
+                        and source in world.old_version_controllers
+                    ):
                         value["writes"] = to_previous_version(value.get("writes", []))
                     if host == "state":
                         if source in world.state.refused:
@@ -230,7 +236,7 @@
 
     def handle_unless_hung(self, worker: Worker, method: str, path: str, value: Any) -> Any:
         """Let a worker answer a request, unless the worker hangs or receives nothing."""
-        if self.clock() < worker.hung_until or worker.name in self.deaf:
+        if self.clock() < worker.hung_until or worker.name in self.replies_blocked:
             raise http.NoAnswerError("hung")
         return worker.handle(method, path, value)
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -10,7 +10,7 @@
 
 
 class Rules:
-    """Mixin of `World` that notes each violation of a rule in `broken`."""
+    """Mixin of `World` that notes each violation of a rule in `violations`."""
 
     def entered(self, worker: Worker, key: tuple[str, int]) -> None:
         """Check the rules for a task that starts on a machine."""
@@ -20,39 +20,39 @@
         self.launches += 1
         since = self.cancelled.get(job_id)
         if since is not None and self.clock() - since > 35.0:
-            self.broken.append(f"ran_cancelled {task} starts on {worker.name}")
+            self.violations.append(f"ran_cancelled {task} starts on {worker.name}")
         if since is not None:
             self.started_cancelled.append((task, self.clock() - since))
         for prerequisite in job.get("prereqs") or ():
             if len(self.results[prerequisite]) < self.jobs[prerequisite]["pieces"]:
-                self.broken.append(f"too_early {task} before {prerequisite}")
+                self.violations.append(f"too_early {task} before {prerequisite}")
         for other in self.workers.values():
-            if other is not worker and any(k[0] == task for k in other.on()):
-                self.broken.append(f"ran_twice {task} on {worker.name} and {other.name}")
+            if other is not worker and any(k[0] == task for k in other.occupying_tasks()):
+                self.violations.append(f"ran_twice {task} on {worker.name} and {other.name}")
         if (
             (worker.spot and not job["loaners"])
             or (job["flavors"] and worker.kind not in job["flavors"])
             or (job["site"] and job["site"] != worker.zone)
         ):
-            self.broken.append(f"wrong_place {task} on {worker.name}")
+            self.violations.append(f"wrong_place {task} on {worker.name}")
         zones = {}
         for other in self.workers.values():
-            for k in other.on():
+            for k in other.occupying_tasks():
                 if k[0].split("/")[0] == job_id:
                     zones[other.zone] = zones.get(other.zone, 0) + 1
         if job["together"] and len(zones) > 1:
-            self.broken.append(f"wrong_place {task}: zones {zones}")
+            self.violations.append(f"wrong_place {task}: zones {zones}")
         if job["scatter"] and zones[worker.zone] > (job["pieces"] + 1) // 2:
-            self.broken.append(f"wrong_place {task}: scattered {zones}")
+            self.violations.append(f"wrong_place {task}: scattered {zones}")
         if job["owner"] == "tight":
             used = sum(
                 self.jobs[k[0].split("/")[0]]["cards"]
                 for o in self.workers.values()
-                for k in o.on()
+                for k in o.occupying_tasks()
                 if self.jobs[k[0].split("/")[0]]["owner"] == "tight"
             )
             if used > 4.0 + 1e-6:
-                self.broken.append(f"quota {used} with {task}")
+                self.violations.append(f"quota {used} with {task}")
 
     def stop_gang_mates(self, worker: Worker, key: tuple[str, int]) -> None:
         """End the other running tasks of a gang attempt if one of its tasks ends too early."""
@@ -90,10 +90,10 @@
             await curio.sleep(0.5)
             now = self.clock()
             for worker in self.workers.values():
-                for task, _ in worker.on():
+                for task, _ in worker.occupying_tasks():
                     since = self.cancelled.get(task.split("/")[0])
                     if since is not None and now - since > 35.0:
-                        self.broken.append(f"ran_cancelled {task} on {worker.name}")
+                        self.violations.append(f"ran_cancelled {task} on {worker.name}")
 
     def record_commands(self, orders: list[dict[str, Any]]) -> None:
         """Note launches that a controller issues for jobs confirmed as cancelled."""
--- a/tests/world/state_service.py
+++ b/tests/world/state_service.py
@@ -24,7 +24,7 @@
         self.refused: set[str] = set()  # controllers that are answered 503, while others are served
         self.next_lease = 1
         self.limits = {k: v for k, v in SETTINGS["state"].items() if k != "next"}
-        # Time, revision, keys and log length after each change, for `lose`; None: not kept.
+        # Time, revision, keys and log length after each change, for `roll_back`; None: not kept.
         self.past: list[tuple[float, int, dict[str, Any], int]] | None = None
 
     def remember(self) -> None:
@@ -32,7 +32,7 @@
         if self.past is not None:
             self.past.append((self.world.clock(), self.rev, dict(self.keys), len(self.log)))
 
-    def lose(self, seconds: float) -> int:
+    def roll_back(self, seconds: float) -> int:
         """Return to the state of some seconds ago; return how many revisions are lost.
 
         Revisions and leases are rolled back as well.
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -49,8 +49,8 @@
         self.accepted_at: dict[str, float] = {}
         self.cancelled: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
-        self.told: dict[str, str] = {}
-        self.broken: list[str] = []
+        self.last_status: dict[str, str] = {}
+        self.violations: list[str] = []
         # Jobs answered 404 after a loss of records that nobody could rebuild. None: any answer
         # 404 for an accepted job violates a rule.
         self.lost: set[str] | None = None
@@ -61,7 +61,7 @@
         # Whether users repeat submissions, cancel ended jobs and send invalid requests.
         self.odd_requests = False
         # When all faults are over, and since when no query about a job has been answered.
-        self.calm_at = math.inf
+        self.faults_end_at = math.inf
         self.unanswered_since: dict[str, float] = {}
         self.burst_query_count = self.odd_request_count = 0  # numbers of such requests
 
@@ -94,7 +94,7 @@
                 await self.start_query_burst(job["id"])
                 return
             if status in (400, 422) and job["id"] in self.accepted:
-                self.broken.append(f"forgotten {job['id']}: {status}")
+                self.violations.append(f"forgotten {job['id']}: {status}")
             await curio.sleep(1.0)
 
     async def abort(self, job_id: str, label: str = "") -> None:
@@ -113,50 +113,52 @@
     async def ask(self, job_id: str, label: str) -> None:
         """Query the status of an accepted job, and check the answer."""
         # An answer may be as old as the query, so a status heard meanwhile outdates it.
-        told = self.told.get(job_id)
+        told = self.last_status.get(job_id)
         status, answer = await self.user(label, "GET", f"/api/jobs/{job_id}")
         self._count_unanswered(job_id, status in (200, 404))
         if status == 404 and self.lost is not None:
             self.lost.add(job_id)
             self.accepted.discard(job_id)
         elif status == 404:
-            self.broken.append(f"forgotten {job_id}")
+            self.violations.append(f"forgotten {job_id}")
         elif status == 200 and (
-            told == self.told.get(job_id) or answer["status"] in FINAL_STATUSES
+            told == self.last_status.get(job_id) or answer["status"] in FINAL_STATUSES
         ):
             self.check_not_orphaned(job_id, answer["status"])
             await self.record_answer(job_id, answer["status"])
 
     async def submit_again(self, job_id: str, label: str) -> None:
         """Submit an accepted job again, and check the answer."""
-        told = self.told.get(job_id)
+        told = self.last_status.get(job_id)
         status, answer = await self.user(label, "POST", "/api/jobs", self.jobs[job_id])
         if status in (201, 400, 404, 422):
-            self.broken.append(f"forgotten {job_id}: submitted again and answered {status}")
+            self.violations.append(f"forgotten {job_id}: submitted again and answered {status}")
         elif status == 200 and (
-            told == self.told.get(job_id) or answer["status"] in FINAL_STATUSES
+            told == self.last_status.get(job_id) or answer["status"] in FINAL_STATUSES
         ):
             await self.record_answer(job_id, answer["status"])
 
     # -- checks of the answers -------------------------------------------
 
     def note(self, job_id: str, status: str) -> None:
-        """Check a status that a user was told, and note it in `told`."""
-        before = self.told.get(job_id)
+        """Check a status that a user was told, and note it in `last_status`."""
+        before = self.last_status.get(job_id)
         if before in FINAL_STATUSES and status != before:
-            self.broken.append(f"went_back {job_id}: {before} then {status}")
+            self.violations.append(f"went_back {job_id}: {before} then {status}")
         if status == "cancelled":
             self.cancelled.setdefault(job_id, self.clock())
             if not self._cancellation_requested(job_id):
-                self.broken.append(f"went_back {job_id}: cancelled by nobody")
+                self.violations.append(f"went_back {job_id}: cancelled by nobody")
         if status == "done" and len(self.results[job_id]) < self.jobs[job_id]["pieces"]:
-            self.broken.append(f"not_done {job_id}")
+            self.violations.append(f"not_done {job_id}")
         if before not in FINAL_STATUSES:
-            self.told[job_id] = status
+            self.last_status[job_id] = status
 
     async def record_answer(self, job_id: str, status: str) -> None:
         """Note a status that a user was told; the first final one starts a query burst."""
-        first_final = self.told.get(job_id) not in FINAL_STATUSES and status in FINAL_STATUSES
+        first_final = (
+            self.last_status.get(job_id) not in FINAL_STATUSES and status in FINAL_STATUSES
+        )
         self.note(job_id, status)
         if first_final:
             await self.start_query_burst(job_id)
@@ -171,10 +173,10 @@
     def _count_unanswered(self, job_id: str, answered: bool) -> None:
         """Note a violation if queries about a job stay unanswered after all faults are over."""
         now = self.clock()
-        if answered or now < self.calm_at:
+        if answered or now < self.faults_end_at:
             self.unanswered_since.pop(job_id, None)
         elif now - self.unanswered_since.setdefault(job_id, now) >= MAX_UNANSWERED_S:
-            self.broken.append(f"forgotten {job_id}: not answered for {MAX_UNANSWERED_S} s")
+            self.violations.append(f"forgotten {job_id}: not answered for {MAX_UNANSWERED_S} s")
 
     def check_not_orphaned(self, job_id: str, status: str) -> None:
         """Check a job that is said to be queued or running.
@@ -190,7 +192,7 @@
                     and status in ("queued", "running")
                     and self.clock() - max(since, self.accepted_at.get(job_id, math.inf)) > 35.0
                 ):
-                    self.broken.append(f"orphaned {job_id} needs {prerequisite}: {status}")
+                    self.violations.append(f"orphaned {job_id} needs {prerequisite}: {status}")
                 unchecked.append(prerequisite)
 
     # -- routines --------------------------------------------------------
@@ -203,7 +205,7 @@
                 await self.ask(job_id, self.rng.choice(self.labels))
             status, _ = await self.user(self.rng.choice(self.labels), "GET", "/api/jobs/j-999999")
             if status == 200:
-                self.broken.append("invented j-999999")
+                self.violations.append("invented j-999999")
 
     async def start_query_burst(self, job_id: str) -> None:
         """Query a job that was accepted or has ended at all controllers, if enabled."""
@@ -215,7 +217,7 @@
 
         A share `cancel_at_once` of the jobs is cancelled at the same time.
         """
-        if job_id not in self.told and self.rng.random() < self.cancel_at_once:
+        if job_id not in self.last_status and self.rng.random() < self.cancel_at_once:
             await curio.spawn(self.abort, job_id, daemon=True)
         for _ in range(3):
             for label in self.labels:
@@ -246,11 +248,11 @@
                 for method, end in (("GET", ""), ("POST", "/abort")):
                     status, _ = await self.user(label, method, path + end)
                     if status == 200:
-                        self.broken.append(f"invented {path}")
+                        self.violations.append(f"invented {path}")
 
     async def _cancel_finished_job(self, label: str) -> None:
         """Request to cancel a job that has ended, and check the answer."""
-        ended = sorted(j for j, status in self.told.items() if status in FINAL_STATUSES)
+        ended = sorted(j for j, status in self.last_status.items() if status in FINAL_STATUSES)
         if not ended:
             return
         job_id = self.rng.choice(ended)
@@ -258,7 +260,7 @@
         if status == 200:
             await self.record_answer(job_id, answer["status"])
         elif status == 404:
-            self.broken.append(f"forgotten {job_id}: cancelled again and answered 404")
+            self.violations.append(f"forgotten {job_id}: cancelled again and answered 404")
 
     async def _submit_invalid_job(self, label: str, name: str) -> None:
         """Submit a job that can never run or lacks a field, and check the answer."""
@@ -270,4 +272,4 @@
         value = {k: v for k, v in value.items() if v is not None}  # None: the field is left out
         status, _ = await self.user(label, "POST", "/api/jobs", value)
         if status in (200, 201, 400, 422) and status != expected:
-            self.broken.append(f"answered {status} instead of {expected}: {change}")
+            self.violations.append(f"answered {status} instead of {expected}: {change}")
