--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tolerates failures of the tests that are listed in KNOWN-RED.txt, and no other failures."""
+"""Pytest hooks that tolerate failures of the tests listed in KNOWN-RED.txt, and no others."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     report, failures = outcome.get_result(), item.config.stash[STASH_KEY]
     if item.nodeid not in failures.listed:
         return
-    # A failure in setup or teardown is not the known failure.
+    # Only a failure in the call phase is the known failure; others are not tolerated.
     if report.when == "call":
         report.known_red_outcome = report.outcome
         if report.failed:
--- a/tests/jobs/test_dispatch.py
+++ b/tests/jobs/test_dispatch.py
@@ -97,7 +97,7 @@
     assert owner.reserve(SMALL, [("m1", 0)], 1, harness.now) == [False]
     assert owner.reserve(PAIR, [("m1", 0)], 1, harness.now) == [True]
     before = owner.room_rev
-    harness.now += 100.0  # the leader doesn't use the hold, which expires and shows as a change
+    harness.now += 100.0  # the unused hold expires, which counts as a change
     owner.expire(harness.now)
     assert owner.machines["m1"].held_for_job == "" and "m1" in (owner.changed(before) or [])
 
@@ -141,7 +141,7 @@
 def test_lower_ranks_are_preempted_before_an_expensive_machine_is_used(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Otherwise urgent jobs run on expensive machines while cheap ones run jobs that can wait."""
+    """Otherwise urgent jobs use expensive machines while cheap machines run jobs that can wait."""
     harness = Home(monkeypatch)
     harness.c.jobs.live[LOW.id] = (LOW, 1)
     harness.report("m1", "north", "plain", *(f"{LOW.id}/{n}" for n in range(4)))
@@ -150,7 +150,7 @@
     harness.look()
     kills = harness.c.machines.machines["m1"].pending_kills
     assert len(kills) == 3 and not urgent.starts
-    harness.now += 30.0  # preemption didn't help, so the expensive machine is used
+    harness.now += 30.0  # preemption gave the job no room, so it uses the expensive machine
     harness.report("m1", "north", "plain", *(f"{n}/0" for n in ("j-9", "j-8", "j-7", "j-6")))
     for n in ("j-9", "j-8", "j-7", "j-6"):
         harness.c.jobs.live[n] = (msgspec.convert(wire_job(9, rank="normal"), Job), 1)
@@ -163,7 +163,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An unsuccessful search for tasks of the lowest rank must not delay the search among higher
-    ranks. Repeated delays of half a second made the start late."""
+    ranks, because repeated delays of half a second would make the start late."""
     harness = Home(monkeypatch)
     normal = msgspec.convert(wire_job(5, pieces=4), Job)
     harness.c.jobs.live[normal.id] = (normal, 1)
@@ -308,7 +308,7 @@
 
 
 def record_searched_jobs(harness: Home, monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Record the jobs for which room is searched from now on, in order."""
+    """Record, in order, the jobs for which the placer searches room from now on."""
     found: list[str] = []
     room_finder = harness.c.placer.room_finder
     find = room_finder.find
@@ -338,8 +338,8 @@
 def test_jobs_without_room_are_skipped_until_something_relevant_changes(
     monkeypatch: pytest.MonkeyPatch, event: str, searched: list[str]
 ) -> None:
-    """Without postponement, each pass searches room for each of hundreds of waiting jobs, whatever
-    has changed. But a change that lets a job be placed must never be missed."""
+    """Without postponement, each pass searches room for each of hundreds of waiting jobs, no matter
+    what has changed. But the placer must never miss a change after which a job can be placed."""
     harness = Home(monkeypatch)
     big: dict[str, Any] = {"vcpus": 8.0, "pieces": 3, "due_s": 1000.0}
     busy = msgspec.convert(wire_job(7, pieces=9, rank="production"), Job)
@@ -443,8 +443,8 @@
     ended: list[tuple[int, bool]],
     waits: bool,
 ) -> None:
-    """Batching saves a commit for each task. It must not delay anything else, and new outcomes must
-    not extend the wait."""
+    """Batching avoids a separate commit for each task. Nothing else may have to wait for a batch,
+    and new outcomes must not extend the delay of the batch."""
     harness = Home(monkeypatch)
     managed = harness.wait(msgspec.convert(wire_job(4, **fields), Job))
     managed.outcomes = {n: (1, done) for n, done in ended}
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -34,7 +34,7 @@
 
 
 def test_launch_is_fenced_by_epoch_job_and_chunk() -> None:
-    """The commit fails if the job was cancelled, or the epoch ended, before it."""
+    """The commit fails if the job was cancelled or the epoch ended before the commit."""
     managed = make_managed_job()
     txn, _ = start_txn(managed, 7, [(0, "m1")], 1)
     assert txn.when == {"c/generation": 7, live_key("j-000001"): 5, chunk_key("j-000001", 0): 0}
@@ -128,7 +128,7 @@
         ("waiting", "", True),
         ("pulling", "", True),
         ("running", "", False),  # the gang has started, so its attempt has failed
-        ("waiting", "alone", False),  # the other tasks have stopped waiting
+        ("waiting", "alone", False),  # the other tasks of the gang have stopped waiting
     ],
 )
 def test_gang_that_has_not_started_is_completed(state: str, cause: str, filled: bool) -> None:
--- a/tests/jobs/test_pipelines.py
+++ b/tests/jobs/test_pipelines.py
@@ -41,28 +41,28 @@
 # -- the dependency graph -----------------------------------------------------
 
 
-# Steps: (3, 1, 2): job 3 with the prerequisites 1 and 2 is accepted; "d3": job 3 is done; "c3": job
-# 3 is cancelled.
+# The step (3, 1, 2) accepts job 3 with the prerequisites 1 and 2, the step "d3" marks job 3 as
+# done, and the step "c3" cancels job 3.
 @pytest.mark.parametrize(
     "steps, waiting, doomed",
     [
         ([(1,), (2, 1)], {2}, set()),
         ([(1,), (2, 1), "d1"], set(), set()),
         ([(1,), "d1", (2, 1)], set(), set()),
-        ([(2, 1), "d1"], set(), set()),  # accepted before its prerequisite is known
+        ([(2, 1), "d1"], set(), set()),  # job 2 is accepted before its prerequisite
         ([(2, 1), (1,), "d1"], set(), set()),
         ([(1,), (2,), (3, 1, 2), "d1"], {3}, set()),
         ([(1,), (2,), (3, 1, 2), "d1", "d2"], set(), set()),
-        ([(1,), (2, 1, 1), "d1"], set(), set()),  # named twice
+        ([(1,), (2, 1, 1), "d1"], set(), set()),  # the prerequisite is named twice
         ([(1,), (2, 1), "c1"], {2}, {2}),
         ([(1,), "c1", (2, 1)], {2}, {2}),
         ([(1,), (2, 1), (3, 2), (4, 3), "c1"], {2, 3, 4}, {2, 3, 4}),
         ([(1,), (2, 1), (3, 1), (4, 2, 3), "c2"], {3, 4}, {4}),  # the other branch is not cancelled
         ([(1,), (2, 1), (3, 2), "c1", (4, 3)], {2, 3, 4}, {2, 3, 4}),
-        ([(1,), (3, 2), "c1", (2, 1)], {2, 3}, {2, 3}),  # the job between them comes last
+        ([(1,), (3, 2), "c1", (2, 1)], {2, 3}, {2, 3}),  # job 2, between jobs 1 and 3, comes last
         ([(1,), (2, 1), "c1", "c2"], set(), set()),
         ([(1,), (2, 1), "c1", "d1"], {2}, {2}),  # final records never change
-        ([(1,), (2, 1), "c2"], set(), set()),  # its prerequisite is not affected
+        ([(1,), (2, 1), "c2"], set(), set()),  # the prerequisite of a cancelled job is not affected
     ],
 )
 def test_ready_and_doomed(steps: list[Any], waiting: set[int], doomed: set[int]) -> None:
@@ -98,7 +98,8 @@
 @pytest.mark.parametrize(
     "jobs, ends, found",
     [
-        # job: (rank, deadline after the time it was ready); each runs for 8 s and fetches for 1 s
+        # `found` maps a job to its rank and its deadline, in seconds after the job became ready.
+        # Each job fetches its image for 1 s and runs for 8 s.
         (
             [make_job(1), make_job(2, 1), make_job(3, 2, **LAST_JOB_FIELDS)],
             {},
@@ -114,7 +115,7 @@
             {1: 30.0},
             {2: (2, 61.0), 3: (2, 100.0)},
         ),
-        # Of two dependents the more urgent one counts, until it ends.
+        # The more urgent of two dependents sets the deadline, until that dependent ends.
         (
             [
                 make_job(1),
@@ -134,7 +135,7 @@
             {1: (2, 91.0), 2: (2, 100.0)},
         ),
         ([make_job(1), make_job(2, 1, **LAST_JOB_FIELDS)], {2: 5.0}, {1: (1, None)}),
-        # The job's own deadline, or the limit of its class, may be earlier.
+        # The job's own deadline, or its class's limit, may be earlier than the inherited deadline.
         (
             [make_job(1, due_s=20.0), make_job(2, 1, **LAST_JOB_FIELDS)],
             {},
@@ -145,7 +146,7 @@
             {},
             {1: (2, 50.0), 2: (2, 100.0)},
         ),
-        # A dependent without a deadline changes nothing.
+        # A dependent without a deadline doesn't change the job's deadline.
         ([make_job(1, rank="production"), make_job(2, 1)], {}, {1: (3, None), 2: (1, None)}),
     ],
 )
@@ -204,7 +205,7 @@
         ([1], 400),
         ([None], 400),
         ({}, 400),
-        ([f"j-{n:06d}" for n in range(1000)], 400),  # larger than a record may be
+        ([f"j-{n:06d}" for n in range(1000)], 400),  # the record would exceed the size limit
         ([f"j-{n:06d}" for n in range(1001)], 400),
     ],
 )
@@ -230,7 +231,7 @@
         body = msgspec.json.encode(job(100, prereqs=prereqs))
         found = []
         for forget in (False, True):
-            if forget:  # as after a restart, before the watch has caught up
+            if forget:  # simulates a restart after which the watch hasn't caught up
                 if status == 201:
                     world.state.commit(
                         {
@@ -292,7 +293,7 @@
 def test_cancellation_reaches_all_dependents(
     monkeypatch: pytest.MonkeyPatch, scenario: str
 ) -> None:
-    """The dependents' leaders cancel them from the records alone."""
+    """The leaders need nothing but the records to cancel the dependents of a cancelled job."""
 
     async def main(clock: Clock) -> World:
         world = await start_world(clock, 3)
@@ -341,7 +342,7 @@
             c.record_replica, "_apply", lambda change: None
         )  # the watch delivers no more changes
         await curio.sleep(1.0)
-        c.jobs.managed[job_id(1)].ended = "done"  # as if another leader had ended it
+        c.jobs.managed[job_id(1)].ended = "done"  # simulates that another leader ended the job
         world.state.commit(
             {
                 "when": [],
@@ -540,7 +541,7 @@
 def test_an_interrupted_split_is_completed_by_the_next_leader(
     value_kb: float, least_kb: float, ops: int, ends_after: int
 ) -> None:
-    """No task changes, whichever transactions were committed when the first leader ended."""
+    """No task changes, no matter after which transaction of the split the first leader ended."""
     pieces, store = 1200, FakeStore()
     managed = store.load_job(pieces, value_kb)
     for index in range(0, pieces // managed.chunk_size + 1):
@@ -548,7 +549,7 @@
         chunk.last_attempt = 9 if index == 2 else 3
         numbers = range(index * managed.chunk_size, min(pieces, (index + 1) * managed.chunk_size))
         if index == 2:
-            continue  # empty, except for its last attempt number
+            continue  # the chunk holds only its last attempt number
         chunk.assigned = {n: (3, f"i-{n:06d}") for n in numbers if n % 3 == 1}
         chunk.done = {n for n in numbers if n % 5 == 0 and n % 3 != 1}
         store.keys[managed.key(index)] = (chunk.value(), 10)
@@ -557,7 +558,7 @@
     narrow = chunk_size(least_kb)
     whole = tasks_of(store.load_job(pieces, value_kb))
     steps = 0
-    for _ in range(2):  # the second leader completes the split of the first
+    for _ in range(2):  # the second leader completes the first leader's split
         managed = store.load_job(pieces, value_kb)
         assert tasks_of(managed) == whole
         managed.split_chunks(narrow)
@@ -600,8 +601,8 @@
 
 
 def test_a_description_that_no_longer_fits_can_be_cancelled() -> None:
-    """The job was accepted under a larger limit. If its final record didn't fit the new limit, its
-    tasks could not be stopped."""
+    """The job was accepted under a larger limit. If its final record didn't fit the new limit, the
+    job could not be cancelled, and its tasks would continue to run."""
     desc = live_value(make_job(1, flavors=[f"type-{n:020d}" for n in range(64)]), 0.0)["j"]
     value = end_value("cancelled", 5.0, desc)
     assert len(json.dumps(value)) > 2048 and truncate_end(value, 8.0) == value
@@ -649,8 +650,8 @@
 def test_an_inherited_rank_preempts_only_without_time_to_spare(
     monkeypatch: pytest.MonkeyPatch, age: float, stops: int
 ) -> None:
-    """Without this rule, a tenth of all tasks on a saturated fleet were preempted for jobs with
-    time to spare."""
+    """Otherwise jobs with time to spare would preempt tasks; on a saturated fleet, a tenth of all
+    tasks were preempted in this way."""
     harness = Home(monkeypatch)
     c = harness.c
     for description in (make_job(1, rank="best_effort"), make_job(2, 1, rank="high", due_s=100.0)):
@@ -673,7 +674,7 @@
         # may still be committed under it.
         ({"c0": (2, 5), "c1": (2, 7)}, 7, False),
         ({"c0": (2, 5), "c1": (2, 7)}, 6, False),
-        ({"c0": (2, 5)}, 9, False),  # c1 has not reported its version and may be old
+        ({"c0": (2, 5)}, 9, False),  # c1 has not reported its version and may run the old one
         ({"c0": (2, 5), "c1": (1, 6)}, 9, False),
         ({"c0": (3, 5), "c1": (2, 7), "gone": (1, 8)}, 9, True),
     ],
@@ -681,7 +682,7 @@
 def test_when_the_upgrade_is_complete(
     monkeypatch: pytest.MonkeyPatch, reported: dict[str, tuple[int, int]], rev: int, upgraded: bool
 ) -> None:
-    """All configured controllers have reported the new version before the epoch began."""
+    """All configured controllers must have reported the new version before the epoch began."""
     c = Home(monkeypatch).c
     assert set(c.settings.labels) == {"c0", "c1"}
     c.upgrade.formats, c.membership.epoch = reported, Epoch(9, {"c0": "x"}, rev)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -46,7 +46,7 @@
 
     Args:
         listed: The listed tests.
-        outcomes: By test, "failed", "passed" or "skipped".
+        outcomes: The outcome of each test that ran: "failed", "passed" or "skipped".
         complete: Whether all tests were selected; only then must each listed test have run.
     """
     problems = []
--- a/tests/leases/test_cancellations.py
+++ b/tests/leases/test_cancellations.py
@@ -20,22 +20,22 @@
     """A discloser, which tells users of cancellations, and a renewer, which renews leases.
 
     Both are controllers and may restart. They communicate by the records, and by messages that
-    may be lost or late. The simulation tracks by true time when users were told, and what the
-    renewer knows.
+    may be lost or late. The simulation records, in true time, when users were told, and tracks
+    what the renewer knows.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.jobs = rng, 1000.0, 0
         self.committed: list[str] = []
-        self.disclosed_at: dict[str, float] = {}  # by job, when its cancellation was disclosed
-        self.known_to_renewer: set[str] = set()  # the cancelled jobs
+        self.disclosed_at: dict[str, float] = {}  # the time of disclosure of each cancelled job
+        self.known_to_renewer: set[str] = set()  # cancelled jobs that the renewer knows
         self.incarnation = self.acks = 0
         self.start_discloser()
         self.start_renewer()
 
     def start_discloser(self) -> None:
         self.incarnation += 1
-        self.known_to_discloser: set[str] = set()  # the cancelled jobs
+        self.known_to_discloser: set[str] = set()  # cancelled jobs that the discloser knows
         self.discloser = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
     def start_renewer(self) -> None:
@@ -124,7 +124,7 @@
 
 
 def count_violations(runs: int) -> int:
-    """Count the runs in which a cancellation disclosed before the watermark is not known."""
+    """Count the runs in which the renewer lacks a cancellation disclosed before its watermark."""
     violations = 0
     for seed in range(runs):
         simulation = Simulation(random.Random(seed))
@@ -217,7 +217,7 @@
 
 
 def test_an_unreachable_peer_that_sends_heartbeats_does_not_delay_users_forever() -> None:
-    """If its heartbeats renewed the promise each time, users would never be told."""
+    """If each heartbeat renewed the promise, users would never be told of the cancellation."""
     promises = Promises(["a", "b"], DURATION_S, 0.0)
     assert all(promises.renew(p, 20.0) for p in "ab")
     promises.acknowledge("a", "j-1")
@@ -227,7 +227,7 @@
     assert not promises.renew("b", 23.0) and promises.renew("a", 23.0)
     assert promises.unacknowledged_jobs("b") == ["j-1"]
     assert not promises.try_disclose("j-1", 31.0) and promises.try_disclose("j-1", 31.5)
-    assert not promises.renew("b", 32.0)  # disclosed without an acknowledgement by b
+    assert not promises.renew("b", 32.0)  # b has still not acknowledged j-1
     promises.acknowledge("b", "j-1")
     assert promises.renew("b", 32.0)
 
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -40,7 +40,7 @@
     assert (deadline.left(now), deadline.allows(now, needs)) == (left, allowed)
     assert deadline.left(now, 1.0) == min(left, 1.0)
     assert deadline.fraction(now, 0.5).left(now) == pytest.approx(left / 2)
-    assert Deadline().fraction(now, 0.5) == Deadline()  # no deadline stays no deadline
+    assert Deadline().fraction(now, 0.5) == Deadline()  # a fraction of no deadline is no deadline
 
 
 def test_pauses_grow_within_bounds_and_reset_when_served() -> None:
@@ -91,8 +91,8 @@
     "answers, limit",
     [
         ([(0.01, True)] * 60, 12),  # fast answers under load raise the limit
-        ([(0.01, True)] * 3 + [(1.0, True)] * 30, 4),  # slow answers reduce it
-        ([(1.0, False)] * 40, 2),  # failures reduce it to the minimum
+        ([(0.01, True)] * 3 + [(1.0, True)] * 30, 4),  # slow answers reduce the limit
+        ([(1.0, False)] * 40, 2),  # failures reduce the limit to the minimum
     ],
 )
 def test_limit_adapts_to_answers(answers: list[tuple[float, bool]], limit: int) -> None:
@@ -214,7 +214,7 @@
         for task in tasks:
             await task.join()
         assert max(woken) - min(woken) < 0.1
-        await circuit.record(True)  # the server was serving already, so no routine is woken
+        await circuit.record(True)  # the server was not down, so no routine is woken
         assert not circuit.recovered.is_set()
 
     simulate(monkeypatch, main)
--- a/tests/machines/test_fencing.py
+++ b/tests/machines/test_fencing.py
@@ -15,13 +15,13 @@
 
 
 class FakeController:
-    """Stands in for the cloud, the membership and the removal that `MachineFencing` uses."""
+    """A fake of the cloud, the membership and the machine removal that `MachineFencing` uses."""
 
     def __init__(self) -> None:
         self.epoch: object = self
         self.sent: list[list[str]] = []
         self.announced: list[str] = []
-        self.failing_requests: set[int] = set()  # by number, from 1
+        self.failing_requests: set[int] = set()  # numbers of requests, counted from 1
 
     def fencing(self) -> MachineFencing:
         """Return the object under test, with this fake for each part that it uses."""
@@ -83,7 +83,7 @@
 
 
 def test_pending_fences_fail_in_a_new_epoch() -> None:
-    """A new owner may have received reports from the machine, and may have placed work on it."""
+    """A new owner may have received reports of the machine, and may have placed tasks on it."""
     fake = FakeController()
     fencing = fake.fencing()
 
@@ -126,7 +126,7 @@
         async def call(self, *_: Any) -> tuple[bool | None]:
             await curio.sleep(0.0 if self.answer is None else 4.0)
             if self.answer is None:
-                raise PeerError("away")
+                raise PeerError("the peer is unreachable")
             return (self.answer,)
 
     silence: Any = object.__new__(SilenceWatch)
--- a/tests/machines/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -180,7 +180,7 @@
 
 
 def test_new_idle_machine_raises_the_room_revision() -> None:
-    """Peers fetch a table only if its revision has changed, or they miss new machines."""
+    """Otherwise peers miss the machine, because they fetch a table only at a new revision."""
     bench = Bench()
     before = bench.owner.room_rev
     bench.report()
@@ -291,7 +291,7 @@
     [(["adopt"], True), (["reserve", "launch"], True), (["reserve"], False), ([], False)],
 )
 def test_leaders_get_events_of_a_returned_machine(steps: list[str], emitted: bool) -> None:
-    """A leader that takes over after the return is announced would otherwise wait forever."""
+    """Otherwise a leader that takes over after the announcement of the return waits forever."""
     bench = Bench()
     bench.report()
     if "reserve" in steps:
@@ -313,7 +313,7 @@
     [
         ({}, {"a": "1"}, {"a": "1"}),
         ({"a": "1"}, {"a": "1"}, None),
-        ({"a": "1"}, {"a": "2"}, {"a": "2"}),  # restarted, and its token counters are lost
+        ({"a": "1"}, {"a": "2"}, {"a": "2"}),  # a has restarted, so its token counters are lost
         ({"a": "1", "b": "1"}, {"b": "1"}, {"b": "1"}),
         ({"a": "1"}, {}, None),  # no controller is left
     ],
@@ -333,7 +333,7 @@
         ("a", ["a"], [], False),  # the only controller
         ("a", ["a", "b", "c"], [], True),  # both peers are present but unreachable
         ("a", ["a", "b", "c"], ["b"], False),
-        ("a", ["a", "b"], [], False),  # of two controllers the first in order stays
+        ("a", ["a", "b"], [], False),  # a sorts before b, so a stays a member
         ("b", ["a", "b"], [], True),
         ("b", ["a", "b"], ["a"], False),
     ],
@@ -351,7 +351,7 @@
 
 
 def test_uncleared_exit_is_emitted_again() -> None:
-    """If the leader's answer is lost, the machine would stay rented until the next epoch."""
+    """Otherwise a lost answer of the leader keeps the machine rented until the next epoch."""
     bench = Bench()
     bench.report()
     bench.launch()
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -1,4 +1,4 @@
-"""Placement and preemption by exhaustive search, a reference for the index.
+"""Placement and preemption by exhaustive search, with which tests compare the index.
 
 Each call examines and sorts the rooms of all machines.
 """
@@ -101,10 +101,10 @@
     most: int | None = None,
     avoid_spot: bool = False,
 ) -> list[tuple[Room, int]]:
-    """Return the machines to preempt tasks on, and how many tasks of the job each makes room for.
+    """Return the machines to preempt tasks on, and how many tasks of the job then fit on each.
 
     Args:
-        most: The highest rank that may be preempted; None: any below the rank of the job.
+        most: The highest rank that may be preempted. None allows each rank below that of the job.
     """
     offers = []
     for room in rooms:
--- a/tests/rebuild/test_merge.py
+++ b/tests/rebuild/test_merge.py
@@ -1,7 +1,7 @@
-"""Tests of the merge of evidence, of the transactions it leads to, and of loss detection.
+"""Tests of the merge of evidence, of the transactions that write its result, and of loss detection.
 
-The property tests draw arbitrary records and evidence, as after a loss with any subset of the
-controllers left."""
+The property tests draw arbitrary records and evidence, as they may remain after a loss of records
+that any subset of the controllers survives."""
 
 from __future__ import annotations
 
@@ -151,7 +151,7 @@
     live = {k[len("c/live/") :] for k in after if k.startswith("c/live/")}
     ended = {k[len("end/") :] for k in after if k.startswith("end/")}
     assert live | ended == known and not live & ended
-    # Every end that a controller knows of is kept, because its user may have been told.
+    # Every job end that a controller knows of is kept, because the user may have been told of it.
     for e in evidence_by_label.values():
         assert set(e.ended) <= ended
     # Each assignment, with its attempt number, comes from the records, the evidence or a machine.
@@ -164,7 +164,7 @@
         (n, *where) for source in sources for n, where in assignments_in(source).items()
     } | {((t.job, t.number), t.attempt, t.machine) for t in reported}
     assert {(n, *where) for n, where in assigned.items() if n[0] in known} <= known_assignments
-    # A task that may be running stays assigned, or is done or its job has ended.
+    # A task keeps its stored assignment unless the task is done or its job has ended.
     done = {
         (parse_chunk_key(k)[0], n)
         for k, (v, _) in after.items()
@@ -240,7 +240,7 @@
 def test_too_low_revision_makes_history_suspect(
     rev: int, highest_revision: int, wrote: bool, valid: bool
 ) -> None:
-    """A successful write raises the revision, so an unchanged revision shows that it was lost."""
+    """A successful write raises the revision, so an unchanged one shows that the write was lost."""
     suspicions: list[str] = []
     history = History(lambda: suspicions.append("doubt"))
     history.join("x", 1, {anchor_key(p, "x"): 3 for p in ("c/", "run/")}, 0)
--- a/tests/rebuild/test_rebuild.py
+++ b/tests/rebuild/test_rebuild.py
@@ -1,8 +1,8 @@
 """Simulated days on which the state service loses records.
 
 The controllers rebuild the records from their own evidence and from the machines' reports. No
-rule of the service is broken meanwhile, and all accepted jobs finish. Only if all controllers
-crash and no snapshot exists may jobs be lost."""
+rule of the service is broken meanwhile, and all accepted jobs finish. Jobs may be lost only if all
+controllers crash and no snapshot exists."""
 
 from __future__ import annotations
 
@@ -124,13 +124,13 @@
 
 
 async def controller_restarts(world: World, loss: Loss) -> None:
-    """A controller loses its memory of its jobs' assignments, so the machines are asked."""
+    """Restart a controller, which forgets its jobs' assignments, so that the machines are asked."""
     await lose(world, loss)
     await restart(world, world.rng.choice(world.labels), world.rng.uniform(0.3, 6.0))
 
 
 async def rebuilding_controller(world: World, previous: str = "") -> str:
-    """Wait for a rebuild; return the controller that carries it out, or "" after the wait."""
+    """Wait up to 30 s for a rebuild; return the controller that carries it out, or ""."""
     for _ in range(600):
         head = world.state.keys.get("c/lineage")
         if head is not None and head[0]["state"] == "rebuilding" and head[0]["id"] != previous:
@@ -157,7 +157,7 @@
 
 
 async def controller_disconnected(world: World, loss: Loss) -> None:
-    """A controller is disconnected during the rebuild and reconnects with old evidence."""
+    """Disconnect a controller during the rebuild; it reconnects with old evidence."""
     label = world.rng.choice(world.labels)
     world.cut.add(label)
     await curio.sleep(world.rng.uniform(0.2, 3.0))
@@ -167,7 +167,7 @@
 
 
 async def delayed_commits(world: World, loss: Loss) -> None:
-    """Commits that were sent before the loss arrive after the rebuild."""
+    """Let commits that were sent before the loss arrive after the rebuild."""
     label = world.rng.choice(world.labels)
     world.hold_s = (3.0, 30.0)
     world.cut.add(f"{label}>state")
@@ -178,7 +178,7 @@
 
 
 async def machines_disconnected(world: World, loss: Loss) -> None:
-    """Machines can't be asked for their tasks while the controller that knew them is down."""
+    """Restart a controller while machines are disconnected and can't be asked for their tasks."""
     machines = sorted(world.workers)
     disconnected = world.rng.sample(machines, min(2, len(machines)))
     world.cut.update(disconnected)
@@ -284,7 +284,7 @@
 async def submit_known_to_one_controller(
     clock: Clock, second_copy: bool
 ) -> tuple[list[int], World]:
-    """Submit a job that only one controller knows, which crashes together with a loss.
+    """Submit a job that only one controller knows, and crash the controller as records are lost.
 
     Returns:
         The statuses of the answers to the user, and the world.
--- a/tests/rebuild/test_snapshots.py
+++ b/tests/rebuild/test_snapshots.py
@@ -139,7 +139,7 @@
 def test_crash_during_write_keeps_previous_snapshot(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, call: str
 ) -> None:
-    """A base gets its name, and the previous base is deleted, only after it is complete."""
+    """Only a complete base gets its name, and the previous base is deleted after that."""
     base(tmp_path)
     real, calls_left = getattr(os, call), 0
 
--- a/tests/records/test_stored_data.py
+++ b/tests/records/test_stored_data.py
@@ -357,7 +357,7 @@
 
 
 def test_evidence_round_trip() -> None:
-    """The comparison is on unpacked data, because zlib versions compress differently."""
+    """The test compares unpacked data, because zlib versions compress differently."""
     raw = (DATA / "evidence.bin").read_bytes()
     found = evidence.unpack([raw])
     assert json.loads(msgspec.json.encode(found)) == load("evidence.json")
--- a/tests/scheduling/test_index.py
+++ b/tests/scheduling/test_index.py
@@ -173,7 +173,7 @@
             )
             assert [(r.machine, n) for r, n in found] == [(r.machine, n) for r, n in expected]
         elif action == "trial":
-            # A trial leaves no changes behind, also if it removes and adds machines.
+            # A trial leaves no changes behind, even if it removes and adds machines.
             extra = Room("i-new", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
             with fleet.index.trial([f"i-{number:04d}"], [extra]):
                 place(job, wanted, fleet.index, Spread(job, ()), policy, can_wait, avoid_spot)
@@ -200,7 +200,7 @@
         room = Room(f"i-{number}", "", "plain", "north", False, True, 8, 0, 64, 0, (), 0.0, "c0")
         room.take(low, 4)
         index.add(room)
-        if number % 9 == 8:  # each removal in a row lowers the limit of recorded changes
+        if number % 9 == 8:  # each removal lowers the limit on the length of `changes`
             for removed in range(number - 8, number - 2):
                 index.remove(f"i-{removed}")
             for earlier in range(number - 11, number - 8):
@@ -217,7 +217,7 @@
 
 
 def test_search_without_result_is_repeated_only_for_changed_rooms() -> None:
-    """Repeating a search that found no room costs as much as has changed, not the whole fleet."""
+    """A repeated search after one that found no room examines only the rooms that have changed."""
     index, job = Index(), JOBS[0]
     full = [
         Room(f"m{n}", "", "plain", "north", False, True, 1, 0, 64, 0, (), 0.0, "c0")
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -78,14 +78,14 @@
     machine_room = room(**where)
     before = (machine_room.cpus, machine_room.gpus, machine_room.memory_gb)
     assert len(place(job, job.tasks, Index("", [machine_room]), Spread(job, ()))) == placed
-    assert machine_room.cpus == before[0] - placed * job.cpus  # subtracted for placed tasks only
+    assert machine_room.cpus == before[0] - placed * job.cpus  # only placed tasks take CPUs
 
 
 @pytest.mark.parametrize(
     "fields, others, zones",
     [
         ({"together": True}, ["south"], ["south"]),
-        ({"together": True}, [None], []),  # the unknown zone may be any zone
+        ({"together": True}, [None], []),  # the task in the unknown zone may be in any zone
         ({"together": True}, [], ["north", "south"]),
         ({"scatter": True, "pieces": 1}, [], ["north", "south"]),
         ({"scatter": True, "pieces": 4}, ["north", "north"], ["south"]),
@@ -158,7 +158,7 @@
     chosen = [
         r.machine for r in place(job, 5, Index("", rooms), Spread(job, ()), None, False, avoid_spot)
     ]
-    assert len(chosen) == 5 and chosen[0] == first  # a preference, not a requirement
+    assert len(chosen) == 5 and chosen[0] == first  # the other machine is used too
     rooms = [room("cheap", spot=True), room("plain")]
     for each in rooms:
         each.take(make_job(2, rank="best_effort"), 4)
@@ -240,11 +240,11 @@
 def test_urgent_demand_leaves_out_jobs_that_can_wait() -> None:
     early, late = Demand(make_job(1), 3, 5.0), Demand(make_job(2), 3, 80.0)
     assert urgent_demand([early, late], {"batch": 90.0}, 64.0) == [late]
-    assert urgent_demand([early], {}, 64.0) == [early]  # no time limit is set: rent at once
+    assert urgent_demand([early], {}, 64.0) == [early]  # urgent without a time limit
     [there] = urgent_demand([early], {"batch": 90.0}, 0.0)  # the fleet is empty
-    assert there.job == early.job and there.tasks == 1  # three tasks in sequence are in time
+    assert there.job == early.job and there.tasks == 1  # three tasks in a row end in time
     near = Demand(make_job(3), 3, 70.0)
-    assert urgent_demand([near], {"batch": 90.0}, 64.0) == [near]  # late by the safety margins
+    assert urgent_demand([near], {"batch": 90.0}, 64.0) == [near]  # late with the safety margins
     assert urgent_demand([near], {"batch": 90.0}, 64.0, 1.0, 1.0) == []  # not late without them
 
 
--- a/tests/scheduling/test_queueing.py
+++ b/tests/scheduling/test_queueing.py
@@ -101,14 +101,14 @@
 
 
 def test_small_jobs_come_before_large_jobs_that_arrive_together() -> None:
-    """In an overload, a few jobs of five hundred tasks made many jobs of ten tasks late."""
+    """Otherwise, in an overload, a few jobs of 500 tasks make many jobs of ten tasks late."""
     harness = QueueHarness()
     for number, pieces in enumerate((400, 10, 40, 10)):
         harness.add(make_job(number, pieces=pieces), 0.1 * number)
     harness.queue.shares.update_job("other", make_job(9), 20, 0, 0.0)
     assert harness.order(1.0) == ["j-000001", "j-000003", "j-000002", "j-000000"]
     assert harness.order(70.0)[-1] == "j-000000"
-    # The large job is deferred only for a limited time: it goes before small jobs that come later.
+    # The large job is deferred only for a limited time and precedes small jobs that arrive later.
     harness.add(make_job(5, pieces=10), 76.0)
     assert harness.order(76.5)[-1] == "j-000005"
 
@@ -151,8 +151,8 @@
         event == "starts"
     )
     if event == "starts":
-        # The job returns with as many waiting tasks as before, or with one more that found no
-        # room.
+        # The job returns with as many waiting tasks as before, or with one more, for which no room
+        # was found.
         for pending, new_demand in ((6, False), (7, True)):
             managed.starts, managed.done = [], 8 - pending
             harness.queue.touch(managed.job.id)
@@ -230,7 +230,7 @@
 def test_cost_of_a_pass_is_independent_of_the_number_of_waiting_jobs(
     monkeypatch: pytest.MonkeyPatch, jobs: int
 ) -> None:
-    """A pass took ten times as long with ten times as many waiting jobs and no changes."""
+    """Otherwise a pass without changes takes ten times as long with ten times the waiting jobs."""
     home = Home(monkeypatch)
     busy = make_job(9999, pieces=9, rank="production")
     home.c.jobs.live[busy.id] = (busy, 1)
@@ -261,7 +261,7 @@
 @pytest.mark.parametrize(
     "age, running, missing",
     [
-        (10.0, 0, 0.0),  # too short a wait for a share
+        (10.0, 0, 0.0),  # the class has waited too briefly to get a share
         (22.5, 0, 8.0),  # half of the full share of 1/3
         (45.0, 0, 16.0),  # the full share, 1/3 of all running CPUs
         (45.0, 2, 32 / 3),
@@ -296,7 +296,7 @@
         )
     for number in range(50):
         shares.remove_job(f"j{number}")
-    shares.owed(1e6)  # their arrivals are older than the span
+    shares.owed(1e6)  # the arrivals are now too old to be counted
     assert shares.accounts == {} and shares.usage == {}
 
 
@@ -304,8 +304,8 @@
     "tasks, guess_s, most", [(1, 1.0, 1.0), (4, 90.0, 11.2), (400, 90.0, 16.0)]
 )
 def test_share_is_bounded_by_the_need_of_the_class(tasks: int, guess_s: float, most: float) -> None:
-    """A class with little work and no objective took a third of an overloaded fleet from jobs
-    with deadlines."""
+    """Otherwise a class with little work and no objective takes a third of an overloaded fleet from
+    jobs with deadlines."""
     shares = FairShares({"low": 45.0, "flood": 45.0}, 100.0)
     shares.update_job("f", make_job(1, jobclass="flood"), 24, 0, 0.0)
     shares.update_job(
@@ -315,7 +315,7 @@
 
 
 def overloaded_fleet(monkeypatch: pytest.MonkeyPatch, machines: int = 9) -> tuple[Home, ManagedJob]:
-    """A fleet that is full with tasks of one job of rank normal, of which more tasks wait."""
+    """Return a fleet that one job of rank normal fills, and this job, of which more tasks wait."""
     home = Home(monkeypatch)
     home.c.objectives.finish_limits["low"] = 60.0
     home.c.queue.shares.tolerated_wait_s = {"low": 30.0}
@@ -345,7 +345,7 @@
 def test_class_that_waited_too_long_gets_freed_room(
     monkeypatch: pytest.MonkeyPatch, rank: str, waited: float, free: int, served: bool
 ) -> None:
-    """While a higher rank overloaded the fleet, the lowest rank got no room at all."""
+    """Otherwise the lowest rank gets no room at all while a higher rank overloads the fleet."""
     home, flood = overloaded_fleet(monkeypatch)
     low = home.wait(
         make_job(2, jobclass="low", rank=rank, pieces=4, vcpus=free and 4.0, guess_s=5.0)
@@ -359,7 +359,7 @@
 
 
 def test_tasks_within_a_share_are_not_preempted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without this protection a task would be preempted as soon as its share had started it."""
+    """Otherwise a task that is started because of a share would be preempted at once."""
     home, flood = overloaded_fleet(monkeypatch)
     low = home.wait(
         make_job(2, jobclass="low", rank="best_effort", pieces=8, vcpus=4.0, guess_s=50.0)
@@ -372,7 +372,7 @@
     low.waiting_since -= 25.0
     home.look()
     assert not home.c.machines.machines["m0"].pending_kills
-    home.c.queue.shares.tolerated_wait_s = {"low": 1e9}  # no shares any more
+    home.c.queue.shares.tolerated_wait_s = {"low": 1e9}  # the class has no share any more
     home.now += home.c.membership.lease_ttl_s
     home.look()
     assert home.c.machines.machines["m0"].pending_kills
@@ -392,10 +392,10 @@
 def test_small_tasks_leave_reserved_room_to_large_tasks(
     share: float, free: float, cpus: float, types: set[str] | None, placed: int
 ) -> None:
-    """Small tasks took each two CPUs that came free, so that four never came free together.
+    """Otherwise small tasks take each two CPUs that become free, and four are never free together.
 
-    Machines that the large job can't use must not be reserved: half of a fleet was idle because
-    of room reserved for gangs.
+    Machines that the large job can't use must not be reserved, because room reserved for gangs
+    left half of a fleet idle.
     """
     room = Room("m1", "", "plain", "north", False, True, free, 0.0, 64.0, 0, (), 1e9, "c0")
     job = make_job(1, vcpus=cpus, pieces=2)
@@ -411,7 +411,7 @@
 
 
 def test_team_with_a_guarantee_has_no_share() -> None:
-    """The team claims its guarantee. A share would let it borrow before other teams do."""
+    """The team claims its guarantee. A share would let this team borrow before other teams do."""
     shares = FairShares({}, 10.0, [("team", False, "tight")])
     for owner in ("free", "tight", "other"):
         shares.update_job(owner, make_job(1, owner=owner), 0 if owner != "other" else 8, 4, 0.0)
--- a/tests/scheduling/test_quota_portions.py
+++ b/tests/scheduling/test_quota_portions.py
@@ -1,7 +1,7 @@
 """Tests of quota portions, by exhaustive exploration of small models.
 
-In every order of reads and transactions, with lost and delayed ones, grants never exceed the limit
-and no portion exceeds its grant.
+In every order of reads and transactions, including lost and delayed transactions, grants never
+exceed the limit and no portion exceeds its grant.
 """
 
 from __future__ import annotations
--- a/tests/system/test_answers.py
+++ b/tests/system/test_answers.py
@@ -13,7 +13,8 @@
 from tests.world import Clock, World, simulate
 
 OUTAGE_S = 12.0
-# From shortly before a job's last task ends until the job's final record is written.
+# When users act, in seconds relative to the end of a job's last task. The range extends from
+# shortly before the end until the job's final record is written.
 AROUND_S = (-0.3, 2.5)
 
 
@@ -38,7 +39,7 @@
 
 
 async def outages(world: World) -> None:
-    """Let the state service refuse one controller, and a little later all of them."""
+    """Let the state service refuse one controller, and soon afterwards all controllers."""
     for _ in range(3):
         label = world.rng.choice(world.labels)
         world.state.refused.add(label)
@@ -50,7 +51,7 @@
 
 
 def about_to_end(world: World) -> dict[str, float]:
-    """Return when each job ends whose remaining tasks all run."""
+    """Return the end time of each job whose remaining tasks are all running."""
     running: dict[str, dict[int, float]] = {}
     for worker in world.workers.values():
         for (task, _), state in worker.tasks.items():
@@ -96,17 +97,17 @@
 
 
 ROWS = [
-    # Fails if the final record is written without the live record as a condition.
+    # This day fails if the final record is written without the live record as a condition.
     Row("abort as the last task ends", (act_around_ends("abort"),), True, seed=62, slow_s=0.4),
-    # Fails if a query is answered from memory.
+    # This day fails if a query is answered from memory.
     Row("poll as the last task ends", (act_around_ends("poll"),), True, slow_s=0.4),
-    # Fails if a repeated submission is answered from memory.
+    # This day fails if a repeated submission is answered from memory.
     Row("submit as the last task ends", (act_around_ends("submit"),), True, slow_s=0.4),
-    # Fails if the final record is read before the live record, or if a controller answers 404 for
-    # each job that is not in its memory.
+    # This day fails if the final record is read before the live record, or if a controller answers
+    # 404 for each job that is not in its memory.
     Row("query bursts", with_bursts=True, cancel_at_once=0.3, slow_s=0.4),
-    # Each fails if a controller takes a job for live from memory alone. The row with late writes
-    # also fails if a submission lacks the condition that no final record exists.
+    # Each of these days fails if a controller takes a job for live from memory alone. The day with
+    # late writes also fails if a submission lacks the condition that no final record exists.
     *(
         Row(
             f"query bursts while {scene.__name__}",
@@ -125,9 +126,9 @@
             (cut_leader, 3),
         )
     ),
-    # Fails if nothing is refused, or if the queries about one job are never answered.
+    # This day fails if no request is refused, or if the queries about one job are never answered.
     Row("odd requests", with_odd_requests=True),
-    # Both fail if a submission lacks the condition that no final record exists.
+    # Both days fail if a submission lacks the condition that no final record exists.
     Row("odd requests while restarts", (restarts,), with_odd_requests=True),
     Row(
         "odd requests while there_and_back",
@@ -135,7 +136,7 @@
         with_odd_requests=True,
         controllers=5,
     ),
-    # Fails for the same reasons as the query bursts above.
+    # This day fails for the same reasons as the query bursts above.
     Row("odd requests and query bursts while outages", (outages,), True, 0.2, True),
 ]
 
--- a/tests/system/test_faults.py
+++ b/tests/system/test_faults.py
@@ -43,10 +43,11 @@
 
 
 def job_after_events(events: str, tasks: int = 12) -> tuple[ManagedJob, list[Verdict], float]:
-    """Return a job after one event for each task: e(rror), d(one), r(unning).
+    """Return a job after events of its first tasks, of which `events` has one letter for each.
 
-    Each task runs on its own machine. The second value lists the verdicts on the events, the
-    third is the time until which the job is not placed.
+    The letters are e for error, d for done and r for running. Each task runs on its own machine.
+    The second value lists the verdicts on the events, the third is the time until which the job is
+    not placed.
     """
     managed = ManagedJob(make_job(1, pieces=tasks), 1, 50, 0.0)
     chunk = Chunk()
@@ -167,7 +168,8 @@
     [
         ("best_effort", 0.0, 8),  # 16 of 64 CPUs
         ("best_effort", 24.0, 12),  # the fair share of its class may exceed the quarter
-        # All spot machines: backfill starts no task on an ordinary machine that holds nothing else.
+        # Backfill fills the spot machines, and starts no task on an ordinary machine that holds
+        # nothing else.
         ("normal", 0.0, 16),
         ("production", 0.0, 16),
     ],
@@ -177,9 +179,9 @@
 ) -> None:
     """Backfill arrays that fill the fleet for minutes make all other jobs of their rank late.
 
-    The bound of a quarter of the CPUs applies only beside jobs that cannot preempt backfill. When
-    it applied beside higher ranks as well, backfill waited for most of a day while a third of
-    the fleet was free.
+    The bound of a quarter of the CPUs applies only beside jobs that cannot preempt backfill. If the
+    bound applied beside higher ranks as well, backfill would wait for most of a day while a third
+    of the fleet is free.
     """
     harness = Home(monkeypatch)
     for number in range(8):
@@ -316,7 +318,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     harness = Home(monkeypatch)
-    harness.c.jobs.ended["j-000001"] = "done"  # so that no request to the state service is needed
+    harness.c.jobs.ended["j-000001"] = "done"  # so that the state service is not asked
     body = msgspec.json.encode(wire_job(1))
     found = []
     for stall_s in (0.0, 8.0, 0.0):
@@ -399,8 +401,8 @@
     "age, waiting, wanted",
     [
         (5.0, 25000, None),  # too early to estimate a rate
-        (100.0, 10000, None),  # 150 tasks/s: ends in time
-        (100.0, 20000, 546),  # 50 tasks/s: late unless 546 tasks run at a time
+        (100.0, 10000, None),  # at 150 tasks/s the job ends in time
+        (100.0, 20000, 546),  # at 50 tasks/s the job is late unless 546 tasks run at a time
         (300.0, 20000, 3000),  # a machine rented now takes 40 s to boot
     ],
 )
@@ -446,7 +448,7 @@
         return answers
 
     assert curio.run(main) == [True, True, False, True, True]
-    assert sent == [{"a"}, {"a", "b"}, {"c"}, {"x"}]  # at most two conditions per request
+    assert sent == [{"a"}, {"a", "b"}, {"c"}, {"x"}]  # a request has at most two conditions
 
 
 @pytest.mark.parametrize(
@@ -485,10 +487,10 @@
     [
         ([1.0, 0.7, 1.4, 6.0], [], 1.0),  # a single late boot is normal
         ([3.0, 5.0, 1.0, 4.0], [], 4.0),
-        ([1.0], [2.0, 3.0, 3.5], 3.0),  # overdue and still booting
-        ([1.0, 1.0, 1.0], [0.5, 0.6], 1.0),  # not due yet, so not counted
+        ([1.0], [2.0, 3.0, 3.5], 3.0),  # machines that are overdue and still booting count
+        ([1.0, 1.0, 1.0], [0.5, 0.6], 1.0),  # machines not yet due don't count
         ([0.05, 0.04, 0.1], [], 0.05),
-        ([9.0, 9.0], [], 1.0),  # fewer than three boots
+        ([9.0, 9.0], [], 1.0),  # fewer than three boots are too few
     ],
 )
 def test_expected_boot_times_follow_observed_boots(
@@ -557,7 +559,7 @@
     bench.report()
     bench.launch()
     bench.owner.orders(bench.machine)
-    for _ in range(2):  # first with the launch sent, then with the task reported
+    for _ in range(2):  # first after the launch is sent, then after the task is reported
         assert bench.owner.reserve(JOB, [("m1", 0)], 1, 1.0) == [False]
         bench.owner.stop([("m1", *KEY, 0.0, False)])
         assert not bench.gone()
@@ -604,8 +606,8 @@
 ) -> None:
     """A round tries to drain at most four idle machines.
 
-    If it tried the same four each time, although their owner can't drain them yet, all other idle
-    machines would stay rented for minutes.
+    If every round tried the same four machines, although their owner can't drain them yet, all
+    other idle machines would stay rented for minutes.
     """
     harness = Home(monkeypatch)
     c, returned = harness.c, []
@@ -646,7 +648,7 @@
 ) -> None:
     """A round considers four of six idle machines and keeps the room for expected tasks.
 
-    The round first evaluates all four together, because an evaluation for each machine took half
+    The round first evaluates all four together, because an evaluation for each machine takes half
     of all processor time on a large fleet with little work.
     """
     harness = Home(monkeypatch)
@@ -687,8 +689,8 @@
     GPU machines and no spot machines.
 
     On a recorded day on which only arrays had an objective, such gangs waited from the second to
-    the ninth minute: the arrays held the quarter of the fleet that all jobs without an objective
-    share, and no machine was rented for the gangs.
+    the ninth minute, because the arrays held the quarter of the fleet that all jobs without an
+    objective share, and no machine was rented for the gangs.
     """
     harness = Home(monkeypatch)
     for number in range(8):
@@ -709,7 +711,8 @@
         waiting, 64.0, harness.c.cached_state.index(), harness.c.placer.policy()
     )
     assert [kind[0] for kind in bought] == ["accel"] and not bought[0][2]
-    # The gang preempts tasks of the lowest rank, but not those of other jobs.
+    # The gang preempts the tasks of the lowest rank on m9, but not the tasks of a job of its own
+    # rank on m10.
     harness.report("m9", "north", "accel", *(f"j-000007/9{n}" for n in range(4)))
     harness.report("m10", "north", "accel", *(f"j-000005/{n}" for n in range(4)))
     other = make_job(5, jobclass="unnamed", pieces=100)
@@ -737,7 +740,7 @@
         (5, "second", 1.0, False),
         (4, "first", 1.0, False),
         (3, "first", 1.0, False),
-        # The predecessor of the named process answered, before this controller read the epoch.
+        # The predecessor of the epoch's member answered, before this controller read the epoch.
         (4, "before", -1.0, False),
         (3, "before", -1.0, False),
     ],
--- a/tests/system/test_meetings.py
+++ b/tests/system/test_meetings.py
@@ -31,7 +31,7 @@
 
 
 class Gap(NamedTuple):
-    """One case of the cancellation gap.
+    """A case in which a controller may miss a cancellation that the user was told of.
 
     The state service refuses one controller, another controller confirms a cancellation to the
     user, and then an outage begins in which no controller can read the record.
@@ -40,15 +40,15 @@
     controllers: int = 3
     refused_s: float = 2.0  # from the refusal until the user cancels
     outage_s: float = 3 * CANCEL_S
-    message_loss: str = "crash"  # how the refused controller is kept from learning of it
+    message_loss: str = "crash"  # what keeps the cancellation from the refused controller
     request: str = "abort"  # the request whose answer confirms the cancellation
-    kind: str = "sweep"  # or "launch": its launch command is still in flight
+    kind: str = "sweep"  # of job; "launch" if its launch command is still in flight
     leader: str = "third"  # the job's leader: the refused controller, the confirmer or a third one
     times: int = 1
 
 
 async def wait_for_tasks(world: World, wanted: int) -> None:
-    """Wait until so many tasks are on machines."""
+    """Wait until `wanted` tasks are on machines."""
     end = world.clock() + 120.0
     while sum(len(w.on()) for w in world.workers.values()) < wanted:
         await curio.sleep(0.5)
@@ -89,7 +89,7 @@
         await world.abort(name, label)
         return
     while (await world.user(label, "POST", f"/api/jobs/{name}/abort"))[0] != 200:
-        await curio.sleep(0.2)  # these answers do not reach the user
+        await curio.sleep(0.2)  # these answers don't count as received by the user
     while name not in world.cancelled:
         if row.request == "retry":
             await world.abort(name, label)
@@ -105,8 +105,8 @@
 
 
 async def lose_message(world: World, message_loss: str, refused: str, confirmer: str) -> None:
-    """Lose what the confirmer could tell the refused controller, in the way that
-    `message_loss` names."""
+    """Keep messages of the confirmer from the refused controller, in the way that `message_loss`
+    names."""
     if message_loss == "crash":
         await world.crash(confirmer)
     elif message_loss == "cut, then crash":
@@ -138,7 +138,7 @@
 
 
 async def fill(world: World) -> None:
-    """Open the world and start long jobs of each kind, with all tasks on machines."""
+    """Open the world, submit long jobs of each kind, and wait until their tasks are on machines."""
     await world.open()
     for number in range(24):
         kind = sorted(KINDS)[number % len(KINDS)]
@@ -296,7 +296,8 @@
 
 
 async def cut_leader(world: World) -> None:
-    """1: a controller loses the state service and its peers, but not its workers and users."""
+    """Scene 1: cut a controller off from the state service and its peers, but not from its workers
+    and users."""
     for _ in range(2):
         label = world.rng.choice(world.labels)
         lost = {
@@ -311,8 +312,8 @@
 
 
 async def there_and_back(world: World) -> None:
-    """2: a controller is left out of the epoch and returns, then all controllers restart, one
-    before the others."""
+    """Scene 2: let a controller be excluded from the epoch and return, then restart all
+    controllers, one before the others."""
     for _ in range(3):
         label = world.rng.choice(world.labels)
         world.state.refused.add(label)
@@ -329,7 +330,7 @@
 
 
 async def spread_task_ends(world: World) -> None:
-    """3: the tasks of a job end far apart, and its leader changes between them."""
+    """Scene 3: let the tasks of a job end far apart, and change its leader between them."""
     world.apart = 1.5
     for _ in range(6):
         await curio.sleep(world.rng.uniform(3.0, 9.0))
@@ -337,7 +338,7 @@
 
 
 async def repeat_reports(world: World) -> None:
-    """4: copies of reports arrive late, also at controllers that have just started."""
+    """Scene 4: deliver copies of reports late, also to controllers that have just started."""
     world.late_reports = 0.4
     for _ in range(5):
         await curio.sleep(world.rng.uniform(3.0, 12.0))
@@ -348,7 +349,7 @@
 
 
 async def delay_commands(world: World) -> None:
-    """5: commands and their answers are delayed, and machines hang and continue."""
+    """Scene 5: delay commands and their answers, and let machines hang and continue."""
     world.hold_s = (2.0, 15.0)
     for _ in range(6):
         label = world.rng.choice(world.labels)
@@ -362,7 +363,7 @@
 
 
 async def late_writes(world: World) -> None:
-    """6: transactions without an answer are applied after newer ones."""
+    """Scene 6: apply transactions without an answer after newer transactions."""
     world.late_writes = 0.25
     for _ in range(5):
         await curio.sleep(world.rng.uniform(2.0, 10.0))
@@ -370,8 +371,8 @@
 
 
 async def slow_then_outage(world: World) -> None:
-    """7: the state service is slow, refuses one controller, and then all of them for longer than
-    `cancel_s`."""
+    """Scene 7: let the state service be slow, refuse one controller, and then refuse all of them
+    for longer than `cancel_s`."""
     world.slow_s = 1.5
     await curio.sleep(20.0)
     world.state.refused.add(world.rng.choice(world.labels))
@@ -382,7 +383,7 @@
 
 
 async def block_answers(world: World) -> None:
-    """8: machines receive no answers or are unreachable, and a controller restarts meanwhile."""
+    """Scene 8: let machines receive no answers or be unreachable while a controller restarts."""
     for _ in range(3):
         names = sorted(n for n, w in world.workers.items() if w.alive())
         chosen = set(world.rng.sample(names, len(names) // 4))
@@ -429,7 +430,7 @@
 
 
 def held_up(world: World) -> list[str]:
-    """Return the broken rules and the jobs that were not served after the faults."""
+    """Return the broken rules, the unfinished jobs, and a note if a job was not accepted."""
     return [
         *world.broken,
         *(
@@ -512,7 +513,7 @@
 
     Returns:
         The world, the number of these machines that were returned to the cloud, and the seconds
-        until all of their tasks ran again for good.
+        until all of their tasks run on some machine and stay there.
     """
     world = World(clock, 44)
     await fill(world)
--- a/tests/system/test_meetings_page.py
+++ b/tests/system/test_meetings_page.py
@@ -78,7 +78,8 @@
 
 
 async def ten_changes(world: World, outage: bool = False) -> None:
-    """Ten controllers in a row restart or are excluded within two minutes, also in an outage."""
+    """A random controller restarts or is excluded, ten times within two minutes; with `outage`, the
+    state service fails meanwhile."""
     names = await long_jobs(world, 8)
     if outage:
         world.state.outage(world.clock() + 6.0, 1.6 * CANCEL_S)
@@ -151,7 +152,7 @@
 
 
 async def no_controllers(world: World) -> None:
-    """No controller runs for longer than a lease."""
+    """All controllers are down for longer than a lease."""
     names = await long_jobs(world, 6)
     await cancel(world, names[:3], 2.0)
     await curio.sleep(1.0)
@@ -212,7 +213,7 @@
 
 
 async def new_machines_at_once(world: World) -> None:
-    """Machines boot within two seconds and get tasks at once, writes are late, controllers
+    """Machines boot within two seconds and get tasks at once, while writes are late and controllers
     restart."""
     world.boot_s = (0.2, 2.0)
     world.late_writes, world.slow_s = 0.15, 0.4
@@ -256,7 +257,7 @@
 
 
 async def cancelled_while_machines_hang(world: World) -> None:
-    """Running jobs are cancelled within a fifth of a second, machines hang and continue."""
+    """Running jobs are cancelled within a fifth of a second, while machines hang and continue."""
     names = await long_jobs(world, 12)
     for n in range(0, len(names), 4):
         await cancel_now(world, names[n : n + 4], world.rng.uniform(0.5, 1.4) * LEASE_S)
@@ -265,12 +266,15 @@
         await curio.sleep(world.rng.uniform(5.0, 15.0))
 
 
-# Each scene fails when one mechanism is removed: the transaction conditions on chunks and epoch
-# (isolated_zone), on quotas (team_at_limit_after_change) and on live and final records
-# (cancelled_at_the_end); the sequence numbers of reports (old_reports_after_first_actions); the
-# rule that only a report under the current token reports an adopted task as gone (ten_changes,
-# new_machines_at_once, old_reports_in_new_epoch, lack_of_room); the zones of spread jobs
-# (zone_constraints); the kills of cancelled tasks (all others).
+# Each scene fails if one mechanism is removed:
+# - the transaction conditions on chunks and epoch (isolated_zone);
+# - the transaction conditions on quotas (team_at_limit_after_change);
+# - the transaction conditions on live and final records (cancelled_at_the_end);
+# - the sequence numbers of reports (old_reports_after_first_actions);
+# - the rule that only a report under the current token reports an adopted task as gone
+#   (ten_changes, new_machines_at_once, old_reports_in_new_epoch, lack_of_room);
+# - the zones of spread jobs (zone_constraints);
+# - the kills of cancelled tasks (all other scenes).
 SCENES: dict[str, Scene] = {
     "isolated_zone": isolated_zone,
     "zone_constraints": zone_constraints,
@@ -294,11 +298,11 @@
 }
 
 
-SEEDS = {"cancelled_at_the_end": 61}  # seed 60 passes even without the conditions
+SEEDS = {"cancelled_at_the_end": 61}  # with seed 60 the scene passes even without the conditions
 
 
 async def run_day_with_scene(clock: Clock, name: str, seed: int, controllers: int) -> World:
-    """Simulate a day of jobs beside a scene, and check afterwards that every job is served."""
+    """Simulate a day of jobs with a scene, and check that every job is served after the scene."""
     world = World(clock, seed, controllers)
     await world.open()
     await curio.spawn(watch_waiting, world, daemon=True)
--- a/tests/system/test_model.py
+++ b/tests/system/test_model.py
@@ -1,7 +1,7 @@
 """Several real controllers in simulated time with random faults.
 
-Whatever is lost, delayed or crashes, the rules of the service hold, and after the faults all jobs
-complete.
+The rules of the service hold no matter what is lost, delayed or crashes, and all jobs complete
+after the faults.
 """
 
 from __future__ import annotations
@@ -149,7 +149,7 @@
 
 
 async def held(world: World, label: str) -> None:
-    """Hold a controller's commands in the network, and maybe restart the controller meanwhile."""
+    """Hold a controller's commands in the network, and restart the controller in 70 % of cases."""
     world.held.add(label)
     await curio.sleep(world.rng.uniform(0.5, 3.0))
     if world.rng.random() < 0.7:
@@ -159,7 +159,7 @@
 
 
 async def restart(world: World, label: str) -> None:
-    """Crash a controller, and start it after some seconds unless something else has."""
+    """Crash a controller, and start it some seconds later unless it is running again by then."""
     if label in world.controllers:
         await world.crash(label)
         await curio.sleep(world.rng.uniform(1.0, 9.0))
@@ -204,7 +204,7 @@
 
 
 async def submit_pipeline(world: World, first: int, cancel: bool) -> None:
-    """Submit jobs whose prerequisites form a diamond, one after another; maybe cancel some."""
+    """Submit jobs whose prerequisites form a diamond; with `cancel`, cancel some at random."""
     next_number = [first]
 
     async def submit_one(*prerequisites: str, **fields: Any) -> str:
@@ -383,7 +383,7 @@
 
 
 # Each of the following days tests one safeguard and breaks a rule if that safeguard is removed.
-# Random faults alone seldom bring about the needed order of events.
+# Random faults alone seldom produce the needed order of events.
 
 
 async def start_world(clock: Clock, seed: int, *jobs: dict[str, Any]) -> World:
--- a/tests/system/test_orders_of_events.py
+++ b/tests/system/test_orders_of_events.py
@@ -1,4 +1,4 @@
-"""Orders of events that a single mechanism guards against, one test for each mechanism."""
+"""Tests of orders of events that a single mechanism guards against, one test per mechanism."""
 
 from __future__ import annotations
 
--- a/tests/system/test_requests.py
+++ b/tests/system/test_requests.py
@@ -167,7 +167,7 @@
 NORTH_ONLY = [{**t, "sites": ["north"]} for t in TYPES]
 SPLIT = [
     {**t, "sites": [zone]} for t, zone in zip(TYPES, ("north", "south"))
-]  # accel exists only in the south
+]  # plain is offered only in the north, accel only in the south
 NO_ZONES = [{**t, "sites": []} for t in TYPES]
 
 
@@ -177,7 +177,7 @@
         ({}, TYPES, True),
         ({}, NO_ZONES, False),
         ({"cards": 1.0, "site": "south"}, SPLIT, True),
-        ({"cards": 1.0, "site": "north"}, SPLIT, False),  # no accel in that zone
+        ({"cards": 1.0, "site": "north"}, SPLIT, False),  # the north has no accel
         ({"cards": 1.0, "site": "south", "flavors": ["plain"]}, SPLIT, False),
         ({"cards": 3.0}, TYPES, False),
         ({"vcpus": 9.0, "flavors": ["plain"]}, TYPES, False),
--- a/tests/system/test_restarts.py
+++ b/tests/system/test_restarts.py
@@ -1,4 +1,4 @@
-"""Controllers that crash and restart within half a second, singly or all together, repeatedly.
+"""Controllers repeatedly crash and restart within half a second, alone or all together.
 
 No rule is broken, and every job is served after the restarts.
 """
@@ -160,7 +160,7 @@
     their jobs again."""
     count, members = simulate(monkeypatch, lambda clock: count_epochs(clock, scene))
     assert 1 <= count <= max_epochs
-    assert members == ["c0", "c1", "c2"]  # readmitted after it has stopped crashing
+    assert members == ["c0", "c1", "c2"]  # the controller is readmitted once it stays up
 
 
 @pytest.mark.parametrize(
--- a/tests/system/test_sizes.py
+++ b/tests/system/test_sizes.py
@@ -20,8 +20,8 @@
 def test_frames_and_tables_hold_three_times_the_largest_deployment(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One owner has all machines, its table is read whole and incrementally, and as many jobs are
-    queued: no row is lost, and each frame is within its size limit."""
+    """No row is lost and each frame is within its size limit if one owner has all machines, its
+    table is read whole and incrementally, and as many jobs are queued."""
     harness = Home(monkeypatch)
     rng = random.Random(1)
     busy = msgspec.convert(wire_job(1, pieces=4 * MACHINES, rank="production"), Job)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("name", CODE_NAMES)
 def test_each_code_name_exists(name: str) -> None:
-    # Fails if code is renamed and the page still has the old name.
+    # This test fails if code is renamed and the page still has the old name.
     assert resolve(name) is not None
 
 
@@ -70,7 +70,7 @@
 
 
 def test_mutual_imports_are_listed() -> None:
-    # Fails if a mutual import is added, or if one that no longer exists is still on the page.
+    # This test fails if a mutual import is added, or if the page lists one that no longer exists.
     imports = package_imports()
     paragraph = PAGE.partition("Imports that still go both ways")[2].partition("\n\n")[0]
     listed = set(re.findall(r"`(\w+)`\s+and\s+`(\w+)`", paragraph))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page matches the measured slopes and its model, and starts cost what it states."""
+"""The capacity page matches the measured slopes, its model, and the cost of starts."""
 
 from __future__ import annotations
 
@@ -93,9 +93,9 @@
     )
 
 
-# Each size guards against one failure: a quota record is written for a team without a limit (1),
-# tasks that start together don't share a transaction (10), or the outcomes of an array's tasks are
-# written one by one (100).
+# Each size guards against one fault. With 1 task, a quota record is written for a team without a
+# limit. With 10 tasks, tasks that start together don't share a transaction. With 100 tasks, the
+# outcomes of an array's tasks are written one by one.
 @pytest.mark.parametrize("tasks", [1, 10, 100])
 def test_start_and_end_take_the_stated_state_operations(
     monkeypatch: pytest.MonkeyPatch, tasks: int
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -26,5 +26,5 @@
 
 @pytest.mark.parametrize("name", CODE_NAMES)
 def test_each_code_name_exists(name: str) -> None:
-    # Fails if code is renamed and the page still has the old name.
+    # This test fails if code is renamed and the page still has the old name.
     assert resolve(name) is not None
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The imports block or stub some modules, and everything that a controller uses works without."""
+"""The imports block or stub modules, and everything that a controller uses works without them."""
 
 from __future__ import annotations
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -105,7 +105,7 @@
     exit_status: int,
     expected: str,
 ) -> None:
-    """The report says how many of the largest jobs started; the log says when."""
+    """The report contains how many of the largest jobs started, and the log contains when."""
     (tmp_path / "r.json").write_text(json.dumps(bench_report(largest)))
     args = ["served", str(tmp_path / "r.json"), "--all"]
     if log:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -350,8 +350,9 @@
 
 
 def test_a_controller_without_the_state_service_releases_its_workers() -> None:
-    """Its peers may act in a newer epoch that this controller can't read. Workers that it kept
-    would be silent to their new owners, which would return the machines to the cloud.
+    """The controller's peers may act in a newer epoch that the controller can't read. Workers that
+    the controller kept would be silent to their new owners, which would return the machines to
+    the cloud.
     """
     from clayport.membership.epoch import Epoch
 
--- a/tests/transport/test_peer_requests.py
+++ b/tests/transport/test_peer_requests.py
@@ -30,12 +30,12 @@
 }
 # The kinds that are handled in any epoch, and why that is safe.
 ANY_EPOCH = {
-    frames.PING,  # only informs
+    frames.PING,  # a ping only informs the receiver
     frames.HEARTBEAT,
     frames.JOB_ENDED,  # final states never change
     frames.HISTORY,
     frames.EVIDENCE,
-    frames.INSPECT,  # reads only
+    frames.INSPECT,  # an inspection only reads
     frames.GONE,  # machine names are not reused
     frames.REPORT,  # its method checks the epoch after decoding
 }
@@ -48,7 +48,7 @@
 
 
 def test_every_request_kind_has_a_handler() -> None:
-    # Fails if any entry of HANDLERS is removed.
+    # This test fails if any entry of HANDLERS is removed.
     assert set(HANDLERS) == set(frames.SCHEMAS) - REPLY_KINDS
 
 
@@ -62,7 +62,7 @@
 def test_requests_from_another_epoch_are_refused(
     monkeypatch: pytest.MonkeyPatch, kind: int, epoch: int, serving: bool
 ) -> None:
-    # Fails for an entry without its refusal, and if `serving` is not checked.
+    # This test fails if an entry doesn't refuse other epochs, or if `serving` is not checked.
     async def must_not_run(*_: Any) -> Any:
         raise AssertionError("the request was handled")
 
--- a/tests/troubles.py
+++ b/tests/troubles.py
@@ -171,7 +171,7 @@
 
 
 async def cancel(world: World, names: list[str], within_s: float = 0.0) -> None:
-    """Let users cancel jobs, each at a random time within `within_s` seconds."""
+    """Let users cancel jobs, each after a random time of up to `within_s` seconds."""
     for name in names:
         await curio.spawn(_cancel_later, world, name, world.rng.uniform(0.0, within_s), daemon=True)
 
--- a/tests/world/cloud.py
+++ b/tests/world/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud that rents out machines."""
+"""A simulated cloud that rents out machines."""
 
 from __future__ import annotations
 
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -33,8 +33,8 @@
             "services": {"cloud": "cloud:1", "state": "state:1"},
             "cluster": {"size": len(self.labels), **SETTINGS},
         }
-        # The incarnation is set here because it seeds the generator that retry pauses are drawn
-        # from. With the generator of the process, one run in forty had a different verdict.
+        # The incarnation is set here because it seeds the generator of retry pauses. If the pauses
+        # came from the generator of the process, one run in forty would have a different verdict.
         controller = Controller(
             parse(json.dumps(settings).encode()),
             f"{label}-{self.rng.random()}",
--- a/tests/world/deployment.py
+++ b/tests/world/deployment.py
@@ -38,7 +38,7 @@
         self.workers: dict[str, Worker] = {}
         self.controllers: dict[str, Controller] = {}
         self.routines: dict[str, curio.Task] = {}
-        # Endpoints that are disconnected, and directed links "SOURCE>TARGET" that are.
+        # Disconnected endpoints, and disconnected directed links in the form "SOURCE>TARGET".
         self.cut: set[str] = set()
         self.held: set[str] = set()  # controllers whose requests to workers are held
         self.hold_s = (1.0, 40.0)  # range of the time for which a held message is in flight
@@ -64,14 +64,14 @@
         self.deaf: set[str] = set()  # machines whose reports arrive and which receive nothing
         self.slow_s = 0.0  # upper bound of an additional delay of the state service
         self.watch_delay_s = 0.0  # upper bound of an additional delay of each watch answer
-        # Additional run time of a task, as a share of the job's run time for each task number.
+        # A task runs longer by this share of the job's run time, multiplied by the task's number.
         self.apart = 0.0
         self.deferred_routines: list[Callable[[], Coroutine[Any, Any, None]]] = []
         self.jobs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}  # time for which each task of a job runs
         self.results: dict[str, set[int]] = {}  # numbers of the done tasks of each job
-        # Launches issued and tasks started after a user was told that their job is cancelled,
-        # with the seconds since. No rule of the bench counts them within `cancel_s`.
+        # Launches issued and tasks started after a user was told that their job is cancelled, each
+        # with the seconds since then. No rule of the bench counts those within `cancel_s`.
         self.issued_cancelled: list[tuple[str, float]] = []
         self.started_cancelled: list[tuple[str, float]] = []
         self.machine_number = 0
@@ -81,7 +81,7 @@
         self.rejected_writes: list[str] = []  # writes above the limits of the state service
         self.old: set[str] = set()  # controllers that run the previous version
         self.upgraded_at = math.inf  # when no controller runs the previous version any longer
-        self.kinds: dict[str, str] = {}  # groups of jobs, where a test treats them differently
+        self.kinds: dict[str, str] = {}  # the group of each job, in tests that distinguish groups
 
     async def open(self) -> None:
         """Start the controllers, the users' requests, the rule checks and the spawner."""
--- a/tests/world/machine.py
+++ b/tests/world/machine.py
@@ -19,7 +19,7 @@
     """A task on a machine, in the states of the worker protocol.
 
     Attributes:
-        until: When the task ends its present state: fetched or done.
+        until: The time at which the image is fetched, or at which the running task is done.
         cause: Why the task has exited.
         snapshot_stored: Whether the task stored a snapshot before it exited.
     """
@@ -87,7 +87,7 @@
                 del self.tasks[key]
 
     def launch(self, key: tuple[str, int], now: float) -> None:
-        """Start a task, or exit it at once if it already runs here or lacks room."""
+        """Start a task, or let it exit at once if it already runs here or lacks room."""
         job_id = key[0].split("/")[0]
         job = self.world.jobs[job_id]
         task = self.tasks[key] = Task("pulling", now)
--- a/tests/world/network.py
+++ b/tests/world/network.py
@@ -50,7 +50,7 @@
         )
 
     def draw_fault(self, fault: str) -> bool:
-        """Return whether a fault occurs now, drawn with the share in the attribute of its name."""
+        """Return whether a fault occurs now; the attribute `fault` names holds its probability."""
         share: float = getattr(self, fault)
         return bool(share) and self.rng.random() < share
 
@@ -92,7 +92,7 @@
         if self.link_s:
             await curio.sleep(self.rng.uniform(0.0, self.link_s))
         if source in self.mute and target in self.labels:
-            await curio.sleep(timeout_s)  # without a connection nothing can be held
+            await curio.sleep(timeout_s)  # a request without a connection can't be held
             raise http.NoAnswerError("mute")
         if not self.reaches(source, target):
             if hold and self.rng.random() < 0.3:
@@ -122,7 +122,7 @@
     async def _deliver_late(
         self, serve: Callable[[], Any], within_s: tuple[float, float] | None = None
     ) -> None:
-        """Execute a held request after a random time; nobody gets the answer."""
+        """Execute a held request after a random time, and drop the answer."""
         await curio.sleep(self.rng.uniform(*(within_s or self.hold_s)))
         try:
             answer = serve()
--- a/tests/world/state_service.py
+++ b/tests/world/state_service.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service that follows its published behaviour."""
+"""A simulated state service that follows the published behaviour of the real one."""
 
 from __future__ import annotations
 
@@ -24,7 +24,8 @@
         self.refused: set[str] = set()  # controllers that are answered 503, while others are served
         self.next_lease = 1
         self.limits = {k: v for k, v in SETTINGS["state"].items() if k != "next"}
-        # Time, revision, keys and log length after each change, for `lose`; None: not kept.
+        # Time, revision, keys and log length after each change, for `lose`. With None, past states
+        # are not kept.
         self.past: list[tuple[float, int, dict[str, Any], int]] | None = None
 
     def remember(self) -> None:
@@ -52,7 +53,7 @@
         return before - self.rev
 
     def lose_keys(self, prefix: str) -> int:
-        """Lose the records under a prefix at the same revision; return how many are lost."""
+        """Remove the records under a prefix without a new revision; return how many are removed."""
         lost = [k for k in self.keys if k.startswith(prefix)]
         for key in lost:
             del self.keys[key]
--- a/tests/world/users.py
+++ b/tests/world/users.py
@@ -51,8 +51,8 @@
         self.asked_to_cancel: set[str] = set()
         self.told: dict[str, str] = {}
         self.broken: list[str] = []
-        # Jobs answered 404 after a loss of records that nobody could rebuild. None: any answer
-        # 404 for an accepted job violates a rule.
+        # Jobs that were answered 404 after a loss of records that no controller could rebuild. With
+        # None, any answer 404 for an accepted job violates a rule.
         self.lost: set[str] | None = None
         # Whether users query all controllers at once, and submit again, when a job was accepted
         # or has ended, and the share of accepted jobs that they cancel at that moment.
@@ -60,10 +60,10 @@
         self.cancel_at_once = 0.0
         # Whether users repeat submissions, cancel ended jobs and send invalid requests.
         self.odd_requests = False
-        # When all faults are over, and since when no query about a job has been answered.
+        # When all faults are over, and since when each job's queries have gone unanswered.
         self.calm_at = math.inf
         self.unanswered_since: dict[str, float] = {}
-        self.burst_query_count = self.odd_request_count = 0  # numbers of such requests
+        self.burst_query_count = self.odd_request_count = 0  # number of these requests
 
     # -- requests --------------------------------------------------------
 
@@ -112,7 +112,8 @@
 
     async def ask(self, job_id: str, label: str) -> None:
         """Query the status of an accepted job, and check the answer."""
-        # An answer may be as old as the query, so a status heard meanwhile outdates it.
+        # An answer may be as old as the query. If another status was told meanwhile, only a final
+        # status in the answer counts.
         told = self.told.get(job_id)
         status, answer = await self.user(label, "GET", f"/api/jobs/{job_id}")
         self._count_unanswered(job_id, status in (200, 404))
@@ -267,7 +268,7 @@
         if valid is None:
             return
         value = {**valid, "id": name, "pieces": 3, "shape": "sweep", **change}
-        value = {k: v for k, v in value.items() if v is not None}  # None: the field is left out
+        value = {k: v for k, v in value.items() if v is not None}  # None omits the field
         status, _ = await self.user(label, "POST", "/api/jobs", value)
         if status in (200, 201, 400, 422) and status != expected:
             self.broken.append(f"answered {status} instead of {expected}: {change}")
