--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks that are run by hand; CI times none of them."""
+"""Benchmarks that are run by hand; CI does not time them."""
--- a/bench/capacity/figures.py
+++ b/bench/capacity/figures.py
@@ -51,9 +51,10 @@
 
 
 def pooled(runs: Sequence[Slopes]) -> Slopes:
-    """Combine runs into one: medians of their medians, and their outermost quartiles.
+    """Combine runs into one: the medians of their medians, and their outermost quartiles.
 
-    The load of the machine shifts a whole run further than the repeats within the run show.
+    Other work on the machine changes the results of a whole run more than the repeats within the
+    run show.
     """
     first = runs[0]
     if any(run.figures.keys() != first.figures.keys() for run in runs):
@@ -75,7 +76,11 @@
 
 
 def read(path: Path) -> Slopes:
-    """Read the slopes file; msgspec's error tells what is wrong with its content."""
+    """Read the slopes file.
+
+    Raises:
+        msgspec.DecodeError: The content is invalid; the message says why.
+    """
     return msgspec.json.decode(path.read_bytes(), type=Slopes)
 
 
--- a/bench/capacity/model.py
+++ b/bench/capacity/model.py
@@ -106,7 +106,7 @@
 
     @property
     def heartbeats_per_second(self) -> float:
-        """Heartbeats per second that a controller sends; it answers as many."""
+        """Heartbeats per second that a controller sends; it also answers as many."""
         return (self.layout.controllers - 1) / (LIMITS.controller_lease_s / 4)
 
     def cores_by_work(self) -> dict[str, float]:
@@ -160,7 +160,7 @@
         ) / 1e6
 
     def worker_sockets(self) -> float:
-        """Return a controller's worker connections after one machine of the cell has ended."""
+        """Return a controller's worker connections after a controller machine of its cell ended."""
         return self.workers / max(1, self.layout.controllers - self.layout.controllers_per_machine)
 
     def load_seconds(self) -> float:
@@ -180,7 +180,7 @@
 def rows(slopes: Slopes, layout: Layout) -> list[Row]:
     """Return the rows of all roles for one cell of a layout.
 
-    The rows of an undivided fleet cover the whole fleet.
+    If the fleet is not divided, its only cell is the whole fleet.
     """
     mixes = [Demand(slopes, layout, tasks) for tasks in MIXES]
     result = [
@@ -202,7 +202,7 @@
     limit: float,
     carried_by: str,
 ) -> Row:
-    """Build a row whose mechanism exists today."""
+    """Build a row for a mechanism that is implemented."""
     return Row(role, resource, unit, tuple(needed), limit, carried_by, MECHANISM_EXISTS)
 
 
@@ -386,9 +386,9 @@
 
 
 def worker_traffic(slopes: Slopes) -> Iterator[tuple[str, float]]:
-    """Yield the bytes per second that control costs a worker, by what changes.
+    """Yield the name of a load and the control traffic of a worker under this load.
 
-    The bytes of both directions count.
+    The traffic is in bytes per second and includes both directions.
     """
     report_bytes = sum(
         slopes.median(f"report.8_tasks.{part}") for part in ("bytes", "answer.bytes")
@@ -406,8 +406,9 @@
 def operations(slopes: Slopes) -> list[tuple[int, str, float, float, float, float]]:
     """Return the state service operations of a start and an end, for each mix and team.
 
-    Each row holds the tasks per job, the team, the puts and deletes of a start, of an end and of
-    both, and at the peak their ratio to the limit of one state service.
+    Each row holds the tasks per job, the team, and the puts and deletes of a start, of an end and
+    of both. The last field is the puts and deletes per second at the peak, divided by the limit of
+    one state service.
     """
     result = []
     for tasks in MIXES:
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -101,7 +101,10 @@
 
 
 def operations_table(slopes: Slopes) -> str:
-    """Return the table of a start's operations against the state service's limit at the peak."""
+    """Return the table of the operations of a start and an end on the state service.
+
+    The table also compares the operations at the peak with the limit of the state service.
+    """
     return markdown_table(
         (
             "tasks a job",
@@ -175,7 +178,7 @@
 
 
 def worker_table(slopes: Slopes) -> str:
-    """Return the table of the bytes that control costs a worker."""
+    """Return the table of the control traffic of a worker, in bytes per second."""
     return markdown_table(
         ("a worker's reports", "bytes a second", "limit", "share of the limit"),
         (
@@ -214,7 +217,7 @@
 
 
 def renewed(text: str, slopes: Slopes) -> str:
-    """Return the page with every generated table written anew.
+    """Return the page with all generated tables updated.
 
     Raises:
         KeyError: A marker or a figure is unknown.
--- a/bench/capacity/single.py
+++ b/bench/capacity/single.py
@@ -77,7 +77,8 @@
 def reports() -> Figures:
     """Measure a worker's report over loopback, unchanged and with a changed task.
 
-    The sizes alternate, so that other work on the machine affects all of them alike.
+    Workers with different numbers of tasks are measured in turn, so that other work on the machine
+    affects all figures alike.
     """
     figures: Figures = {}
     cases = {tasks: ReportBenchmark(tasks) for tasks in TASKS_PER_REPORT}
@@ -317,7 +318,10 @@
 
 
 def memory() -> Figures:
-    """Measure the bytes kept per live job, ended job, owned machine and task on it, and room."""
+    """Measure the bytes that a controller keeps for each kind of object.
+
+    The kinds are live jobs, ended jobs, owned machines, tasks on owned machines, and rooms.
+    """
 
     def live_job(controller: Controller, number: int) -> None:
         controller.record_replica.note_live(fixtures.build_job(number + 10), 1, time.monotonic())
--- a/bench/capacity/size.py
+++ b/bench/capacity/size.py
@@ -76,7 +76,7 @@
 # Interval at which a cell requests or returns a portion of a team's quota. Such portions are a
 # design that is not implemented.
 QUOTA_PORTION_INTERVAL_S = 60.0
-# Numbers of tasks per job. The cost of a start depends on which of them the peak consists of, and
-# the target size does not specify that. With one-task jobs, the peak rate would use up
-# `jobs_per_day` within seconds.
+# Numbers of tasks per job. The cost of a start depends on this number, and the target size does
+# not specify how many tasks the jobs at the peak have. With one-task jobs, the peak rate would use
+# up `jobs_per_day` within seconds.
 MIXES = (100, 10, 1)
--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -156,7 +156,7 @@
 
 
 class Day:
-    """A simulated day of equal jobs of one team, which has a quota or none."""
+    """A simulated day of equal jobs of one team, with or without a quota."""
 
     def __init__(self, seed: int, tasks: int, team: str, monkeypatch: pytest.MonkeyPatch) -> None:
         self.seed, self.tasks, self.team, self.monkeypatch = seed, tasks, team, monkeypatch
@@ -227,7 +227,7 @@
         self.found["end"] = meter.cost(start, len(selected))
 
     async def _cancel(self, world: CountedWorld, meter: Meter, job_ids: list[str]) -> None:
-        """Measure the cancellation of the other jobs, until their tasks are gone."""
+        """Measure the cancellation of the given jobs, until their tasks are gone."""
         start = meter.read()
         for job_id in job_ids:
             await curio.spawn(world.abort, job_id, daemon=True)
@@ -266,7 +266,7 @@
 
 
 def settings(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Replace the tests' settings by a large deployment's limits and stop renting."""
+    """Set a large deployment's limits in the tests' settings, and turn off renting."""
     monkeypatch.setattr(Provisioner, "run", skip_renting)
     monkeypatch.setitem(simulated.SETTINGS, "state", STATE_LIMITS)
     monkeypatch.setitem(simulated.SETTINGS, "teams", TEAMS)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -4,8 +4,8 @@
 
 Both methods place the same jobs on the same busy fleet, in which about a fifth of the machines
 stays partly free. A round places `JOBS_PER_ROUND` jobs of three classes in turn. Between two
-jobs, `UPDATES_PER_JOB` rooms are entered into the index again, as reports would cause, and the
-room taken by the previous job is given back. Neither is timed.
+jobs, the benchmark updates `UPDATES_PER_JOB` rooms in the index, as arriving reports would, and
+gives back the room that the previous job took. Neither step is timed.
 
 Times are for one job: `few` stands for jobs of at most `SMALL_JOB_TASKS` tasks, and `many` for
 jobs of up to 250 tasks, where both methods spend most of their time subtracting each task from
--- a/bench/rebuild_day.py
+++ b/bench/rebuild_day.py
@@ -160,7 +160,7 @@
     world.state.lose(1e9)
     for worker in list(world.workers.values())[:20]:
         for task in worker.tasks.values():
-            task.until = lost_at + 1.0  # so that waiting tasks can be launched
+            task.until = lost_at + 1.0  # frees room for waiting tasks
     if args.ends:
         for label in list(world.controllers):
             await world.crash(label)
--- a/bench/scaled_site.py
+++ b/bench/scaled_site.py
@@ -96,7 +96,7 @@
 
 
 def add_heavy_team(site: dict[str, Any], times: float) -> None:
-    """Move one team of the first kind into a kind of its own with `times` the weight."""
+    """Move one team of the first kind into a kind of its own with `times` times the weight."""
     first = site["teams"][0]
     if int(first.get("count", 1)) < 2:
         raise ValueError("--heavy: the first kind of team has only one team")
--- a/bench/served.py
+++ b/bench/served.py
@@ -73,7 +73,7 @@
 
 
 class ObjectiveResult(msgspec.Struct):
-    """An objective and the share of it that the report says was met."""
+    """A service-level objective and the share to which it was met, as the report states it."""
 
     kind: str
     value: float | None = None
--- a/clayport/model.py
+++ b/clayport/model.py
@@ -10,18 +10,19 @@
 
 import msgspec
 
-# The most prerequisites of a job: more would exceed the value size limit of the state service.
+# The most prerequisites of a job. A job with more would exceed the value size limit of the state
+# service.
 MAX_PREREQS = 1000
 MAX_TASKS = 100_000
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-# The form of a job id in records, where `$` also matches before a trailing line feed: early
+# The form of a job id in records. The `$` also matches before a trailing line feed, because early
 # versions accepted such ids. Requests are checked with `valid_id`, which is stricter.
 JobId = Annotated[str, msgspec.Meta(pattern=r"^j-[0-9]{1,30}$")]
 JOB_ID_PATTERN = re.compile(r"j-[0-9]{1,30}")
 Prereqs = Annotated[list[JobId], msgspec.Meta(max_length=MAX_PREREQS)]
 
-# The kinds of jobs: tasks of an array start independently, tasks of a gang start all together or
+# The kinds of jobs. Tasks of an array start independently, tasks of a gang start all together or
 # not at all, and tasks of a service run until the service is cancelled.
 ARRAY, GANG, SERVICE = "sweep", "ensemble", "daemon"
 # The rank of each priority; jobs of higher rank are scheduled first.
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -96,8 +96,9 @@
         self.routines = routines
 
     async def answer(self, kind: int, values: frames.Fields) -> Answer:
-        """Answer one request, after flushing the signals and routines that it recorded.
+        """Handle one request and return its answer.
 
+        Signals and routines that the handler has recorded are flushed before the return.
         A request that acts on machines or tasks is refused as a whole unless it comes from the
         epoch in which this controller is serving.
         """
@@ -156,13 +157,13 @@
         return self.rebuild.recovery.answer(frames.HISTORY, values)
 
     async def evidence(self, *values: Any) -> Answer:
-        """EVIDENCE: one part of this controller's evidence about the records to be rebuilt."""
+        """EVIDENCE: return one part of this controller's evidence for a rebuild of the records."""
         if self.rebuild.recovery is None:
             return NO_EVIDENCE
         return self.rebuild.recovery.answer(frames.EVIDENCE, values)
 
     async def inspect(self, machine: str, address: str) -> Answer:
-        """INSPECT: whether a machine that is silent to its owner answers this controller."""
+        """INSPECT: return whether a machine that is silent to its owner answers this controller."""
         return frames.ACK, (await self.fleet.inspect(machine, address),)
 
     async def gone(self, _epoch: int, machines: list[NameRecord]) -> Answer:
@@ -174,7 +175,7 @@
         return AGREED
 
     async def report(self, epoch: int, body: bytes) -> Answer:
-        """REPORT: a report that a peer forwards for a worker that can't reach this controller."""
+        """REPORT: handle a report forwarded for a worker that can't reach this controller."""
         now = time.monotonic()
         try:
             report = msgspec.json.decode(body, type=WorkerHeartbeat)
@@ -192,7 +193,7 @@
     # -- requests to the leader of a job -----------------------------------
 
     async def counts(self, _epoch: int, job: str) -> Answer:
-        """COUNTS: how many tasks of a job are done and how many are running."""
+        """COUNTS: return how many tasks of a job are done and how many are running."""
         counts = self.dispatcher.counts(job)
         return NO_COUNTS if counts is None else (frames.COUNTED, (True, *counts))
 
@@ -202,13 +203,13 @@
         return frames.VERDICTS, (True, [(verdict,) for verdict in verdicts])
 
     async def move(self, _epoch: int, job: str, number: int, machine: str, drain: bool) -> Answer:
-        """MOVE: whether a replica can move from this machine to another one."""
+        """MOVE: return whether a replica can move from this machine to another one."""
         return frames.ACK, (self.placer.movable(job, number, machine, drain),)
 
     # -- requests to the owner of machines ---------------------------------
 
     async def free_room(self, _epoch: int, since: int, machines: list[NameRecord]) -> Answer:
-        """FREE_ROOM: the table of free room, or the changes to it since a revision."""
+        """FREE_ROOM: return the table of free room, or the changes to it since a revision."""
         return frames.TABLE, self.cached_state.table(since, [name for (name,) in machines])
 
     async def reserve(
@@ -260,13 +261,13 @@
         return frames.ACK, (self.fleet.evacuate(machine, drain),)
 
     async def drain(self, _epoch: int, machine: str) -> Answer:
-        """DRAIN: close a machine to new tasks; whether the machine is empty and closed."""
+        """DRAIN: close a machine to new tasks; return whether it is empty and closed."""
         return frames.ACK, (self.machines.drain(machine),)
 
     # -- requests to the provisioner ---------------------------------------
 
     async def fence(self, _epoch: int, machine: str, _cause: str) -> Answer:
-        """FENCE: return a silent machine to the cloud; accept once the cloud confirms."""
+        """FENCE: return a silent machine to the cloud; accept only after the cloud confirms."""
         if self.membership.epoch.provisioner != self.membership.label:
             return REFUSED
         try:
--- a/clayport/rebuild/__init__.py
+++ b/clayport/rebuild/__init__.py
@@ -3,9 +3,9 @@
 `history` detects a loss and prevents commits that rely on lost records. `evidence` defines what
 a controller sends to the peer that rebuilds, and `gather` collects it. `merge` and `chunk_merge`
 compute the records, and `plan` divides the writes into transactions. `recovery` watches the
-history and joins a new one, `rebuilder` carries out a rebuild, `inventory` asks the machines
-which tasks they hold, and `late_evidence` adds the records that only a controller which was
-disconnected during the rebuild knows.
+history and joins a new one, `rebuilder` carries out a rebuild, and `inventory` asks the machines
+which tasks they hold. If a controller was disconnected during the rebuild, `late_evidence` adds
+the records that only this controller knows.
 
 `recorder` keeps snapshots of the records. `files` finds the snapshots in a directory;
 `snapshot_format` defines the file format, and `snapshot_base` and `snapshot_log` read and write
--- a/clayport/rebuild/chunk_merge.py
+++ b/clayport/rebuild/chunk_merge.py
@@ -41,10 +41,10 @@
     Attributes:
         stored: The chunks that the state service still has, by job.
         members: The members of the last epoch: label to incarnation.
-        from_leaders: By label of a member whose evidence is complete, the chunks of the jobs that
-            it leads.
-        older: The chunks of each other evidence: of earlier epochs, of controllers that had not
-            loaded their jobs, and of snapshots.
+        from_leaders: For each member whose evidence is complete, the chunks of the jobs that the
+            member leads, by label.
+        older: The chunks of all other evidence, one entry for each. This is evidence of earlier
+            epochs, of controllers that had not loaded their jobs, and of snapshots.
         listed: The tasks that machines report, by job.
     """
 
--- a/clayport/rebuild/evidence.py
+++ b/clayport/rebuild/evidence.py
@@ -33,7 +33,7 @@
     versions: dict[str, int] = {}
     classes: dict[str, Any] = {}
     machines: dict[str, str] = {}  # name: address
-    remembered: Evidence | None = None  # the snapshot that it read at its start
+    remembered: Evidence | None = None  # snapshot read at the controller's start
 
 
 class Task(msgspec.Struct, frozen=True):
@@ -68,10 +68,10 @@
 
 
 def only_news(evidence: Evidence, known: Evidence) -> None:
-    """Remove the live jobs and the job ends that other evidence already has.
+    """Remove the live jobs and the job ends that `known` contains too.
 
-    Every controller knows nearly all of them, so keeping each copy would multiply the memory of
-    a rebuild by the number of controllers.
+    Every controller knows nearly all live jobs and job ends, so keeping each copy would multiply
+    the memory of a rebuild by the number of controllers.
     """
     evidence.live = {name: row for name, row in evidence.live.items() if name not in known.live}
     evidence.ended = {
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -96,8 +96,8 @@
                 be higher.
 
         Returns:
-            False if the revision is too low. Commits have been lost then, and the history
-            becomes suspect.
+            False if the revision is too low. In this case commits have been lost, and the
+            history becomes suspect.
         """
         if self.name and revision < highest_revision + wrote:
             self.suspect(f"revision {revision} after {highest_revision}")
@@ -108,7 +108,7 @@
     def note_peer(self, name: str, number: int, highest_revision: int, suspicion: bool) -> None:
         """Compare this history with the history of a peer.
 
-        The arguments are the peer's attributes of the same names, but `suspicion` only says
+        The first three arguments are the peer's attributes of the same names, and `suspicion` says
         whether the peer's history is suspect. A peer without a history or with an earlier one is
         ignored, because it has just started or has not yet joined the current history.
         """
@@ -125,8 +125,8 @@
         """Check that the anchor is among all keys that were just read under a prefix.
 
         Returns:
-            False if the anchor is missing. Records have been lost then, and the history becomes
-            suspect.
+            False if the anchor is missing. In this case records have been lost, and the history
+            becomes suspect.
         """
         if self.name and anchor_key(prefix, self.name) not in keys:
             self.suspect(f"nothing holds {prefix}")
@@ -137,8 +137,8 @@
         """Check the keys whose conditions made a commit fail.
 
         Returns:
-            True if an anchor is among them. The history has ended or has been lost then, and it
-            becomes suspect.
+            True if an anchor is among them. In this case the history has ended or has been lost,
+            and it becomes suspect.
         """
         if any(key in self.anchors for key in keys):
             self.suspect("the history has moved on")
@@ -154,7 +154,7 @@
     def join(
         self, name: str, number: int, anchors: Mapping[str, int], highest_revision: int
     ) -> None:
-        """Switch to a history, which is not suspect; an empty name means no history."""
+        """Switch to a history and clear the suspicion; an empty name means no history."""
         self.name, self.number, self.anchors, self.highest_revision = (
             name,
             number,
--- a/clayport/rebuild/inventory.py
+++ b/clayport/rebuild/inventory.py
@@ -176,10 +176,10 @@
         return msgspec.json.decode(answer, type=WorkerHeartbeat)
 
     async def _return_silent(self) -> None:
-        """Return machines to the cloud that stay silent.
+        """Return to the cloud the machines that stay silent.
 
-        While most machines are silent, each of them is kept for half of `cancel_s`, because this
-        controller itself is probably the one that is disconnected.
+        While most machines are silent, a silent machine is kept for half of `cancel_s`, because
+        the fault is probably that this controller itself is disconnected.
         """
         controller, silent_since, now = self.controller, self.silent_since, time.monotonic()
         mostly_silent = len(silent_since) > 2 and len(silent_since) > len(self.tasks_by_machine)
--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -62,7 +62,7 @@
         try:
             await self.controller.store.commit(Txn().require(*next(iter(txn.when.items()))))
         except ConflictError:
-            return True  # The record exists; the check has cost no write.
+            return True  # The record exists; checking a condition alone costs no write.
         try:
             await self.controller.store.commit(txn)
             log.info("event=late-evidence %s=%s", kind, name)
--- a/clayport/rebuild/recorder.py
+++ b/clayport/rebuild/recorder.py
@@ -33,7 +33,7 @@
 def remembered(snapshot: files.Snapshot, label: str) -> Evidence:
     """Convert a snapshot into evidence.
 
-    The evidence has no machines. The assignments in its chunks decide nothing, because the
+    The evidence has no machines. The merge ignores the assignments in its chunks, because the
     machines' own reports are newer.
     """
     evidence = Evidence(f"{label}/disk", "")
@@ -82,7 +82,7 @@
     async def run(self) -> None:
         """Record all changes while the history is not suspect; start a new base for each history.
 
-        Runs as long as the process.
+        This routine runs as long as the process.
         """
         controller = self.controller
         attempt = controller.store.begin()
--- a/clayport/rebuild/recovery.py
+++ b/clayport/rebuild/recovery.py
@@ -196,7 +196,7 @@
         return frames.EVIDENCE_REPLY, (len(parts), parts[part] if part < len(parts) else b"")
 
     def note_head(self, value: Any) -> None:
-        """Suspect the history if the head record, as the watch delivers it, names another one."""
+        """Suspect the history if the head record that the watch delivers names another history."""
         if self.history.name and str(value["id"]) != self.history.name:
             self.history.suspect("the head has moved")
 
@@ -228,7 +228,8 @@
         controller = self.controller
         txn = Txn().require(HEAD_KEY, self.head_rev)
         for prefix in PREFIXES:
-            # No key equals a prefix. The condition adds the prefix's anchor to the commit.
+            # The condition always holds, because no key equals a prefix. It makes the commit
+            # require the anchor of the prefix as well.
             txn.require(prefix, 0)
         if controller.membership.epoch.rev:
             txn.require(EPOCH_KEY, controller.membership.epoch.rev)
@@ -281,8 +282,8 @@
                     entry.key[len("c/version/") :], entry.value, entry.rev
                 )
         head = records.get(HEAD_KEY)
-        # With neither a head nor an epoch record, all peers are asked, because their formats are
-        # among the lost records.
+        # If both the head and the epoch record are missing, all peers are asked, because the
+        # records of their formats were lost too.
         peer_histories = [
             peer_history
             for label in controller.peers
@@ -296,7 +297,7 @@
             and EPOCH_KEY in records
             and not self._all_support_histories()
         ):
-            # A controller of an older version may be running, which can't take part in a rebuild.
+            # A controller of an older version, which can't take part in a rebuild, may be running.
             log.info("event=no-history cause='not all controllers are new'")
             history.join("", 0, {}, 0)
             self._await_new_epoch()
@@ -338,10 +339,10 @@
         )
 
     def _peer_rebuilds(self, head: Entry | None) -> bool:
-        """Return whether a peer rebuilds the records or takes precedence.
+        """Return whether this controller has to leave the rebuild to a reachable peer.
 
-        A reachable peer that has begun a rebuild takes precedence. If no peer has begun one, the
-        reachable controller with the lowest label does so until half a lease TTL after the
+        A reachable peer that has begun a rebuild takes precedence. If no peer has begun a rebuild,
+        a reachable peer with a lower label takes precedence until half a lease TTL after the
         suspicion. Two concurrent rebuilds can't both succeed, but would delay each other.
         """
         controller, now = self.controller, time.monotonic()
@@ -362,7 +363,7 @@
     # -- joining ---------------------------------------------------------
 
     async def _join_history(self, head: Entry, revs: dict[str, int]) -> None:
-        """Join the history that the head names, and add the evidence that it lacks."""
+        """Join the history that the head names, and add records that only this controller has."""
         controller, name = self.controller, str(head.value["id"])
         own_evidence = gather(controller, self.loaded)
         self.head_rev = head.rev
--- a/clayport/rebuild/restore.py
+++ b/clayport/rebuild/restore.py
@@ -92,7 +92,7 @@
 
 
 async def read_all(store: StateStore) -> tuple[Records, int]:
-    """Read every record; return them and a revision up to which they contain all changes.
+    """Read all records; return them and a revision up to which they contain all changes.
 
     Progress is printed to stderr.
 
--- a/clayport/rebuild/snapshot_base.py
+++ b/clayport/rebuild/snapshot_base.py
@@ -27,7 +27,7 @@
 
 
 def write_base(directory: Path, header: Header, rows: Iterable[Row]) -> Path:
-    """Write a base and return its path; the base is synced to disk by then.
+    """Write a base, sync it to disk, and return its path.
 
     Raises:
         OSError: The base can't be written; a file `*.part` may remain.
--- a/clayport/settings.py
+++ b/clayport/settings.py
@@ -205,14 +205,14 @@
 
 def _check_members(settings: Settings) -> None:
     if len(set(settings.labels)) != len(settings.members) + 1:
-        raise ConfigError("members: a label stands twice")
+        raise ConfigError("members: two controllers have the same label")
     if settings.cluster.size != len(settings.members) + 1:
-        raise ConfigError("cluster.size: differs from the number of members and this one")
+        raise ConfigError("cluster.size: must be one more than the number of members")
 
 
 def _check_teams(teams: list[Team]) -> None:
     if len({team.name for team in teams}) != len(teams):
-        raise ConfigError("cluster.teams: a name stands twice")
+        raise ConfigError("cluster.teams: two teams have the same name")
     for team in teams:
         if 0 < team.cpus_max < team.cpus or 0 < team.gpus_max < team.gpus:
             raise ConfigError(f"cluster.teams: {team.name} is guaranteed more than its limit")
--- a/clayport/transport/frames.py
+++ b/clayport/transport/frames.py
@@ -181,9 +181,9 @@
     """A compiled schema in which each run of fixed-size fields is a single `struct.Struct`.
 
     Attributes:
-        steps: In field order, a tuple per step of a `Struct` (None if the step is not a run of
-            fixed-size fields), the number of fields, and the code `s` or `b` or the layout of
-            a list's records.
+        steps: The runs of fixed-size fields and the single other fields, in field order. Each is a
+            tuple of the `Struct` of the run (None for another field), the number of fields, and
+            for another field its code (`s` or `b`) or the layout of the list's records.
         width: The number of fields.
         fixed: The only `Struct` if all fields have a fixed size, otherwise None.
     """
--- a/clayport/transport/http.py
+++ b/clayport/transport/http.py
@@ -75,8 +75,8 @@
 
     Args:
         handler: Answers a request.
-        max_connections: The most open connections, as long as a user's connection is idle and
-            can be closed.
+        max_connections: The most open connections. The limit is exceeded only if no open
+            connection is both idle and unprotected, because then none can be closed.
         idle_s: How long a connection may stay open between requests.
         request_s: How long a request may take to arrive after its first byte.
         protected_path: The path prefix of workers' reports.
@@ -145,7 +145,7 @@
                 return
 
     async def _serve_connection(self, client: Any) -> None:
-        """Serve the requests of a connection; pass unusual ones and all that follow to h11."""
+        """Serve a connection; h11 serves the first unusual request and all requests after it."""
         task = await curio.current_task()
         data = bytearray()
         protected = False
@@ -291,7 +291,7 @@
 
         Raises:
             NotSentError: No connection could be opened in time.
-            NoAnswerError: No response arrived in time, or the received bytes are not one.
+            NoAnswerError: No valid response arrived in time.
         """
         sent = False
         sock: Any = None
--- a/clayport/transport/http_heads.py
+++ b/clayport/transport/http_heads.py
@@ -1,4 +1,4 @@
-"""Cached parsing and encoding of HTTP message heads. Pure: no I/O, no clock.
+"""Cached parsing and encoding of HTTP message heads, without I/O and without a clock.
 
 Most message heads repeat: a worker's reports differ in their length at most, a user polls the
 same job every few seconds, and most responses are alike. Without the cache, h11 (regular
@@ -57,7 +57,8 @@
 def needs_h11(data: bytearray) -> bool:
     """Return whether h11 has to handle an incomplete head.
 
-    The bytes may already be an error, or the head may end in an unusual way.
+    The head may be too long for the cache, may already be an error (it begins with a space or a
+    control character), or may have ended with a bare line feed before the empty line.
     """
     return (
         len(data) > MAX_CACHED_BYTES
@@ -135,7 +136,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_HEADS)
 def response_event(status: int, length: int, extra: tuple[tuple[str, str], ...]) -> h11.Response:
-    """Build the h11 event of such a response, for a connection that h11 handles."""
+    """Build the h11 event of a response head, for a connection that h11 handles."""
     return h11.Response(
         status_code=status,
         headers=[("Content-Type", "application/json"), ("Content-Length", str(length)), *extra],
@@ -149,7 +150,7 @@
 
 
 def request_event(method: str, path: str, host: str, length: int | None) -> h11.Request:
-    """Build the h11 event of such a request, for a connection that h11 handles."""
+    """Build the h11 event of a request head, for a connection that h11 handles."""
     headers = [("Host", host)]
     if length is not None:
         headers += [("Content-Length", str(length)), ("Content-Type", "application/json")]
--- a/clayport/transport/peers.py
+++ b/clayport/transport/peers.py
@@ -70,7 +70,7 @@
 
     def __init__(self) -> None:
         self.done = curio.Event()
-        self.answer: Fields | None = None  # still None when done if the connection was lost
+        self.answer: Fields | None = None  # still None after `done` if the connection is lost
 
 
 class Peer:
--- a/clayport/user_api.py
+++ b/clayport/user_api.py
@@ -52,8 +52,8 @@
 # The share of the user's timeout within which an answer must be ready. The rest is left for the
 # network.
 RESPONSE_TIME_SHARE = 0.7
-# How often a submission waits for this process to get CPU time: to be read, and to be answered
-# after the state service has responded.
+# The number of times that a submission waits for CPU time of this process: once to be read, and
+# once to be answered after the state service has responded.
 CPU_WAITS = 2
 # The size of a final record in bytes, not counting the job description in it.
 END_OVERHEAD_BYTES = 64
@@ -194,7 +194,7 @@
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as exc:
             return Response(400, {"error": str(exc)})
         if not self.stalls.check(time.monotonic()):
-            # The process has stalled, so the request may be so old that its user has left.
+            # The process has stalled, so the user may no longer be waiting for the answer.
             raise UnavailableError("just awake")
         deadline = Deadline.within(time.monotonic(), RESPONSE_TIME_SHARE * SUBMIT_TIMEOUT_S)
         if not all(valid_id(name) for name in (job.id, *(job.prereqs or ()))):
@@ -216,7 +216,7 @@
             if cause:
                 return await self._refuse(job, 422, cause, deadline)
             if not self.upgrade.complete:
-                # A controller of the previous version would start the job at once.
+                # A controller of the previous version would start the job without waiting.
                 raise UnavailableError("not all controllers can take prereqs yet")
         rev = await self._commit_live(job.id, value, deadline)
         if rev is None:
--- a/run.py
+++ b/run.py
@@ -14,8 +14,8 @@
 gc.disable()
 
 # The build step compiles the modules of clayport ahead of time into target/pycache. The compiled
-# files of libraries lie beside their sources, so all libraries are imported first and without
-# the prefix: with the prefix they would be compiled again at each start.
+# files of libraries lie beside their sources, so all libraries are imported first and while
+# `sys.pycache_prefix` is not set. With the prefix, they would be compiled again at each start.
 import __future__  # noqa: E402, F401
 
 import argparse  # noqa: E402, F401
