--- a/clayport/rebuild/late_evidence.py
+++ b/clayport/rebuild/late_evidence.py
@@ -64,7 +64,7 @@
                 Txn().require(*next(iter(txn.required_revs.items())))
             )
         except ConflictError:
-            return True  # The record exists; the check has cost no write.
+            return True  # The record exists; checking a condition alone costs no write.
         try:
             await self.controller.store.commit(txn)
             log.info("event=late-evidence %s=%s", kind, name)
