--- a/bench/capacity/whole.py
+++ b/bench/capacity/whole.py
@@ -238,7 +238,7 @@
 
 
 def jobs() -> Figures:
-    """Measure starts and ends per task, polls per poll, and cancellations per job."""
+    """Measure the costs of a task's start and end, of a poll, and of a job's cancellation."""
     values_by_figure: dict[str, list[float]] = {}
     for tasks, team in itertools.product(MEASURED_JOB_SIZES, ("limited", "free")):
         for seed in range(SEED_COUNT):
--- a/bench/scaled_site.py
+++ b/bench/scaled_site.py
@@ -99,7 +99,7 @@
     """Move one team of the first kind into a kind of its own with `times` times the weight."""
     first = site["teams"][0]
     if int(first.get("count", 1)) < 2:
-        raise ValueError("--heavy: the first kind of team has only one team")
+        raise ValueError("--heavy requires at least two teams of the first kind")
     heavy_team = tomlkit.table()
     for key, value in first.items():
         heavy_team[key] = value
--- a/clayport/machines/command_sender.py
+++ b/clayport/machines/command_sender.py
@@ -152,7 +152,11 @@
         if status in (200, 409):
             self._apply_answer(machine, raw)
         if status != 200:
-            log.info("machine=%s event=refused status=%d", machine.name, status)
+            log.info(
+                "machine=%s event=refused status=%d the worker refused the commands",
+                machine.name,
+                status,
+            )
         return status == 200
 
     def _apply_answer(self, machine: Machine, raw: bytes) -> None:
--- a/clayport/machines/table.py
+++ b/clayport/machines/table.py
@@ -252,7 +252,10 @@
     def reserve(
         self, job: Job, items: Iterable[tuple[str, int]], attempt: int, now: float
     ) -> list[bool]:
-        """Reserve room for tasks, (machine, number), and return whether each is granted."""
+        """Reserve room for tasks of a job, and return whether each reservation is granted.
+
+        Each item holds a machine's name and the number of the task to start there.
+        """
         return assignments.reserve(self, job, items, attempt, now)
 
     def expire(self, now: float) -> None:
@@ -268,7 +271,10 @@
         assignments.stop(self, items)
 
     def adopt(self, items: Iterable[tuple[str, str, int]], now: float) -> None:
-        """Add committed assignments, (machine, task, attempt), that a leader has read."""
+        """Add committed assignments that a leader has read.
+
+        Each item holds a machine's name, a task and the number of the attempt.
+        """
         assignments.adopt(self, items, now)
 
     def preempt(
--- a/clayport/peer_requests.py
+++ b/clayport/peer_requests.py
@@ -121,7 +121,7 @@
     async def ping(
         self, label: str, epoch: int, state_service_ok: bool, room_rev: int, demand: list[DemandRow]
     ) -> Answer:
-        """PING: a heartbeat that asks for no promise."""
+        """PING: answer a heartbeat without renewing the promise to the sender."""
         heartbeats = self.heartbeats
         heartbeats.receive(label, epoch, state_service_ok, room_rev, demand)
         return frames.PONG, heartbeats.status(time.monotonic())
@@ -136,7 +136,11 @@
         _incarnation: str,
         known_rev: int,
     ) -> Answer:
-        """HEARTBEAT: a heartbeat that asks for a promise about cancellations."""
+        """HEARTBEAT: answer a heartbeat, and renew the promise to the sender if that is allowed.
+
+        Until the promise expires, this controller tells users of a cancellation only if the
+        sender has acknowledged the cancellation (package `leases`).
+        """
         now = time.monotonic()
         heartbeats = self.heartbeats
         is_peer = heartbeats.receive(label, epoch, state_service_ok, room_rev, demand)
--- a/clayport/scaling/consolidation.py
+++ b/clayport/scaling/consolidation.py
@@ -142,7 +142,8 @@
                 or now - self._tried_at.get(room.machine, -1e9)
                 < 2 * self.settings.cluster.workers.lease_s
             ):
-                continue  # empties by itself, or its owner was asked recently
+                # The machine has no replicas to move, or its owner was asked recently to empty it.
+                continue
             expensive = any(policy.expensive(job, room) for job in policy.services)
             # Expensive machines sort first, then machines with fewer replica CPUs to move.
             found.append(Candidate(not (expensive or gpu_jobs), replica_cpus, room.machine))
--- a/clayport/scaling/demand.py
+++ b/clayport/scaling/demand.py
@@ -50,7 +50,7 @@
     avoid_expensive: bool = False,
     avoid_idle_on_demand: bool = False,
 ) -> list[Demand]:
-    """Place demand in the rooms, charging them, and return the demand that doesn't fit.
+    """Allocate demand in the rooms, and return the demand that doesn't fit.
 
     Images are ignored, because they don't change how much fits. Sorting the machines separately
     for each image would take most of the provisioner's processor time.
--- a/clayport/scaling/rental_plan.py
+++ b/clayport/scaling/rental_plan.py
@@ -198,7 +198,7 @@
         Args:
             waiting: All waiting demand.
             busy: The CPUs in use now.
-            index: The free room, charged for all other demand.
+            index: The room that remains free after all other demand has been placed.
             policy: The placement policy.
         """
         placer = self.placer
--- a/clayport/scheduling/cached_state.py
+++ b/clayport/scheduling/cached_state.py
@@ -112,8 +112,8 @@
             the rooms.
         pulled: For each peer, the revision of its table at the last pull.
         own_table_rev: The revision of this controller's own table at the last read (-1: none).
-        stale: Machines whose rooms were charged or closed here, and therefore differ from
-            their owner's table until the owner is asked for them again.
+        stale: Machines in whose rooms tasks were allocated here, or whose rooms were closed here.
+            The rooms differ from the owner's table until the owner is asked for them again.
         pulling: Peers whose tables are about to be pulled after a preemption.
         lacks_room: Whether the last pass of the placer left jobs other than backfill without room.
     """
@@ -226,7 +226,8 @@
     async def _pull(self, label: str) -> None:
         """Pull the changes of a peer's table since the last pull.
 
-        The peer also sends the machines whose rooms were charged or closed here since then.
+        The peer also sends the machines in whose rooms tasks were allocated here since then, or
+        whose rooms were closed here.
         """
         epoch, rooms = self.membership.epoch, self.view.rooms
         charged = [name for name in self.stale if name in rooms and rooms[name].owner == label]
--- a/clayport/scheduling/index.py
+++ b/clayport/scheduling/index.py
@@ -362,8 +362,9 @@
     ) -> Iterator[Room]:
         """Yield rooms that may have enough CPUs and GPUs for one task, the preferred first.
 
-        The order is that of `placement.place`. Rooms may be charged during the iteration. The
-        views are sorted by the sum of CPUs and GPUs, so the caller has to check `Room.fits`.
+        The order is that of `placement.place`. The caller may allocate tasks in the
+        rooms during the iteration. The views are sorted by the sum of CPUs and GPUs, so the
+        caller has to check `Room.fits`.
 
         Args:
             job: The job to place.
--- a/clayport/scheduling/placement.py
+++ b/clayport/scheduling/placement.py
@@ -29,7 +29,9 @@
     image_fetch_types: frozenset[str] | None = None,
     reserve: LargeTaskReserve | None = None,
 ) -> list[Room]:
-    """Choose machines for tasks of a job, and charge the rooms and the spread for them.
+    """Choose machines for tasks of a job, and allocate the tasks in the rooms.
+
+    The tasks' resources are subtracted from the rooms, and the tasks are counted in `spread`.
 
     The order of preference, most important criterion first:
 
@@ -136,8 +138,8 @@
     """Return whether the rooms certainly hold `wanted` tasks of the job.
 
     Each machine is counted for one job only: the counted machines are added to `excluded`.
-    No room is charged, so the check is cheap if there is plenty of room. False does not mean
-    that the tasks do not fit; only a trial placement can tell.
+    No resources are subtracted from the rooms, so the check is cheap if there is plenty of room.
+    False does not mean that the tasks do not fit; only a trial placement can tell.
     """
     if job.kind == GANG or job.one_zone:
         return False
@@ -205,13 +207,13 @@
     policy: Policy,
     reserve: LargeTaskReserve | None,
 ) -> int:
-    """Charge a room for as many tasks as it may take, and return their number.
+    """Allocate in a room as many tasks as it may take, and return their number.
 
     At least one task of the job must fit the room's free resources.
     """
     gpu_job = policy.protected_job(job, room)
     large_job = reserve.large_job_for(job, room) if reserve is not None else None
-    # Tasks are charged one by one if each of them can change whether the next is allowed.
+    # Tasks are allocated one by one if each of them can change whether the next is allowed.
     charge_singly = job.one_zone or job.spread or gpu_job is not None or large_job is not None
     placed = 0
     while (
@@ -229,7 +231,7 @@
 
 
 def _undo_charges(job: Job, chosen: list[Room], spread: Spread) -> None:
-    """Undo the charges for the chosen rooms and their zones."""
+    """Release the tasks' resources in the chosen rooms, and remove the tasks from `spread`."""
     for room in chosen:
         room.allocate(job, -1)
         spread.counts[room.zone] -= 1
--- a/clayport/scheduling/preemption.py
+++ b/clayport/scheduling/preemption.py
@@ -36,8 +36,8 @@
     """Find the machines on which preempting tasks of lower rank makes room at the least cost.
 
     All tasks are handled in one call because, for an array of hundreds of tasks, handling one
-    machine at a time took longer than the array's time limit. The spread is charged, but the
-    rooms are not.
+    machine at a time took longer than the array's time limit. The
+    tasks are counted in `spread`, but their resources are not subtracted from the rooms.
 
     Args:
         job: The job to make room for.
@@ -124,7 +124,7 @@
 
 
 def _choose(job: Job, wanted: int, offers: list[Offer], spread: Spread) -> list[tuple[Room, int]]:
-    """Return the best offers that together hold the tasks, and charge the spread for them."""
+    """Return the best offers that together hold the tasks, and count the tasks in `spread`."""
     found: list[tuple[Room, int]] = []
     for rank, _, _, _, room in sorted(offers, key=lambda offer: offer[:4]):
         count = 0
--- a/clayport/scheduling/room.py
+++ b/clayport/scheduling/room.py
@@ -105,7 +105,7 @@
         self.used = {(rank, without_gpus): [c, g, m] for rank, without_gpus, c, g, m in used}
 
     def copy(self) -> Room:
-        """Return a copy that belongs to no index, so that it can be charged on its own."""
+        """Return a copy that belongs to no index, so that tasks can be allocated in it alone."""
         other = Room.__new__(Room)
         other.machine, other.address, other.type = self.machine, self.address, self.type
         other.zone, other.spot, other.owner = self.zone, self.spot, self.owner
--- a/clayport/scheduling/room_finder.py
+++ b/clayport/scheduling/room_finder.py
@@ -85,9 +85,9 @@
             scheduling_pass: The scheduling pass.
 
         Returns:
-            The chosen rooms, which are charged, and the number of tasks for which free room
-            was sought. That number is smaller than `wanted` if preemption is making room for
-            some of the tasks, or if the job is at fault.
+            The chosen rooms, from which the tasks' resources are subtracted, and the number of
+            tasks for which free room was sought. That number is smaller than `wanted` if
+            preemption is making room for some of the tasks, or if the job is at fault.
         """
         search = self._search_conditions(managed, scheduling_pass)
         job, now, age_s = managed.job, scheduling_pass.now, search.age_s
--- a/clayport/scheduling/room_search.py
+++ b/clayport/scheduling/room_search.py
@@ -48,7 +48,7 @@
         avoid_expensive: bool = False,
         image_fetch_types: frozenset[str] | None = None,
     ) -> list[Room]:
-        """Choose and charge free rooms.
+        """Choose free rooms for tasks of the job, and allocate the tasks in them.
 
         Args:
             wanted: The number of tasks to place.
--- a/tests/jobs/test_jobs.py
+++ b/tests/jobs/test_jobs.py
@@ -188,8 +188,8 @@
     "fields, limit, ok",
     [
         ({"vcpus": 4.0}, (0.0, 0.0), True),  # no limit
-        ({"vcpus": 4.0}, (4.0, 0.0), True),  # an array: one task
-        ({"vcpus": 4.0, "shape": "ensemble"}, (8.0, 0.0), False),  # a gang: all tasks
+        ({"vcpus": 4.0}, (4.0, 0.0), True),  # an array needs quota for one task
+        ({"vcpus": 4.0, "shape": "ensemble"}, (8.0, 0.0), False),  # a gang needs it for all
         ({"vcpus": 4.0, "shape": "daemon"}, (12.0, 0.0), True),
         ({"cards": 2.0}, (0.0, 1.0), False),
     ],
--- a/tests/leases/test_cancellations.py
+++ b/tests/leases/test_cancellations.py
@@ -13,29 +13,29 @@
 from clayport.leases.watermark import CancellationWatermark
 
 DURATION_S = 10.0
-DRIFT = 1.008  # the discloser's clock runs faster than the renewer's, beyond the allowed drift
+DRIFT = 1.008  # ratio of the clock rates of `discloser` and `renewer`, beyond the allowed drift
 
 
 class Simulation:
-    """A discloser, which tells users of cancellations, and a renewer, which renews leases.
+    """A controller that tells users of cancellations, and a controller that renews leases.
 
-    Both are controllers and may restart. They communicate by the records, and by messages that
-    may be lost or late. The simulation records, in true time, when users were told, and tracks
-    what the renewer knows.
+    They are called `discloser` and `renewer`. Both may restart. They communicate by the records,
+    and by messages that may be lost or late. The simulation records, in true time, when users
+    were told, and tracks what `renewer` knows.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.now, self.jobs = rng, 1000.0, 0
         self.committed: list[str] = []
         self.disclosed_at: dict[str, float] = {}  # the time of disclosure of each cancelled job
-        self.known_to_renewer: set[str] = set()  # cancelled jobs that the renewer knows
+        self.known_to_renewer: set[str] = set()  # cancelled jobs that `renewer` knows
         self.incarnation = self.acks = 0
         self.start_discloser()
         self.start_renewer()
 
     def start_discloser(self) -> None:
         self.incarnation += 1
-        self.known_to_discloser: set[str] = set()  # cancelled jobs that the discloser knows
+        self.known_to_discloser: set[str] = set()  # cancelled jobs that `discloser` knows
         self.discloser = Promises(["renewer"], DURATION_S, self.now * DRIFT)
 
     def start_renewer(self) -> None:
@@ -49,7 +49,10 @@
         self.discloser.note_end(self.committed[-1], self.jobs)
 
     def read_final_record(self) -> None:
-        """Let the discloser read how a job ended, with or without the revision."""
+        """Let `discloser` learn that a job was cancelled.
+
+        The revision of the job's final record may remain unknown to `discloser`.
+        """
         if self.committed:
             job = self.rng.choice(self.committed)
             self.known_to_discloser.add(job)
