--- a/clayport/limits/gate.py
+++ b/clayport/limits/gate.py
@@ -1,4 +1,4 @@
-"""The gate and the circuit of a server, at which routines wait before they send requests."""
+"""The gate and the retry coordinator of a server, which make routines wait to send requests."""
 
 from __future__ import annotations
 
--- a/clayport/machines/assignments.py
+++ b/clayport/machines/assignments.py
@@ -37,7 +37,7 @@
             rooms[name] = table.room(machine)
         key = (f"{job.id}/{number}", attempt)
         # A reservation never replaces a task that is already desired or reported. Otherwise
-        # dropping the reservation would settle a task whose launch may have been sent.
+        # dropping the reservation would count a task as gone whose launch may have been sent.
         fits = (
             machine is not None
             and key not in machine.desired
@@ -74,8 +74,8 @@
     """Queue launches of reserved tasks.
 
     Only a task whose reservation still exists is launched. A launch request may be delayed
-    in the network and arrive after its leader has settled the attempt and placed the task
-    elsewhere.
+    in the network and arrive after its leader has learned that the attempt is gone and has
+    placed the task elsewhere.
 
     Returns:
         For each item 1, or 0 if there is no reservation, so that this request never starts
--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -1,4 +1,4 @@
-"""The history (lineage) of the records that a controller acts on, and the checks for a loss.
+"""The history of the records that a controller acts on, and the checks for a loss.
 
 The rest of the scheduler relies on compare-and-set: a commit names the revisions of the keys that
 it read, and fails if one of them has changed. This is safe only while the state service never
@@ -8,7 +8,7 @@
 
 Therefore each period without a loss is a history. A history has a random name that is never
 reused, and an anchor under each persistent prefix. An anchor is a key that contains the name.
-The conditions of every commit include the anchors of the prefixes that the commit touches. A
+The conditions of every commit include the anchors of the prefixes that the commit writes. A
 rebuild after a loss begins a new history by deleting the old anchors, so that a commit which was
 sent before the rebuild fails however late it arrives. Anchors thus have the role that fencing
 tokens have for locks.
--- a/clayport/records/versions.py
+++ b/clayport/records/versions.py
@@ -23,7 +23,8 @@
 
     Args:
         jobs: The managed jobs, whose routines are woken once the upgrade is complete.
-        revision_checks: The lookups, whose batch size follows the limits of the state service.
+        revision_checks: The batched checks of record revisions, whose batch size follows the
+            limits of the state service.
         membership: The current epoch.
         routines: The signals of this process.
         settings: The labels of all controllers, and the limits of the state service.
--- a/clayport/scaling/renting.py
+++ b/clayport/scaling/renting.py
@@ -210,7 +210,7 @@
             self._rent_from = now + (0.0 if first_start else 2 * lag_s)
 
     async def _give_up_late(self, types: dict[str, MachineType], now: float) -> None:
-        """Return machines that did not come up, except shortly after a takeover or a stall.
+        """Return machines that did not come up, except shortly after an epoch change or a stall.
 
         At that time working machines look as if they had not come up, until their reports reach
         the new owners.
--- a/clayport/scheduling/placer.py
+++ b/clayport/scheduling/placer.py
@@ -66,8 +66,8 @@
     """Places the waiting jobs, and hands the starts to the jobs' routines.
 
     Attributes:
-        swept_at: The monotonic time of the queue's last full sweep, in seconds.
-        fair_shares: The fair share of each class or team that is owed one.
+        swept_at: The monotonic time at which all jobs were last marked as changed, in seconds.
+        fair_shares: The fair share of each class or team that is entitled to one.
         fair_shares_until: The monotonic time until which `fair_shares` is valid, in seconds.
         granted_cpus: For each class or team, the CPUs of the tasks placed since `fair_shares` was
             looked up.
@@ -228,7 +228,7 @@
         self.cached_state.lacks_room = scheduling_pass.lacks_room
 
     def _current_fair_shares(self, now: float) -> dict[AccountKey, FairShare]:
-        """Return the fair shares owed, recomputed several times between two heartbeats."""
+        """Return the current fair shares, recomputed several times between two heartbeats."""
         if now >= self.fair_shares_until:
             self.fair_shares_until = (
                 now + self.settings.cluster.workers.report_s / SHARE_UPDATES_PER_REPORT
@@ -317,8 +317,8 @@
             wanted = min(wanted, 1)
         missing_cpus = scheduling_pass.missing_cpus(account_keys(job))
         if job.kind == ARRAY and missing_cpus > 0 and job.cpus > 0:
-            # The array goes before other jobs only for the share that is owed. Tasks beyond the
-            # share would be preempted again for the jobs that the array overtook.
+            # The array goes before other jobs only for the missing part of the share. Tasks beyond
+            # the share would be preempted again for the jobs that the array overtook.
             wanted = min(wanted, math.ceil(missing_cpus / job.cpus))
         if job.backfill and job.cpus > 0 and self.backfill.hinders_objectives(job, job.rank):
             cpus = max(scheduling_pass.backfill_cpus_left[job.rank], missing_cpus)
@@ -349,8 +349,8 @@
     def _order(self, managed: ManagedJob, scheduling_pass: SchedulingPass) -> tuple[float, ...]:
         """Return the sort key of a job: its rank, then its position in the queue.
 
-        Jobs whose class or team is owed a fair share come after replicas and before all other
-        jobs. Jobs within their team's guarantee come before jobs beyond it.
+        Jobs whose class or team lacks some of its fair share come after replicas and before all
+        other jobs. Jobs within their team's guarantee come before jobs beyond it.
         """
         job = managed.job
         band, (start_by, rev, _), _ = self.queue.position(managed, scheduling_pass.now)
--- a/clayport/scheduling/queueing/queue.py
+++ b/clayport/scheduling/queueing/queue.py
@@ -144,7 +144,7 @@
         self.clear(-math.inf)
 
     def clear(self, now: float) -> None:
-        """Remove all jobs at the start of an epoch, when each live job is touched again."""
+        """Remove all jobs when an epoch starts; each live job is then marked as changed again."""
         self.groups: dict[tuple[Any, ...], Group] = {}
         self.entries: dict[str, QueueEntry] = {}
         self.in_flight: dict[str, tuple[ManagedJob, int]] = {}
--- a/clayport/scheduling/reserves.py
+++ b/clayport/scheduling/reserves.py
@@ -1,4 +1,4 @@
-"""Machines that keep room for large tasks whose class or team is owed a fair share."""
+"""Machines that keep room for large tasks whose class or team lacks some of its fair share."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from clayport.scheduling.requirements import requirements_key
 from clayport.scheduling.scheduling_pass import SchedulingPass
 
-# The reserved share of the machines is this multiple of the fair share that is still owed,
+# The reserved share of the machines is this multiple of the fair share that is still missing,
 # rounded up to steps of 1/RESERVE_STEPS.
 RESERVED_SHARE, RESERVE_STEPS = 1.0, 8
 
--- a/clayport/scheduling/room_maker.py
+++ b/clayport/scheduling/room_maker.py
@@ -183,7 +183,7 @@
         return job.rank - 1
 
     def spare_fair_shares(self, job: Job, max_rank: int, scheduling_pass: SchedulingPass) -> int:
-        """Return `max_rank`, lowered to protect other classes that are owed a fair share.
+        """Return `max_rank`, lowered to protect other classes that have a fair share.
 
         Room granted for a fair share is not taken away again, except for replicas.
         """
--- a/clayport/scheduling/scheduling_pass.py
+++ b/clayport/scheduling/scheduling_pass.py
@@ -22,7 +22,7 @@
         now: The monotonic time of the pass, in seconds.
         index: The index of the rooms.
         policy: The placement policy.
-        fair_shares: The fair share of each class or team that is owed one.
+        fair_shares: The fair share of each class or team that is entitled to one.
         reserve: The machines that have to keep room for a larger task, if any.
         granted_cpus: For each class or team, the CPUs of the tasks placed since `fair_shares` was
             looked up.
--- a/tests/machines/test_workers.py
+++ b/tests/machines/test_workers.py
@@ -153,7 +153,7 @@
 
 
 def test_launch_needs_an_existing_reservation() -> None:
-    """A launch request delayed in the network must not start a settled attempt again."""
+    """A launch request delayed in the network must not start an attempt that is gone."""
     bench = OwnerHarness()
     bench.report()
     assert bench.owner.launch([("m1", *KEY)]) == [0]
--- a/tests/system/test_meetings_page.py
+++ b/tests/system/test_meetings_page.py
@@ -270,7 +270,7 @@
         await curio.sleep(world.rng.uniform(5.0, 15.0))
 
 
-# Each scene fails if one mechanism is removed:
+# Each scene was seen to fail when one mechanism was removed:
 # - the transaction conditions on chunks and epoch (isolated_zone);
 # - the transaction conditions on quotas (team_at_limit_after_change);
 # - the transaction conditions on live and final records (cancelled_at_the_end);
--- a/tests/world/controllers.py
+++ b/tests/world/controllers.py
@@ -105,7 +105,7 @@
         peer.call = call  # type: ignore[method-assign]
 
     async def _run_duties(self, controller: Controller) -> None:
-        """Run the controller's duties without its listeners until the controller crashes."""
+        """Run the controller's long-lived routines, but no listeners, until it crashes."""
         duties: list[Any] = [
             await curio.spawn(controller.routines.run_forever, r, daemon=True)
             for r in controller.long_lived_routines()
