--- a/clayport/rebuild/history.py
+++ b/clayport/rebuild/history.py
@@ -8,10 +8,10 @@
 
 Therefore each period without a loss is a history. A history has a random name that is never
 reused, and an anchor under each persistent prefix. An anchor is a key that contains the name.
-The conditions of every commit include the anchors of the prefixes that the commit writes. A
-rebuild after a loss begins a new history by deleting the old anchors, so that a commit which was
-sent before the rebuild fails however late it arrives. Anchors thus have the role that fencing
-tokens have for locks.
+The conditions of every commit include the anchor of `c/` and the anchors of the prefixes of all
+keys that the commit has conditions on. A rebuild after a loss begins a new history by deleting the
+old anchors, so that a commit which was sent before the rebuild fails however late it arrives.
+Anchors thus have the role that fencing tokens have for locks.
 
 A controller that sees a sign of a loss suspects its history. It makes no further commits until
 the records have been rebuilt and it has joined the new history. The module does no I/O and reads
