--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, run by hand; nothing here is timed in CI."""
+"""Benchmarks that are run by hand; CI times none of them."""
--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller spends on each kind of work, measured, and what that means at a given size."""
+"""Measured cost of each kind of controller work, and the capacity model computed from it."""
